--- a/bench/decide/ComparedPolicies.cpp
+++ b/bench/decide/ComparedPolicies.cpp
@@ -10,9 +10,10 @@
 static constexpr std::size_t DecisionsPerSecond = 128;
 
 namespace {
-class Ours final : public ComparedPolicy {
+class PlannerPolicy final : public ComparedPolicy {
 public:
-  Ours(const Policy &Settings, std::uint64_t Seed) : Planner_(Settings, Seed) {}
+  PlannerPolicy(const Policy &Settings, std::uint64_t Seed)
+      : Planner_(Settings, Seed) {}
   void upsertServer(const ServerInfo &Server) override {
     Planner_.upsertServer(Server);
   }
@@ -25,27 +26,25 @@
   void removeWaiting(const TaskId &Task) override {
     Planner_.removeWaiting(Task);
   }
-  void notePlaced(const Decision &Value, const TaskInfo &Task,
-                  TimePoint Now) override {
-    Planner_.notePlaced(Task, Value.Attempt_, *Value.Server_,
-                        Value.Reservation_, Now);
+  void recordPlacement(const Decision &D, const TaskInfo &Task,
+                       TimePoint Now) override {
+    Planner_.recordPlacement(Task, D.Attempt_, *D.Server_, D.Reservation_, Now);
   }
-  void noteReservation(const Decision &Value) override {
-    Planner_.noteReservation(*Value.Task_, Value.Attempt_, Value.Reservation_);
+  void updateReservation(const Decision &D) override {
+    Planner_.updateReservation(*D.Task_, D.Attempt_, D.Reservation_);
   }
-  void noteThrottle(const Decision &Value, TimePoint Now) override {
-    Planner_.noteThrottle(*Value.Task_, Value.Attempt_, Value.ThrottlePercent_,
-                          Now);
+  void updateThrottle(const Decision &D, TimePoint Now) override {
+    Planner_.updateThrottle(*D.Task_, D.Attempt_, D.ThrottlePercent_, Now);
   }
-  void noteEnded(const TaskId &Task, AttemptNumber Attempt, EndReason Reason,
+  void recordEnd(const TaskId &Task, AttemptNumber Attempt, EndReason Reason,
                  TimePoint Now) override {
-    Planner_.noteEnded(Task, Attempt, Reason, Now);
+    Planner_.recordEnd(Task, Attempt, Reason, Now);
   }
-  void noteUsage(const UsageSample &Sample) override {
-    Planner_.noteUsage(Sample);
+  void addUsageSample(const UsageSample &Sample) override {
+    Planner_.addUsageSample(Sample);
   }
-  void noteService(const ServiceSample &Sample) override {
-    Planner_.noteService(Sample);
+  void addServiceSample(const ServiceSample &Sample) override {
+    Planner_.addServiceSample(Sample);
   }
   std::vector<Decision> decide(TimePoint Now) override {
     return Planner_.decide(Now, DecisionsPerSecond);
@@ -71,38 +70,38 @@
     std::erase_if(Waiting_,
                   [&](const TaskInfo &Info) { return Info.Task_ == Task; });
   }
-  void notePlaced(const Decision &Value, const TaskInfo &Task,
-                  TimePoint) override {
-    Running_[Task.Task_] = Value;
+  void recordPlacement(const Decision &D, const TaskInfo &Task,
+                       TimePoint) override {
+    Running_[Task.Task_] = D;
     removeWaiting(Task.Task_);
   }
-  void noteReservation(const Decision &) override {}
-  void noteThrottle(const Decision &, TimePoint) override {}
-  void noteEnded(const TaskId &Task, AttemptNumber, EndReason,
+  void updateReservation(const Decision &) override {}
+  void updateThrottle(const Decision &, TimePoint) override {}
+  void recordEnd(const TaskId &Task, AttemptNumber, EndReason,
                  TimePoint) override {
     Running_.erase(Task);
   }
-  void noteUsage(const UsageSample &) override {}
-  void noteService(const ServiceSample &) override {}
+  void addUsageSample(const UsageSample &) override {}
+  void addServiceSample(const ServiceSample &) override {}
 
 protected:
-  std::map<BackendServerId, Resources> listRoom() const {
+  std::map<BackendServerId, Resources> listFreeResources() const {
     std::map<BackendServerId, Resources> Room;
     for (const auto &[Id, Info] : Servers_)
       Room[Id] = Info.Capacity_ - Info.ServiceShare_;
-    for (const auto &[Id, Value] : Running_)
-      Room[*Value.Server_] = Room[*Value.Server_] - Value.Reservation_;
+    for (const auto &[Id, D] : Running_)
+      Room[*D.Server_] = Room[*D.Server_] - D.Reservation_;
     return Room;
   }
   static Decision makePlace(const TaskInfo &Task, const BackendServerId &Server,
                             const Resources &Reservation) {
-    Decision Value;
-    Value.Kind_ = DecisionKind::Place;
-    Value.Task_ = Task.Task_;
-    Value.Attempt_ = Task.NextAttempt_;
-    Value.Server_ = Server;
-    Value.Reservation_ = Reservation;
-    return Value;
+    Decision D;
+    D.Kind_ = DecisionKind::Place;
+    D.Task_ = Task.Task_;
+    D.Attempt_ = Task.NextAttempt_;
+    D.Server_ = Server;
+    D.Reservation_ = Reservation;
+    return D;
   }
 
   std::map<BackendServerId, ServerInfo> Servers_;
@@ -116,7 +115,7 @@
       : Target_(Settings.Targets_.front().P99_),
         Reports_(Settings.GuardReports_) {}
 
-  void noteService(const ServiceSample &Sample) override {
+  void addServiceSample(const ServiceSample &Sample) override {
     auto &Count = Over_[Sample.Server_];
     Count = Sample.P99_ > Target_ ? Count + 1 : 0;
   }
@@ -126,10 +125,10 @@
     for (auto &[Server, Count] : Over_)
       if (Count >= Reports_ && evictLargest(Server, Decisions))
         Count = 0;
-    auto Room = listRoom();
-    std::size_t Looks = 0;
+    auto Room = listFreeResources();
+    std::size_t Examined = 0;
     for (const TaskInfo &Task : Waiting_) {
-      if (Decisions.size() >= DecisionsPerSecond || ++Looks > 400)
+      if (Decisions.size() >= DecisionsPerSecond || ++Examined > 400)
         break;
       for (auto &[Server, Free] : Room) {
         if (!Task.Declared_.fitsIn(Free))
@@ -146,11 +145,11 @@
   bool evictLargest(const BackendServerId &Server,
                     std::vector<Decision> &Decisions) {
     const Decision *Largest = nullptr;
-    for (const auto &[Id, Value] : Running_)
-      if (Value.Server_ == Server &&
+    for (const auto &[Id, D] : Running_)
+      if (D.Server_ == Server &&
           (!Largest ||
-           Value.Reservation_.MilliCpus_ > Largest->Reservation_.MilliCpus_))
-        Largest = &Value;
+           D.Reservation_.MilliCpus_ > Largest->Reservation_.MilliCpus_))
+        Largest = &D;
     if (!Largest)
       return false;
     Decisions.push_back(*Largest);
@@ -166,15 +165,16 @@
 
 class Oracle final : public ListPolicy {
 public:
-  explicit Oracle(const PairedWorkload &Truth) : Truth_(Truth) {}
+  explicit Oracle(const SimulatedWorkload &Workload) : Workload_(Workload) {}
 
   std::vector<Decision> decide(TimePoint) override {
     std::vector<Decision> Decisions;
-    auto Room = listRoom();
+    auto Room = listFreeResources();
     AddedTasks Added;
     std::map<double, std::vector<const TaskInfo *>> ByEffect;
     for (const TaskInfo &Task : Waiting_)
-      ByEffect[Truth_.classes()[Truth_.taskOf(Task.Task_).Class_].Effect_]
+      ByEffect[Workload_.classes()[Workload_.getTask(Task.Task_).Class_]
+                   .Effect_]
           .push_back(&Task);
     for (const auto &[Effect, Tasks] : ByEffect)
       placeClass(Tasks, Room, Added, Decisions);
@@ -188,9 +188,9 @@
                   std::map<BackendServerId, Resources> &Room, AddedTasks &Added,
                   std::vector<Decision> &Decisions) const {
     for (const TaskInfo *Task : Tasks) {
-      const std::size_t Class = Truth_.taskOf(Task->Task_).Class_;
-      const Resources &Size = Truth_.classes()[Class].Size_;
-      const TrueServer *Best = pick(Class, Size, Room, Added);
+      const std::size_t Class = Workload_.getTask(Task->Task_).Class_;
+      const Resources &Size = Workload_.classes()[Class].Size_;
+      const SimulatedServer *Best = pick(Class, Size, Room, Added);
       // Tasks of one class are alike: where one has no place, none has.
       if (!Best || Decisions.size() >= DecisionsPerSecond)
         return;
@@ -201,25 +201,25 @@
     }
   }
 
-  const TrueServer *pick(std::size_t Class, const Resources &Size,
-                         const std::map<BackendServerId, Resources> &Room,
-                         const AddedTasks &Added) const {
+  const SimulatedServer *pick(std::size_t Class, const Resources &Size,
+                              const std::map<BackendServerId, Resources> &Room,
+                              const AddedTasks &Added) const {
     constexpr double TopLoad = 0.9;
     constexpr double TargetFactor = 1.25;
-    const TrueServer *Best = nullptr;
+    const SimulatedServer *Best = nullptr;
     double Least = TargetFactor;
-    for (const TrueServer &Server : Truth_.servers()) {
+    for (const SimulatedServer &Server : Workload_.servers()) {
       const auto Free = Room.find(Server.Info_.Server_);
       if (!Server.Up_ || Server.FailsAll_ || Free == Room.end() ||
           !Size.fitsIn(Free->second))
         continue;
-      double Slowdown = Truth_.slowdownOf(Server, Class, 1, TopLoad);
+      double Slowdown = Workload_.computeSlowdown(Server, Class, 1, TopLoad);
       const auto Others = Added.find(Server.Info_.Server_);
       if (Others != Added.end())
         for (const auto &[Other, Count] : Others->second)
           Slowdown +=
-              Truth_.classes()[Other].Effect_ * (0.5 + TopLoad) * Count *
-              static_cast<double>(Truth_.classes()[Other].Size_.MilliCpus_) /
+              Workload_.classes()[Other].Effect_ * (0.5 + TopLoad) * Count *
+              static_cast<double>(Workload_.classes()[Other].Size_.MilliCpus_) /
               32000;
       if (Slowdown >= Least)
         continue;
@@ -229,13 +229,13 @@
     return Best;
   }
 
-  const PairedWorkload &Truth_;
+  const SimulatedWorkload &Workload_;
 };
 } // namespace
 
-std::unique_ptr<ComparedPolicy> decide::makeOurs(const Policy &Settings,
-                                                 std::uint64_t Seed) {
-  return std::make_unique<Ours>(Settings, Seed);
+std::unique_ptr<ComparedPolicy>
+decide::makePlannerPolicy(const Policy &Settings, std::uint64_t Seed) {
+  return std::make_unique<PlannerPolicy>(Settings, Seed);
 }
 
 std::unique_ptr<ComparedPolicy> decide::makeFirstFit(const Policy &Settings) {
@@ -243,6 +243,6 @@
 }
 
 std::unique_ptr<ComparedPolicy>
-decide::makeOracle(const PairedWorkload &Truth) {
-  return std::make_unique<Oracle>(Truth);
+decide::makeOracle(const SimulatedWorkload &Workload) {
+  return std::make_unique<Oracle>(Workload);
 }
--- a/bench/decide/ComparedPolicies.h
+++ b/bench/decide/ComparedPolicies.h
@@ -8,14 +8,14 @@
 #ifndef TULIPWEIR_BENCH_DECIDE_COMPAREDPOLICIES_H
 #define TULIPWEIR_BENCH_DECIDE_COMPAREDPOLICIES_H
 
-#include "PairedWorkload.h"
+#include "SimulatedWorkload.h"
 
 #include <memory>
 
 namespace tulipweir::decide {
 
-std::unique_ptr<ComparedPolicy> makeOurs(const Policy &Settings,
-                                         std::uint64_t Seed);
+std::unique_ptr<ComparedPolicy> makePlannerPolicy(const Policy &Settings,
+                                                  std::uint64_t Seed);
 
 /// Places each waiting task, in the order of arrival, on the first server with
 /// room for its declared size. When three reports in a row of a server stand
@@ -30,7 +30,7 @@
 /// and puts each task on the server with the least true slowdown, as long as
 /// the p99 there stays within the target at the top of the next wave. Needs no
 /// guard and no eviction.
-std::unique_ptr<ComparedPolicy> makeOracle(const PairedWorkload &Truth);
+std::unique_ptr<ComparedPolicy> makeOracle(const SimulatedWorkload &Workload);
 
 } // namespace tulipweir::decide
 
--- a/bench/decide/PlacementBench.cpp
+++ b/bench/decide/PlacementBench.cpp
@@ -54,28 +54,28 @@
 class NaivePlanner {
 public:
   void upsertServer(const ServerInfo &Info) { Servers_.push_back(Info); }
-  void notePlaced(const TaskInfo &Task, const BackendServerId &Server) {
+  void recordPlacement(const TaskInfo &Task, const BackendServerId &Server) {
     Placed_[Task.Task_] = {Task, Server};
   }
   std::optional<BackendServerId> place(const TaskInfo &Task) {
     std::map<BackendServerId, Resources> Used;
-    std::map<BackendServerId, int> OfJob;
-    for (const auto &[Id, Value] : Placed_) {
-      auto &Sum = Used[Value.second];
-      Sum = Sum + Value.first.Declared_;
-      OfJob[Value.second] += Id.Job_ == Task.Task_.Job_ ? 1 : 0;
+    std::map<BackendServerId, int> JobTasks;
+    for (const auto &[Id, Placement] : Placed_) {
+      auto &Sum = Used[Placement.second];
+      Sum = Sum + Placement.first.Declared_;
+      JobTasks[Placement.second] += Id.Job_ == Task.Task_.Job_ ? 1 : 0;
     }
     std::optional<BackendServerId> Best;
     double BestScore = -1e9;
     for (const ServerInfo &Info : Servers_) {
-      const Resources Left =
+      const Resources Remaining =
           Info.Capacity_ - Used[Info.Server_] - Task.Declared_;
-      if (!Left.isValid())
+      if (!Remaining.isValid())
         continue;
       const double Score = 1 -
-                           static_cast<double>(Left.MilliCpus_) /
+                           static_cast<double>(Remaining.MilliCpus_) /
                                static_cast<double>(Info.Capacity_.MilliCpus_) -
-                           0.1 * OfJob[Info.Server_];
+                           0.1 * JobTasks[Info.Server_];
       if (Score <= BestScore)
         continue;
       BestScore = Score;
@@ -105,7 +105,7 @@
     Sample.P99_ = std::chrono::milliseconds(20);
     Sample.LoadPercent_ = 50;
     Sample.SampledAt_ = Start + std::chrono::seconds(1);
-    Ours.noteService(Sample);
+    Ours.addServiceSample(Sample);
   }
 }
 
@@ -119,7 +119,7 @@
     Sample.Attempt_ = AttemptNumber(1);
     Sample.Usage_ = Task.Declared_;
     Sample.SampledAt_ = Start + std::chrono::seconds(1);
-    Ours.noteUsage(Sample);
+    Ours.addUsageSample(Sample);
   }
 }
 
@@ -134,14 +134,14 @@
     Now += std::chrono::milliseconds(100);
     const auto Begin = std::chrono::steady_clock::now();
     const auto Decisions = Ours.decide(Now, Batch);
-    for (const Decision &Value : Decisions) {
-      if (Value.Kind_ != DecisionKind::Place)
+    for (const Decision &D : Decisions) {
+      if (D.Kind_ != DecisionKind::Place)
         continue;
       const int Index =
-          std::stoi(Value.Task_->Job_.value().substr(4)) * TasksPerJob +
-          static_cast<int>(Value.Task_->Index_);
-      Ours.notePlaced(makeTask(Index), Value.Attempt_, *Value.Server_,
-                      Value.Reservation_, Now);
+          std::stoi(D.Task_->Job_.value().substr(4)) * TasksPerJob +
+          static_cast<int>(D.Task_->Index_);
+      Ours.recordPlacement(makeTask(Index), D.Attempt_, *D.Server_,
+                           D.Reservation_, Now);
       ++Placed;
     }
     Seconds += secondsSince(Begin);
@@ -164,8 +164,8 @@
   for (int I = 0; I < RunningTasks; ++I) {
     const BackendServerId Server("vm-" + std::to_string(I % Count));
     const TaskInfo Task = makeTask(I);
-    Ours.notePlaced(Task, AttemptNumber(1), Server, Task.Declared_, Start);
-    Naive.notePlaced(Task, Server);
+    Ours.recordPlacement(Task, AttemptNumber(1), Server, Task.Declared_, Start);
+    Naive.recordPlacement(Task, Server);
   }
   reportServices(Ours, Count);
   reportUsage(Ours);
@@ -174,7 +174,7 @@
   for (int I = 0; I < NaiveDecisions; ++I) {
     const TaskInfo Task = makeTask(RunningTasks + I);
     if (const auto Server = Naive.place(Task))
-      Naive.notePlaced(Task, *Server);
+      Naive.recordPlacement(Task, *Server);
   }
   Result.NaiveMicros_ = secondsSince(Begin) / NaiveDecisions * 1e6;
   Result.OursMicros_ = timeOurs(Ours);
--- a/bench/decide/PolicyBench.cpp
+++ b/bench/decide/PolicyBench.cpp
@@ -21,21 +21,21 @@
 } // namespace
 
 static void print(const char *Name, int Lag, std::uint64_t Seed,
-                  const WorkloadResult &Value) {
+                  const WorkloadResult &Result) {
   std::printf("%-9s lag=%2ds seed=%llu p99=%.3fx finished=%6d work=%9.0f "
               "evictions=%5d lost=%8.0f throttles=%5d guard=%5d false=%4d "
               "refused=%d\n",
               Name, Lag, static_cast<unsigned long long>(Seed),
-              Value.TailRatio_, Value.FinishedTasks_, Value.FinishedWork_,
-              Value.Evictions_, Value.LostToEvictions_, Value.Throttles_,
-              Value.GuardActions_, Value.FalseAlarms_, Value.Overfilled_);
+              Result.TailRatio_, Result.FinishedTasks_, Result.FinishedWork_,
+              Result.Evictions_, Result.LostToEvictions_, Result.Throttles_,
+              Result.GuardActions_, Result.FalseAlarms_, Result.Overfilled_);
 }
 
 /// The oracle sees everything without lag: one run does for all.
 static WorkloadResult runOracle(std::uint64_t Seed) {
   WorkloadSettings Settings;
   Settings.Seed_ = Seed;
-  PairedWorkload Workload(Settings);
+  SimulatedWorkload Workload(Settings);
   const auto Result = Workload.run(*makeOracle(Workload));
   print("oracle", 0, Seed, Result);
   return Result;
@@ -45,12 +45,12 @@
   WorkloadSettings Settings;
   Settings.Seed_ = Seed;
   Settings.Lag_ = std::chrono::seconds(Lag);
-  const Policy Weights = PairedWorkload::makePolicy();
+  const Policy Weights = SimulatedWorkload::makePolicy();
   Comparison Result;
-  PairedWorkload ForOurs(Settings);
-  Result.Ours_ = ForOurs.run(*makeOurs(Weights, Seed));
+  SimulatedWorkload ForOurs(Settings);
+  Result.Ours_ = ForOurs.run(*makePlannerPolicy(Weights, Seed));
   print("ours", Lag, Seed, Result.Ours_);
-  PairedWorkload ForFirstFit(Settings);
+  SimulatedWorkload ForFirstFit(Settings);
   Result.FirstFit_ = ForFirstFit.run(*makeFirstFit(Weights));
   print("first-fit", Lag, Seed, Result.FirstFit_);
   return Result;
@@ -73,13 +73,13 @@
     double Evictions = 0;
     double FirstFit = 0;
     for (const std::uint64_t Seed : Seeds) {
-      const Comparison Value = compare(Lag, Seed);
-      WorstTail = std::max(WorstTail, Value.Ours_.TailRatio_);
-      Ours += Value.Ours_.FinishedWork_;
-      Evictions += Value.Ours_.Evictions_;
-      FirstFit += Value.FirstFit_.Evictions_;
-      Actions += Value.Ours_.GuardActions_;
-      FalseAlarms += Value.Ours_.FalseAlarms_;
+      const Comparison Results = compare(Lag, Seed);
+      WorstTail = std::max(WorstTail, Results.Ours_.TailRatio_);
+      Ours += Results.Ours_.FinishedWork_;
+      Evictions += Results.Ours_.Evictions_;
+      FirstFit += Results.FirstFit_.Evictions_;
+      Actions += Results.Ours_.GuardActions_;
+      FalseAlarms += Results.Ours_.FalseAlarms_;
     }
     std::printf("lag %d s: finished %.3f of the oracle's, evictions %.3f of "
                 "first-fit's\n",
--- a/bench/decide/PairedWorkload.cpp
+++ b/bench/decide/SimulatedWorkload.cpp
@@ -1,6 +1,7 @@
-//===- PairedWorkload.cpp - Services and batch work as arithmetic -------===//
+//===- SimulatedWorkload.cpp - Services and batch work as arithmetic
+//-------===//
 
-#include "PairedWorkload.h"
+#include "SimulatedWorkload.h"
 
 #include <algorithm>
 #include <cmath>
@@ -20,11 +21,13 @@
 static constexpr int TasksPerJob = 20;
 static constexpr int FailAfter = 2;
 
-double PairedWorkload::aloneAt(double Load) { return 20 * (1 + Load * Load); }
+double SimulatedWorkload::getBaselineP99(double Load) {
+  return 20 * (1 + Load * Load);
+}
 
-Policy PairedWorkload::makePolicy() {
+Policy SimulatedWorkload::makePolicy() {
   Policy Settings;
-  const double Target = TargetFactor * aloneAt(TopLoad);
+  const double Target = TargetFactor * getBaselineP99(TopLoad);
   Settings.Targets_ = {
       {Booking, std::chrono::duration_cast<Duration>(
                     std::chrono::duration<double, std::milli>(Target))}};
@@ -32,19 +35,19 @@
 }
 
 static double targetMillis() {
-  return TargetFactor * PairedWorkload::aloneAt(TopLoad);
+  return TargetFactor * SimulatedWorkload::getBaselineP99(TopLoad);
 }
 
-double PairedWorkload::draw(double From, double To) {
+double SimulatedWorkload::draw(double From, double To) {
   return std::uniform_real_distribution<double>(From, To)(Random_);
 }
 
-PairedWorkload::PairedWorkload(const WorkloadSettings &Settings)
+SimulatedWorkload::SimulatedWorkload(const WorkloadSettings &Settings)
     : Settings_(Settings), Random_(Settings.Seed_),
       Noise_(Settings.Seed_ + 1000) {
   constexpr int ClassCount = 12;
   for (int I = 0; I < ClassCount; ++I) {
-    TrueClass Class;
+    SimulatedClass Class;
     Class.Id_ = JobClassId("class-" + std::to_string(I));
     Class.Effect_ = std::exp(draw(std::log(0.05), std::log(2.5)));
     Class.Size_ =
@@ -55,7 +58,7 @@
     Classes_.push_back(Class);
   }
   for (int I = 0; I < Settings.Servers_; ++I) {
-    TrueServer Server;
+    SimulatedServer Server;
     Server.Info_.Server_ = BackendServerId("vm-" + std::to_string(I));
     Server.Info_.Rack_ = RackId("rack-" + std::to_string(I / 8));
     Server.Info_.Capacity_ = Resources::makeFor(32000, 125000);
@@ -66,57 +69,59 @@
   }
 }
 
-double PairedWorkload::slowdownOf(const TrueServer &Server,
-                                  std::size_t AddedClass, double AddedTasks,
-                                  double Load) const {
+double SimulatedWorkload::computeSlowdown(const SimulatedServer &Server,
+                                          std::size_t AddedClass,
+                                          double AddedTasks,
+                                          double Load) const {
   double Effect = 0;
   double Cores = Load * ServiceCores;
   const double All = 32000;
   const auto AddTasks = [&](std::size_t Class, double Tasks) {
     const double Part =
         Tasks * static_cast<double>(Classes_[Class].Size_.MilliCpus_) / All;
-    const bool Loud = Noisy_ && Class == NoisyClass_;
+    const bool IsNoisy = Noisy_ && Class == NoisyClass_;
     Effect += Classes_[Class].Effect_ * (0.5 + Load) * Part *
-              (Loud ? NoisyFactor : 1);
+              (IsNoisy ? NoisyFactor : 1);
     Cores += Part * All / 1000;
   };
   for (const TaskId &Id : Server.Tasks_) {
-    const TrueTask &Task = Tasks_.at(Id);
+    const SimulatedTask &Task = Tasks_.at(Id);
     AddTasks(Task.Class_, Task.Throttle_ / 100.0);
   }
   if (AddedTasks > 0)
     AddTasks(AddedClass, AddedTasks);
   // Past the processors there are, everything queues.
-  const double Crowded = std::max(0.0, Cores / 32 - 1);
-  return 1 + Effect + 4 * Crowded;
+  const double Overload = std::max(0.0, Cores / 32 - 1);
+  return 1 + Effect + 4 * Overload;
 }
 
-void PairedWorkload::submitJob(ComparedPolicy &Policy) {
+void SimulatedWorkload::submitJob(ComparedPolicy &Policy) {
   const auto Class = static_cast<std::size_t>(draw(0, 11.999));
   const double Worst = std::log(Settings_.WorstDeclared_);
-  const double Wrong = std::exp(draw(-Worst, Worst));
+  const double ErrorFactor = std::exp(draw(-Worst, Worst));
   const auto Job = JobId("job-" + std::to_string(Jobs_++));
   for (int I = 0; I < TasksPerJob; ++I) {
-    TrueTask Task;
+    SimulatedTask Task;
     Task.Class_ = Class;
     Task.Info_.Task_ = {Job, static_cast<std::uint32_t>(I)};
     Task.Info_.NextAttempt_ = AttemptNumber(1);
     Task.Info_.Team_ = TeamId("team");
     Task.Info_.Class_ = Classes_[Class].Id_;
     const Resources &Size = Classes_[Class].Size_;
-    const auto Misjudge = [&](std::int64_t Amount, std::int64_t Most) {
-      return std::min(
-          Most, static_cast<std::int64_t>(static_cast<double>(Amount) * Wrong));
+    const auto ApplyError = [&](std::int64_t Amount, std::int64_t Limit) {
+      return std::min(Limit, static_cast<std::int64_t>(
+                                 static_cast<double>(Amount) * ErrorFactor));
     };
-    Task.Info_.Declared_ = Resources::makeFor(
-        Misjudge(Size.MilliCpus_, 24000), Misjudge(Size.MemoryMib_, 109000));
+    Task.Info_.Declared_ =
+        Resources::makeFor(ApplyError(Size.MilliCpus_, 24000),
+                           ApplyError(Size.MemoryMib_, 109000));
     Task.Work_ = std::exp(draw(std::log(40), std::log(400)));
     Tasks_[Task.Info_.Task_] = Task;
     Policy.addWaiting(Task.Info_, Now_);
   }
 }
 
-void PairedWorkload::moveLoad(int Second) {
+void SimulatedWorkload::updateLoads(int Second) {
   for (std::size_t I = 0; I < Servers_.size(); ++I) {
     const double Phase =
         static_cast<double>(I) / static_cast<double>(Servers_.size());
@@ -125,13 +130,13 @@
   }
 }
 
-void PairedWorkload::stop(TrueTask &Task, EndReason Reason,
-                          ComparedPolicy &Policy) {
-  TrueServer &Server = Servers_[static_cast<std::size_t>(Task.Server_)];
+void SimulatedWorkload::stop(SimulatedTask &Task, EndReason Reason,
+                             ComparedPolicy &Policy) {
+  SimulatedServer &Server = Servers_[static_cast<std::size_t>(Task.Server_)];
   std::erase(Server.Tasks_, Task.Info_.Task_);
   Task.Server_ = -1;
   Task.Progress_ = Task.Saved_;
-  Policy.noteEnded(Task.Info_.Task_, Task.Attempt_, Reason, Now_);
+  Policy.recordEnd(Task.Info_.Task_, Task.Attempt_, Reason, Now_);
   Task.Done_ = Reason == EndReason::Finished || Reason == EndReason::Cancelled;
   if (Task.Done_)
     return;
@@ -139,13 +144,13 @@
   Policy.addWaiting(Task.Info_, Now_);
 }
 
-void PairedWorkload::fail(ComparedPolicy &Policy, int Second) {
+void SimulatedWorkload::injectFaults(ComparedPolicy &Policy, int Second) {
   if (!Settings_.Faults_)
     return;
   Noisy_ = Second % 300 >= 200 && Second % 300 < 260;
   if (Second % 300 == 200)
     NoisyClass_ = static_cast<std::size_t>(draw(0, 11.999));
-  for (TrueServer &Server : Servers_) {
+  for (SimulatedServer &Server : Servers_) {
     if (Server.Up_ || Second < Server.DownUntil_)
       continue;
     Server.Up_ = true;
@@ -175,10 +180,11 @@
   }
 }
 
-void PairedWorkload::advanceTask(TrueTask &Task, double Speed,
-                                 ComparedPolicy &Policy) {
+void SimulatedWorkload::advanceTask(SimulatedTask &Task, double Speed,
+                                    ComparedPolicy &Policy) {
   ++Task.RanFor_;
-  const TrueServer &Server = Servers_[static_cast<std::size_t>(Task.Server_)];
+  const SimulatedServer &Server =
+      Servers_[static_cast<std::size_t>(Task.Server_)];
   if (Server.FailsAll_ && Task.RanFor_ >= FailAfter) {
     stop(Task, EndReason::Failed, Policy);
     return;
@@ -199,30 +205,32 @@
   stop(Task, EndReason::Finished, Policy);
 }
 
-void PairedWorkload::measureRequests(const TrueServer &Server) {
+void SimulatedWorkload::measureRequests(const SimulatedServer &Server) {
   // Exponential latencies with the given p99; the same draw for both.
   constexpr double P99OfUnit = 4.605170186;
   std::exponential_distribution<double> Unit(1);
   const int Count =
       1 + static_cast<int>(Server.Load_ * static_cast<double>(RequestsDrawn));
   for (int I = 0; I < Count; ++I) {
-    const double Value = Unit(Noise_) / P99OfUnit;
-    Latencies_.push_back(static_cast<float>(Value * Server.P99_));
-    AloneLatencies_.push_back(static_cast<float>(Value * Server.Alone_));
+    const double UnitLatency = Unit(Noise_) / P99OfUnit;
+    Latencies_.push_back(static_cast<float>(UnitLatency * Server.P99_));
+    BaselineLatencies_.push_back(
+        static_cast<float>(UnitLatency * Server.BaselineP99_));
   }
 }
 
-void PairedWorkload::advanceServer(TrueServer &Server, ComparedPolicy &Policy,
-                                   int Second) {
-  Server.Alone_ = aloneAt(Server.Load_);
-  Server.P99_ = Server.Alone_ * slowdownOf(Server, 0, 0, Server.Load_);
+void SimulatedWorkload::advanceServer(SimulatedServer &Server,
+                                      ComparedPolicy &Policy, int Second) {
+  Server.BaselineP99_ = getBaselineP99(Server.Load_);
+  Server.P99_ =
+      Server.BaselineP99_ * computeSlowdown(Server, 0, 0, Server.Load_);
   if (Server.P99_ > targetMillis())
     Server.OverAt_ = Second;
   measureRequests(Server);
   double Cores = Server.Load_ * ServiceCores;
   std::int64_t Memory = 0;
   for (const TaskId &Id : Server.Tasks_) {
-    const TrueTask &Task = Tasks_.at(Id);
+    const SimulatedTask &Task = Tasks_.at(Id);
     const Resources &Size = Classes_[Task.Class_].Size_;
     Cores += static_cast<double>(Size.MilliCpus_) / 1000 * Task.Throttle_ / 100;
     Memory += Size.MemoryMib_;
@@ -236,13 +244,13 @@
     stop(Tasks_.at(Server.Tasks_.back()), EndReason::Lost, Policy);
 }
 
-void PairedWorkload::report(int Second) {
+void SimulatedWorkload::report(int Second) {
   if (Second % ReportEvery != 0)
     return;
-  Report Value;
-  Value.ArrivesAt_ = Now_ + Settings_.Lag_;
+  Report Batch;
+  Batch.ArrivesAt_ = Now_ + Settings_.Lag_;
   std::lognormal_distribution<double> Error(0, 0.08);
-  for (const TrueServer &Server : Servers_) {
+  for (const SimulatedServer &Server : Servers_) {
     if (!Server.Up_)
       continue;
     ServiceSample Sample;
@@ -253,9 +261,9 @@
         std::chrono::duration<double, std::milli>(Server.P99_ * Error(Noise_)));
     Sample.LoadPercent_ = static_cast<std::uint32_t>(100 * Server.Load_);
     Sample.SampledAt_ = Now_;
-    Value.Services_.push_back(Sample);
+    Batch.Services_.push_back(Sample);
     for (const TaskId &Id : Server.Tasks_) {
-      const TrueTask &Task = Tasks_.at(Id);
+      const SimulatedTask &Task = Tasks_.at(Id);
       const Resources &Size = Classes_[Task.Class_].Size_;
       const double Part = Error(Noise_) * Task.Throttle_ / 100;
       UsageSample Usage;
@@ -269,78 +277,78 @@
       Usage.WorkSinceCheckpoint_ = std::chrono::duration_cast<Duration>(
           std::chrono::duration<double>(Task.Progress_ - Task.Saved_));
       Usage.SampledAt_ = Now_;
-      Value.Usages_.push_back(Usage);
+      Batch.Usages_.push_back(Usage);
     }
   }
-  Reports_.push_back(std::move(Value));
+  Reports_.push_back(std::move(Batch));
 }
 
-void PairedWorkload::deliver(ComparedPolicy &Policy) {
+void SimulatedWorkload::deliver(ComparedPolicy &Policy) {
   while (!Reports_.empty() && Reports_.front().ArrivesAt_ <= Now_) {
     for (const UsageSample &Sample : Reports_.front().Usages_)
-      Policy.noteUsage(Sample);
+      Policy.addUsageSample(Sample);
     for (const ServiceSample &Sample : Reports_.front().Services_)
-      Policy.noteService(Sample);
+      Policy.addServiceSample(Sample);
     Reports_.pop_front();
   }
 }
 
-TrueServer *
-PairedWorkload::findServer(const std::optional<BackendServerId> &Id) {
-  for (TrueServer &Server : Servers_)
+SimulatedServer *
+SimulatedWorkload::findServer(const std::optional<BackendServerId> &Id) {
+  for (SimulatedServer &Server : Servers_)
     if (Id == Server.Info_.Server_)
       return &Server;
   return nullptr;
 }
 
-void PairedWorkload::apply(const Decision &Value, ComparedPolicy &Policy,
-                           int Second) {
-  TrueServer *Server = findServer(Value.Server_);
-  const auto Found = Value.Task_ ? Tasks_.find(*Value.Task_) : Tasks_.end();
-  if (!Server || !Server->Up_ || Found == Tasks_.end())
+void SimulatedWorkload::apply(const Decision &D, ComparedPolicy &Policy,
+                              int Second) {
+  SimulatedServer *Server = findServer(D.Server_);
+  const auto It = D.Task_ ? Tasks_.find(*D.Task_) : Tasks_.end();
+  if (!Server || !Server->Up_ || It == Tasks_.end())
     return;
-  TrueTask &Task = Found->second;
+  SimulatedTask &Task = It->second;
   Resources Reserved;
   for (const TaskId &Id : Server->Tasks_)
     Reserved = Reserved + Tasks_.at(Id).Reservation_;
   const Resources Limit = Server->Info_.Capacity_ - Server->Info_.ServiceShare_;
-  const bool IsGuards = Value.Reason_ == ReasonCode::TailOverTarget;
-  const bool WasFine =
+  const bool IsGuardAction = D.Reason_ == ReasonCode::TailOverTarget;
+  const bool WasUnderTarget =
       Server->OverAt_ < Second - 10 - Settings_.Lag_ / std::chrono::seconds(1);
-  if (IsGuards) {
+  if (IsGuardAction) {
     ++Result_.GuardActions_;
-    Result_.FalseAlarms_ += WasFine ? 1 : 0;
+    Result_.FalseAlarms_ += WasUnderTarget ? 1 : 0;
   }
   const auto Index = static_cast<int>(Server - Servers_.data());
-  if (Value.Kind_ == DecisionKind::Place && Task.Server_ < 0 && !Task.Done_) {
-    if (!(Reserved + Value.Reservation_).fitsIn(Limit)) {
+  if (D.Kind_ == DecisionKind::Place && Task.Server_ < 0 && !Task.Done_) {
+    if (!(Reserved + D.Reservation_).fitsIn(Limit)) {
       ++Result_.Overfilled_;
       return;
     }
     Task.Server_ = Index;
     Task.RanFor_ = 0;
-    Task.Reservation_ = Value.Reservation_;
-    Task.Attempt_ = Value.Attempt_;
+    Task.Reservation_ = D.Reservation_;
+    Task.Attempt_ = D.Attempt_;
     Task.Throttle_ = 100;
     Task.StartUp_ = StartUpSeconds;
     Server->Tasks_.push_back(Task.Info_.Task_);
-    Policy.notePlaced(Value, Task.Info_, Now_);
+    Policy.recordPlacement(D, Task.Info_, Now_);
     return;
   }
-  if (Task.Server_ != Index || Task.Attempt_ != Value.Attempt_)
+  if (Task.Server_ != Index || Task.Attempt_ != D.Attempt_)
     return;
-  if (Value.Kind_ == DecisionKind::Reserve) {
-    if (!(Reserved - Task.Reservation_ + Value.Reservation_).fitsIn(Limit)) {
+  if (D.Kind_ == DecisionKind::Reserve) {
+    if (!(Reserved - Task.Reservation_ + D.Reservation_).fitsIn(Limit)) {
       ++Result_.Overfilled_;
       return;
     }
-    Task.Reservation_ = Value.Reservation_;
-    Policy.noteReservation(Value);
-  } else if (Value.Kind_ == DecisionKind::Throttle) {
-    Result_.Throttles_ += Value.ThrottlePercent_ < 100 ? 1 : 0;
-    Task.Throttle_ = Value.ThrottlePercent_;
-    Policy.noteThrottle(Value, Now_);
-  } else if (Value.Kind_ == DecisionKind::Evict) {
+    Task.Reservation_ = D.Reservation_;
+    Policy.updateReservation(D);
+  } else if (D.Kind_ == DecisionKind::Throttle) {
+    Result_.Throttles_ += D.ThrottlePercent_ < 100 ? 1 : 0;
+    Task.Throttle_ = D.ThrottlePercent_;
+    Policy.updateThrottle(D, Now_);
+  } else if (D.Kind_ == DecisionKind::Evict) {
     ++Result_.Evictions_;
     Result_.LostToEvictions_ +=
         (Task.Progress_ - Task.Saved_) *
@@ -349,15 +357,15 @@
   }
 }
 
-static double quantileOf(std::vector<float> &Values, double Part) {
+static double computeQuantile(std::vector<float> &Values, double Part) {
   const auto Position = static_cast<std::ptrdiff_t>(
       Part * static_cast<double>(Values.size() - 1));
   std::nth_element(Values.begin(), Values.begin() + Position, Values.end());
   return Values[static_cast<std::size_t>(Position)];
 }
 
-WorkloadResult PairedWorkload::run(ComparedPolicy &Policy) {
-  for (const TrueServer &Server : Servers_)
+WorkloadResult SimulatedWorkload::run(ComparedPolicy &Policy) {
+  for (const SimulatedServer &Server : Servers_)
     Policy.upsertServer(Server.Info_);
   // More work waits at all times than can be done.
   constexpr int FirstJobs = 60;
@@ -368,17 +376,17 @@
     Now_ += std::chrono::seconds(1);
     if (Second % JobEvery == 0)
       submitJob(Policy);
-    moveLoad(Second);
-    fail(Policy, Second);
-    for (TrueServer &Server : Servers_)
+    updateLoads(Second);
+    injectFaults(Policy, Second);
+    for (SimulatedServer &Server : Servers_)
       if (Server.Up_)
         advanceServer(Server, Policy, Second);
     report(Second);
     deliver(Policy);
-    for (const Decision &Value : Policy.decide(Now_))
-      apply(Value, Policy, Second);
+    for (const Decision &D : Policy.decide(Now_))
+      apply(D, Policy, Second);
   }
-  Result_.TailRatio_ =
-      quantileOf(Latencies_, 0.99) / quantileOf(AloneLatencies_, 0.99);
+  Result_.TailRatio_ = computeQuantile(Latencies_, 0.99) /
+                       computeQuantile(BaselineLatencies_, 0.99);
   return Result_;
 }
--- a/bench/decide/PairedWorkload.h
+++ b/bench/decide/SimulatedWorkload.h
@@ -1,4 +1,5 @@
-//===- PairedWorkload.h - Services and batch work as arithmetic -*- C++ -*-===//
+//===- SimulatedWorkload.h - Services and batch work as arithmetic -*- C++
+//-*-===//
 //
 // A seeded workload for comparing policies, in steps of one second: one service
 // on each server whose load moves in waves, job classes that slow it by a true
@@ -8,8 +9,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_BENCH_DECIDE_PAIREDWORKLOAD_H
-#define TULIPWEIR_BENCH_DECIDE_PAIREDWORKLOAD_H
+#ifndef TULIPWEIR_BENCH_DECIDE_SIMULATEDWORKLOAD_H
+#define TULIPWEIR_BENCH_DECIDE_SIMULATEDWORKLOAD_H
 
 #include "tulipweir/decide/Planner.h"
 
@@ -28,13 +29,13 @@
   bool Faults_ = true; ///< Noisy waves, failing servers, losses, cancellations.
 };
 
-struct TrueClass {
+struct SimulatedClass {
   JobClassId Id_;
   double Effect_ = 0; ///< Slowdown, as a part, of a server full of it.
   Resources Size_;    ///< What a task really uses.
 };
 
-struct TrueTask {
+struct SimulatedTask {
   TaskInfo Info_;
   std::size_t Class_ = 0;
   double Work_ = 0;     ///< Seconds at full speed.
@@ -49,15 +50,15 @@
   bool Done_ = false;
 };
 
-struct TrueServer {
+struct SimulatedServer {
   ServerInfo Info_;
   bool Up_ = true;
   bool FailsAll_ = false;
   int DownUntil_ = 0;
-  double Load_ = 0;       ///< Of its service, 0 to 1.
-  double P99_ = 0;        ///< Milliseconds, true.
-  double Alone_ = 0;      ///< Milliseconds without batch work.
-  int OverAt_ = -1000000; ///< Last second in which P99_ was over the target.
+  double Load_ = 0;        ///< Of its service, 0 to 1.
+  double P99_ = 0;         ///< Milliseconds, true.
+  double BaselineP99_ = 0; ///< Milliseconds without batch work.
+  int OverAt_ = -1000000;  ///< Last second in which P99_ was over the target.
   std::vector<TaskId> Tasks_;
 };
 
@@ -82,20 +83,20 @@
   virtual void removeServer(const BackendServerId &Server) = 0;
   virtual void addWaiting(const TaskInfo &Task, TimePoint Now) = 0;
   virtual void removeWaiting(const TaskId &Task) = 0;
-  virtual void notePlaced(const Decision &Value, const TaskInfo &Task,
-                          TimePoint Now) = 0;
-  virtual void noteReservation(const Decision &Value) = 0;
-  virtual void noteThrottle(const Decision &Value, TimePoint Now) = 0;
-  virtual void noteEnded(const TaskId &Task, AttemptNumber Attempt,
+  virtual void recordPlacement(const Decision &D, const TaskInfo &Task,
+                               TimePoint Now) = 0;
+  virtual void updateReservation(const Decision &D) = 0;
+  virtual void updateThrottle(const Decision &D, TimePoint Now) = 0;
+  virtual void recordEnd(const TaskId &Task, AttemptNumber Attempt,
                          EndReason Reason, TimePoint Now) = 0;
-  virtual void noteUsage(const UsageSample &Sample) = 0;
-  virtual void noteService(const ServiceSample &Sample) = 0;
+  virtual void addUsageSample(const UsageSample &Sample) = 0;
+  virtual void addServiceSample(const ServiceSample &Sample) = 0;
   virtual std::vector<Decision> decide(TimePoint Now) = 0;
 };
 
-class PairedWorkload {
+class SimulatedWorkload {
 public:
-  explicit PairedWorkload(const WorkloadSettings &Settings);
+  explicit SimulatedWorkload(const WorkloadSettings &Settings);
 
   /// Runs the policy through the whole time.
   WorkloadResult run(ComparedPolicy &Policy);
@@ -105,13 +106,15 @@
   static Policy makePolicy();
 
   // The truth, for the oracle.
-  const std::vector<TrueServer> &servers() const { return Servers_; }
-  const std::vector<TrueClass> &classes() const { return Classes_; }
-  const TrueTask &taskOf(const TaskId &Task) const { return Tasks_.at(Task); }
+  const std::vector<SimulatedServer> &servers() const { return Servers_; }
+  const std::vector<SimulatedClass> &classes() const { return Classes_; }
+  const SimulatedTask &getTask(const TaskId &Task) const {
+    return Tasks_.at(Task);
+  }
   /// Slowdown of the service on a server, with more of a class on it.
-  double slowdownOf(const TrueServer &Server, std::size_t AddedClass,
-                    double AddedTasks, double Load) const;
-  static double aloneAt(double Load);
+  double computeSlowdown(const SimulatedServer &Server, std::size_t AddedClass,
+                         double AddedTasks, double Load) const;
+  static double getBaselineP99(double Load);
 
 private:
   struct Report {
@@ -122,26 +125,27 @@
 
   double draw(double From, double To);
   void submitJob(ComparedPolicy &Policy);
-  void moveLoad(int Second);
-  void fail(ComparedPolicy &Policy, int Second);
-  void advanceServer(TrueServer &Server, ComparedPolicy &Policy, int Second);
-  void advanceTask(TrueTask &Task, double Speed, ComparedPolicy &Policy);
+  void updateLoads(int Second);
+  void injectFaults(ComparedPolicy &Policy, int Second);
+  void advanceServer(SimulatedServer &Server, ComparedPolicy &Policy,
+                     int Second);
+  void advanceTask(SimulatedTask &Task, double Speed, ComparedPolicy &Policy);
   void report(int Second);
   void deliver(ComparedPolicy &Policy);
-  void apply(const Decision &Value, ComparedPolicy &Policy, int Second);
-  void stop(TrueTask &Task, EndReason Reason, ComparedPolicy &Policy);
-  void measureRequests(const TrueServer &Server);
-  TrueServer *findServer(const std::optional<BackendServerId> &Id);
+  void apply(const Decision &D, ComparedPolicy &Policy, int Second);
+  void stop(SimulatedTask &Task, EndReason Reason, ComparedPolicy &Policy);
+  void measureRequests(const SimulatedServer &Server);
+  SimulatedServer *findServer(const std::optional<BackendServerId> &Id);
 
   WorkloadSettings Settings_;
   std::mt19937_64 Random_;
   std::mt19937_64 Noise_;
-  std::vector<TrueClass> Classes_;
-  std::vector<TrueServer> Servers_;
-  std::map<TaskId, TrueTask> Tasks_;
+  std::vector<SimulatedClass> Classes_;
+  std::vector<SimulatedServer> Servers_;
+  std::map<TaskId, SimulatedTask> Tasks_;
   std::deque<Report> Reports_;
   std::vector<float> Latencies_;
-  std::vector<float> AloneLatencies_;
+  std::vector<float> BaselineLatencies_;
   WorkloadResult Result_;
   TimePoint Now_{std::chrono::hours(1)};
   int Jobs_ = 0;
@@ -151,4 +155,4 @@
 
 } // namespace tulipweir::decide
 
-#endif // TULIPWEIR_BENCH_DECIDE_PAIREDWORKLOAD_H
+#endif // TULIPWEIR_BENCH_DECIDE_SIMULATEDWORKLOAD_H
--- a/include/tulipweir/decide/Admission.h
+++ b/include/tulipweir/decide/Admission.h
@@ -24,19 +24,19 @@
   TooLate,   ///< Refuse: it would not start before its deadline.
 };
 
-struct AdmissionAnswer {
+struct AdmissionResult {
   AdmissionChoice Choice_ = AdmissionChoice::Start;
   Duration ExpectedWait_{}; ///< Until it would start.
   Duration RetryAfter_{};   ///< Of a refusal: when to come back.
-  bool operator==(const AdmissionAnswer &) const = default;
+  bool operator==(const AdmissionResult &) const = default;
 };
 
 /// What the slots of one service look like to the entry that asks.
-struct SlotView {
+struct SlotStatus {
   std::size_t Free_ = 0;   ///< Free over all granted servers.
   std::size_t Total_ = 0;  ///< Granted over all servers.
   Duration ServiceTime_{}; ///< How long one request is expected to run.
-  bool operator==(const SlotView &) const = default;
+  bool operator==(const SlotStatus &) const = default;
 };
 
 struct AdmissionSettings {
@@ -55,16 +55,16 @@
   Admission(const AdmissionSettings &Settings, TimePoint Now);
 
   /// Says what to do with a request that arrives. Changes nothing: tell what
-  /// was done with noteQueued.
-  AdmissionAnswer ask(TimePoint Now, TimePoint Deadline,
-                      const SlotView &Slots) const;
+  /// was done with recordQueued.
+  AdmissionResult evaluate(TimePoint Now, TimePoint Deadline,
+                           const SlotStatus &Slots) const;
 
   /// The request was put into the queue.
-  void noteQueued(TimePoint Now, const SlotView &Slots);
+  void recordQueued(TimePoint Now, const SlotStatus &Slots);
   /// A waiting request got a slot and left the queue.
-  void noteDrained(TimePoint Now);
+  void recordDequeued(TimePoint Now);
   /// A waiting request was given up (deadline, caller gone).
-  void noteGivenUp();
+  void recordAbandoned();
   void setSettings(const AdmissionSettings &Settings) { Settings_ = Settings; }
 
   std::size_t waiting() const { return Waiting_; }
@@ -73,13 +73,14 @@
   double drainRate(TimePoint Now) const;
 
 private:
-  Duration expectWait(TimePoint Now, const SlotView &Slots) const;
-  Duration clampRetry(Duration Wait) const;
+  Duration estimateWait(TimePoint Now, const SlotStatus &Slots) const;
+  Duration clampRetryAfter(Duration Wait) const;
 
   AdmissionSettings Settings_;
   std::size_t Waiting_ = 0;
-  double Rate_ = 0; ///< Per second, as of RateAt_; decays while some wait.
-  TimePoint RateAt_;
+  double DrainRate_ =
+      0; ///< Per second, as of DrainRateAt_; decays while some wait.
+  TimePoint DrainRateAt_;
 };
 
 } // namespace tulipweir::decide
--- a/include/tulipweir/decide/Planner.h
+++ b/include/tulipweir/decide/Planner.h
@@ -3,7 +3,8 @@
 // The decisions of a data centre's leader. It is told events in the order in
 // which they were committed or measured, and asked for decisions; it changes
 // nothing by itself: a decision counts only once its committed effect is told
-// back (notePlaced, noteEnded). No sockets, clocks, JSON or threads inside.
+// back (recordPlacement, recordEnd). No sockets, clocks, JSON or threads
+// inside.
 //
 //===----------------------------------------------------------------------===//
 
@@ -86,23 +87,23 @@
 
   void setPolicy(const Policy &Settings);
   void upsertServer(const ServerInfo &Server);
-  /// Its attempts must have been ended with noteEnded before or after.
+  /// Its attempts must have been ended with recordEnd before or after.
   void removeServer(const BackendServerId &Server);
   void addWaiting(const TaskInfo &Task, TimePoint Now);
-  /// Forgets a waiting task (cancelled). Running ones end with noteEnded.
+  /// Forgets a waiting task (cancelled). Running ones end with recordEnd.
   void removeWaiting(const TaskId &Task);
   /// A placement was committed. Also used to rebuild after an election.
-  void notePlaced(const TaskInfo &Task, AttemptNumber Attempt,
-                  const BackendServerId &Server, const Resources &Reservation,
-                  TimePoint Now);
-  void noteReservation(const TaskId &Task, AttemptNumber Attempt,
-                       const Resources &Reservation);
-  void noteThrottle(const TaskId &Task, AttemptNumber Attempt,
-                    std::uint32_t Percent, TimePoint Now);
-  void noteEnded(const TaskId &Task, AttemptNumber Attempt, EndReason Reason,
+  void recordPlacement(const TaskInfo &Task, AttemptNumber Attempt,
+                       const BackendServerId &Server,
+                       const Resources &Reservation, TimePoint Now);
+  void updateReservation(const TaskId &Task, AttemptNumber Attempt,
+                         const Resources &Reservation);
+  void updateThrottle(const TaskId &Task, AttemptNumber Attempt,
+                      std::uint32_t Percent, TimePoint Now);
+  void recordEnd(const TaskId &Task, AttemptNumber Attempt, EndReason Reason,
                  TimePoint Now);
-  void noteUsage(const UsageSample &Sample);
-  void noteService(const ServiceSample &Sample);
+  void addUsageSample(const UsageSample &Sample);
+  void addServiceSample(const ServiceSample &Sample);
 
   // Queries.
 
--- a/include/tulipweir/decide/RetryBudget.h
+++ b/include/tulipweir/decide/RetryBudget.h
@@ -16,20 +16,20 @@
 public:
   /// Part is retries per first try, 0 to 1; Reserve is the most that can be
   /// saved up, and what a quiet service starts with.
-  explicit RetryBudget(double Part, double Reserve = 10);
+  explicit RetryBudget(double RetryRatio, double MaxBalance = 10);
 
   /// A first try was sent.
-  void noteRequest();
+  void recordFirstTry();
   /// Spends one retry or hedge if it is affordable.
   bool trySpend();
-  void setPart(double Part) { Part_ = Part; }
+  void setRetryRatio(double RetryRatio) { RetryRatio_ = RetryRatio; }
 
-  double saved() const { return Saved_; }
+  double balance() const { return Balance_; }
 
 private:
-  double Part_;
-  double Reserve_;
-  double Saved_;
+  double RetryRatio_;
+  double MaxBalance_;
+  double Balance_;
 };
 
 } // namespace tulipweir::decide
--- a/include/tulipweir/decide/ServerChooser.h
+++ b/include/tulipweir/decide/ServerChooser.h
@@ -41,18 +41,18 @@
   /// Failures in a row that eject a server, 1 or more.
   std::uint32_t FailuresToEject_ = 5;
   /// A latency over this multiple of all servers' mean ejects, over 1.
-  double LatencyOutlier_ = 5;
+  double LatencyOutlierFactor_ = 5;
   /// Answers needed before latency may eject.
   std::uint32_t MinAnswers_ = 20;
   /// Most servers that may be ejected at a time, 0 to 1 of all granted.
-  double MaxEjectedPart_ = 0.3;
+  double MaxEjectedRatio_ = 0.3;
   /// First ejection's length; doubles up to the longest on each relapse.
   Duration EjectTime_ = std::chrono::seconds(5);
   Duration MaxEjectTime_ = std::chrono::seconds(60);
   /// Part of a new latency in the average, 0 to 1.
-  double LatencyGain_ = 0.1;
+  double LatencySmoothing_ = 0.1;
   /// After this time without an answer a server's latency is half forgotten.
-  Duration ForgetTime_ = std::chrono::seconds(5);
+  Duration LatencyHalfLife_ = std::chrono::seconds(5);
   bool operator==(const ChooserSettings &) const = default;
 };
 
@@ -78,19 +78,19 @@
   /// longer granted is still counted until it ends.
   void setServers(const std::vector<GrantedServer> &Servers, TimePoint Now);
   /// A request goes out to Server_.
-  void noteStarted(const BackendServerId &Server);
+  void recordStart(const BackendServerId &Server);
   /// A request that was noted as started ended.
-  void noteEnded(const BackendServerId &Server, RequestResult Result,
+  void recordEnd(const BackendServerId &Server, RequestResult Result,
                  Duration Latency, TimePoint Now);
   /// A request that was noted as started ended in a way that says nothing of
   /// the server: nothing is learned, only its slot is free again.
-  void noteReleased(const BackendServerId &Server);
+  void releaseSlot(const BackendServerId &Server);
   /// Picks a server with a free slot, other than Except (one that was tried
   /// before); nullopt if there is none. Draws random numbers and ends
   /// ejections whose time is over; takes no slot.
   std::optional<BackendServerId>
   choose(TimePoint Now,
-         const std::optional<BackendServerId> &Except = std::nullopt);
+         const std::optional<BackendServerId> &Excluded = std::nullopt);
 
   // Queries.
 
@@ -105,43 +105,43 @@
 private:
   enum class Health : std::uint8_t { Good, Ejected, Probing };
 
-  struct Entry {
+  struct ServerState {
     BackendServerId Server_;
     std::uint32_t Slots_ = 0;
     std::uint32_t InFlight_ = 0;
     std::uint32_t FailuresInRow_ = 0;
     std::uint32_t Answers_ = 0;
-    double Latency_ = 0; ///< Microseconds; 0 before the first answer.
-    double Success_ = 1; ///< Average part of requests served.
+    double Latency_ = 0;     ///< Microseconds; 0 before the first answer.
+    double SuccessRate_ = 1; ///< Average part of requests served.
     Health Health_ = Health::Good;
     Duration EjectTime_{};
     TimePoint EjectedUntil_;
     TimePoint AnsweredAt_;
-    std::size_t Place_ = NoPlace; ///< In Open_.
-    std::size_t CountedFree_ = 0; ///< Its part of FreeSlots_.
+    std::size_t AvailableIndex_ = NoIndex; ///< In Available_.
+    std::size_t CountedFreeSlots_ = 0;     ///< Its part of FreeSlots_.
   };
 
-  static constexpr std::size_t NoPlace = ~std::size_t{0};
+  static constexpr std::size_t NoIndex = ~std::size_t{0};
 
-  static std::size_t limitOf(const Entry &Value);
-  double costOf(const Entry &Value, TimePoint Now) const;
-  bool isBad(const Entry &Value) const;
-  bool mayEject() const;
-  void learn(Entry &Value, RequestResult Result, Duration Latency,
-             TimePoint Now);
-  void updateHealth(Entry &Value, RequestResult Result, TimePoint Now);
-  void eject(Entry &Value, TimePoint Now);
+  static std::size_t getSlotLimit(const ServerState &State);
+  double computeCost(const ServerState &State, TimePoint Now) const;
+  bool isOutlier(const ServerState &State) const;
+  bool canEject() const;
+  void updateStatistics(ServerState &State, RequestResult Result,
+                        Duration Latency, TimePoint Now);
+  void updateHealth(ServerState &State, RequestResult Result, TimePoint Now);
+  void eject(ServerState &State, TimePoint Now);
   void startProbes(TimePoint Now);
-  void refreshOpen(std::size_t Position);
+  void updateAvailability(std::size_t Position);
 
   ChooserSettings Settings_;
   std::mt19937_64 Random_;
   std::unordered_map<BackendServerId, std::size_t> Positions_;
-  std::vector<Entry> Entries_;
-  std::vector<std::size_t> Open_;    ///< Those with a free slot.
-  std::vector<std::size_t> Ejected_; ///< At most MaxEjectedPart_ of all.
+  std::vector<ServerState> States_;
+  std::vector<std::size_t> Available_; ///< Those with a free slot.
+  std::vector<std::size_t> Ejected_;   ///< At most MaxEjectedRatio_ of all.
   TimePoint NextProbe_ = TimePoint::max();
-  std::size_t Granted_ = 0;
+  std::size_t GrantedCount_ = 0;
   std::size_t TotalSlots_ = 0;
   std::size_t FreeSlots_ = 0;
   double MeanLatency_ = 0;
--- a/include/tulipweir/decide/TokenBucket.h
+++ b/include/tulipweir/decide/TokenBucket.h
@@ -27,12 +27,12 @@
 
   /// How long until Amount tokens will be there; 0 if they are now, and
   /// MaxWait if they never will be.
-  Duration timeUntil(TimePoint Now, double Amount = 1) const;
+  Duration getTimeUntil(TimePoint Now, double Amount = 1) const;
 
   static constexpr Duration MaxWait = std::chrono::hours(1);
 
 private:
-  double countAt(TimePoint Now) const;
+  double countTokens(TimePoint Now) const;
 
   double PerSecond_;
   double Burst_;
--- a/include/tulipweir/entry/ServiceGate.h
+++ b/include/tulipweir/entry/ServiceGate.h
@@ -106,7 +106,7 @@
   };
 
   TakenSlot takeSlot(TimePoint Now, const ExceptServer &Except);
-  decide::SlotView viewSlots() const;
+  decide::SlotStatus viewSlots() const;
   bool canServe(TimePoint Now) const;
   /// One waiter with its slot or its refusal; nullopt: nothing can be done.
   std::optional<Handed> takeNext(TimePoint Now);
--- a/src/control/PlanningDuty.cpp
+++ b/src/control/PlanningDuty.cpp
@@ -198,16 +198,16 @@
   if (!Task)
     return;
   Waiting_.erase(Value.Task_);
-  Planner_.notePlaced(*Task, Value.Attempt_, Value.Server_, Value.Reservation_,
-                      Time_.now());
+  Planner_.recordPlacement(*Task, Value.Attempt_, Value.Server_,
+                           Value.Reservation_, Time_.now());
 }
 
 void PlanningDuty::onReservationChanged(const Change &Value) {
-  Planner_.noteReservation(Value.Task_, Value.Attempt_, Value.Reservation_);
+  Planner_.updateReservation(Value.Task_, Value.Attempt_, Value.Reservation_);
 }
 
 void PlanningDuty::onAttemptEnded(const Change &Value) {
-  Planner_.noteEnded(Value.Task_, Value.Attempt_, toReason(Value.End_),
+  Planner_.recordEnd(Value.Task_, Value.Attempt_, toReason(Value.End_),
                      Time_.now());
 }
 
@@ -218,17 +218,18 @@
 
 void PlanningDuty::noteUsage(const BackendServerId &Server,
                              const wire::AttemptReport &Report, TimePoint Now) {
-  Planner_.noteUsage({Report.Task_, Report.Attempt_, Server, Report.Usage_,
-                      milliseconds(Report.ProgressMs_),
-                      Now - milliseconds(Report.UsageAgeMs_)});
+  Planner_.addUsageSample({Report.Task_, Report.Attempt_, Server, Report.Usage_,
+                           milliseconds(Report.ProgressMs_),
+                           Now - milliseconds(Report.UsageAgeMs_)});
 }
 
 void PlanningDuty::noteService(const BackendServerId &Server,
                                const wire::ServiceReport &Report,
                                TimePoint Now) {
-  Planner_.noteService({Server, Report.Service_, Report.Requests_,
-                        microseconds(Report.P99Micros_), Report.LoadPercent_,
-                        Now - milliseconds(Report.AgeMs_)});
+  Planner_.addServiceSample({Server, Report.Service_, Report.Requests_,
+                             microseconds(Report.P99Micros_),
+                             Report.LoadPercent_,
+                             Now - milliseconds(Report.AgeMs_)});
 }
 
 std::size_t PlanningDuty::run(std::size_t Budget) {
@@ -279,8 +280,8 @@
 void PlanningDuty::throttle(const Decision &Value) {
   assert(Value.Task_ && "a throttle without its task");
   Attempts_.setThrottle(*Value.Task_, Value.Attempt_, Value.ThrottlePercent_);
-  Planner_.noteThrottle(*Value.Task_, Value.Attempt_, Value.ThrottlePercent_,
-                        Time_.now());
+  Planner_.updateThrottle(*Value.Task_, Value.Attempt_, Value.ThrottlePercent_,
+                          Time_.now());
   Counters_.Throttles_.add();
   show(Value);
 }
--- a/src/decide/AttemptDecision.cpp
+++ b/src/decide/AttemptDecision.cpp
@@ -10,15 +10,15 @@
 Decision decide::makeAttemptDecision(DecisionKind Kind, ReasonCode Reason,
                                      const ServerEntry &Server,
                                      const RunningTask &Task) {
-  Decision Value;
-  Value.Kind_ = Kind;
-  Value.Reason_ = Reason;
-  Value.Task_ = Task.Info_.Task_;
-  Value.Attempt_ = Task.Attempt_;
-  Value.Server_ = Server.Info_.Server_;
-  Value.Reservation_ = Task.Reservation_;
-  Value.ThrottlePercent_ = Task.ThrottlePercent_;
-  return Value;
+  Decision Result;
+  Result.Kind_ = Kind;
+  Result.Reason_ = Reason;
+  Result.Task_ = Task.Info_.Task_;
+  Result.Attempt_ = Task.Attempt_;
+  Result.Server_ = Server.Info_.Server_;
+  Result.Reservation_ = Task.Reservation_;
+  Result.ThrottlePercent_ = Task.ThrottlePercent_;
+  return Result;
 }
 
 std::string decide::describeExcess(const ServiceId &Name,
--- a/src/decide/DecisionLog.cpp
+++ b/src/decide/DecisionLog.cpp
@@ -5,13 +5,13 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-void DecisionLog::remember(const Decision &Value) {
-  if (!Value.Task_)
+void DecisionLog::record(const Decision &D) {
+  if (!D.Task_)
     return;
-  const TaskId &Task = *Value.Task_;
+  const TaskId &Task = *D.Task_;
   if (!Decisions_.contains(Task))
     Order_.push_back(Task);
-  Decisions_[Task] = Value;
+  Decisions_[Task] = D;
   if (Order_.size() <= MaxTasks)
     return;
   Decisions_.erase(Order_.front());
@@ -19,6 +19,6 @@
 }
 
 const Decision *DecisionLog::find(const TaskId &Task) const {
-  const auto Found = Decisions_.find(Task);
-  return Found == Decisions_.end() ? nullptr : &Found->second;
+  const auto It = Decisions_.find(Task);
+  return It == Decisions_.end() ? nullptr : &It->second;
 }
--- a/src/decide/DecisionLog.h
+++ b/src/decide/DecisionLog.h
@@ -19,7 +19,7 @@
   static constexpr std::size_t MaxTasks = 4096;
 
   /// Keeps a decision about a task; others are not kept.
-  void remember(const Decision &Value);
+  void record(const Decision &D);
   const Decision *find(const TaskId &Task) const;
 
 private:
--- a/src/decide/Explainer.cpp
+++ b/src/decide/Explainer.cpp
@@ -8,8 +8,8 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-static std::string describeHelp(ReasonCode Reason, const TaskInfo &Task,
-                                const Resources &Needed) {
+static std::string describeRemedy(ReasonCode Reason, const TaskInfo &Task,
+                                  const Resources &Needed) {
   switch (Reason) {
   case ReasonCode::QuotaReached:
     return "tasks of team " + Task.Team_.value() +
@@ -30,75 +30,76 @@
   }
 }
 
-static void explainRunning(const RunningTask &Running,
-                           const PlannerState &State, Explanation &Value) {
-  Value.Running_ = true;
-  Value.Server_ = State.Servers_.at(Running.Server_).Info_.Server_;
-  Value.Declared_ = Running.Info_.Declared_;
-  Value.Reservation_ = Running.Reservation_;
+static void explainRunningTask(const RunningTask &Running,
+                               const PlannerState &State, Explanation &Result) {
+  Result.Running_ = true;
+  Result.Server_ = State.Servers_.at(Running.Server_).Info_.Server_;
+  Result.Declared_ = Running.Info_.Declared_;
+  Result.Reservation_ = Running.Reservation_;
   if (Running.ThrottlePercent_ == 100)
     return;
-  Value.WhatWouldHelp_ =
+  Result.WhatWouldHelp_ =
       "it runs at " + std::to_string(Running.ThrottlePercent_) +
       "%; it gets full speed once the services on the server keep under " +
       describe(100 * State.Policy_.GuardReleasePart_) +
       "% of their tail targets and the prediction allows it";
 }
 
-static void explainQueued(const PlannerState &State, const WaitingTask &Waits,
-                          const Resources &Needed, TimePoint Now,
-                          Explanation &Value) {
-  const auto Parked = State.Queue_.parkedState(Value.Task_);
+static void explainQueuedTask(const PlannerState &State,
+                              const WaitingTask &Waiting,
+                              const Resources &Needed, TimePoint Now,
+                              Explanation &Result) {
+  const auto Parked = State.Queue_.findParkedState(Result.Task_);
   if (!Parked) {
-    Value.WhatWouldHelp_ = "nothing is in its way; it is tried in its turn, "
-                           "after more urgent and longer waiting tasks";
+    Result.WhatWouldHelp_ = "nothing is in its way; it is tried in its turn, "
+                            "after more urgent and longer waiting tasks";
     return;
   }
-  const Duration Left =
+  const Duration Remaining =
       std::max(Duration::zero(), Duration(Parked->RetryAt_ - Now));
-  Value.WhatWouldHelp_ =
+  Result.WhatWouldHelp_ =
       "it waits because " +
-      describeObstacle(State, Waits.Info_, Needed, Parked->Reason_) +
+      describeObstacle(State, Waiting.Info_, Needed, Parked->Reason_) +
       ". What would let it run: " +
-      describeHelp(Parked->Reason_, Waits.Info_, Needed) +
-      ". It is tried again in " + describe(Left) + " or when that changes";
+      describeRemedy(Parked->Reason_, Waiting.Info_, Needed) +
+      ". It is tried again in " + describe(Remaining) + " or when that changes";
 }
 
 std::optional<Explanation> decide::explainTask(const PlannerState &State,
                                                const Placer &Placement,
                                                const TaskId &Task,
                                                TimePoint Now) {
-  Explanation Value;
-  Value.Task_ = Task;
+  Explanation Result;
+  Result.Task_ = Task;
   if (const Decision *Last = State.Decisions_.find(Task))
-    Value.Last_ = *Last;
+    Result.Last_ = *Last;
   if (const RunningTask *Running = State.findRunning(Task)) {
-    explainRunning(*Running, State, Value);
-    return Value;
+    explainRunningTask(*Running, State, Result);
+    return Result;
   }
   if (const Proposal *Proposed = State.findProposal(Task)) {
-    Value.Declared_ = Proposed->Task_.Info_.Declared_;
-    Value.Reservation_ = Proposed->Reservation_;
-    Value.Server_ = State.Servers_.at(Proposed->Server_).Info_.Server_;
-    Value.WhatWouldHelp_ =
+    Result.Declared_ = Proposed->Task_.Info_.Declared_;
+    Result.Reservation_ = Proposed->Reservation_;
+    Result.Server_ = State.Servers_.at(Proposed->Server_).Info_.Server_;
+    Result.WhatWouldHelp_ =
         Proposed->IsClaim_
-            ? "room for it is being cleared on " + Value.Server_->value() +
+            ? "room for it is being cleared on " + Result.Server_->value() +
                   "; it starts when tasks there have stopped"
             : "its placement was decided and is being committed";
-    return Value;
+    return Result;
   }
-  if (const auto RetryAt = State.retryTimeOf(Task)) {
-    const TaskMemory *Known = State.findMemory(Task);
-    Value.WhatWouldHelp_ = "it failed " + std::to_string(Known->Failures_) +
-                           " times and is tried again in " +
-                           describe(Duration(*RetryAt - Now));
-    return Value;
+  if (const auto RetryAt = State.findRetryTime(Task)) {
+    const TaskRecord *Record = State.findRecord(Task);
+    Result.WhatWouldHelp_ = "it failed " + std::to_string(Record->Failures_) +
+                            " times and is tried again in " +
+                            describe(Duration(*RetryAt - Now));
+    return Result;
   }
-  const WaitingTask *Waits = State.Queue_.find(Task);
-  if (!Waits)
+  const WaitingTask *Waiting = State.Queue_.find(Task);
+  if (!Waiting)
     return std::nullopt;
-  Value.Declared_ = Waits->Info_.Declared_;
-  Value.Reservation_ = Placement.reserveFor(Waits->Info_);
-  explainQueued(State, *Waits, Value.Reservation_, Now, Value);
-  return Value;
+  Result.Declared_ = Waiting->Info_.Declared_;
+  Result.Reservation_ = Placement.computeReservation(Waiting->Info_);
+  explainQueuedTask(State, *Waiting, Result.Reservation_, Now, Result);
+  return Result;
 }
--- a/src/decide/Interference.h
+++ b/src/decide/InterferenceModel.h
@@ -1,4 +1,5 @@
-//===- Interference.h - How much batch work slows services -----*- C++ -*-===//
+//===- InterferenceModel.h - How much batch work slows services -----*- C++
+//-*-===//
 //
 // For each service, job class and band of load one weight is learned: by how
 // much a server full of that class would lengthen the service's p99, as a part
@@ -9,8 +10,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_SRC_DECIDE_INTERFERENCE_H
-#define TULIPWEIR_SRC_DECIDE_INTERFERENCE_H
+#ifndef TULIPWEIR_SRC_DECIDE_INTERFERENCEMODEL_H
+#define TULIPWEIR_SRC_DECIDE_INTERFERENCEMODEL_H
 
 #include "decide/PlacementHistory.h"
 #include "tulipweir/decide/Planner.h"
@@ -30,27 +31,27 @@
 LoadBand getLoadBand(std::uint32_t LoadPercent);
 
 /// How strongly a class slows a service.
-struct PairEffect {
+struct ClassEffect {
   double Weight_ = 0;     ///< Slowdown, as a part, of a server full of it.
   double Confidence_ = 0; ///< 0 (a guess) to 1.
 };
 
-class Interference {
+class InterferenceModel {
 public:
   /// Learns from one sample. Loads is what ran when it was taken.
   /// TargetMicros bounds the first guess of the p99 alone; 0 without one.
   void learn(ServiceIndex Service, LoadBand Band, const ServiceSample &Sample,
              const ClassLoads &Loads, double TargetMicros);
 
-  PairEffect effectOf(ServiceIndex Service, ClassIndex Class, LoadBand Band,
-                      TimePoint Now) const;
+  ClassEffect estimateEffect(ServiceIndex Service, ClassIndex Class,
+                             LoadBand Band, TimePoint Now) const;
   /// The pair's largest learned weight over all bands; 0 if none is known.
-  double largestWeight(ServiceIndex Service, ClassIndex Class) const;
+  double getMaxWeight(ServiceIndex Service, ClassIndex Class) const;
   /// Added part of the service's p99 alone: 0.3 means 1.3 times as long.
   double predict(ServiceIndex Service, LoadBand Band, const ClassLoads &Loads,
                  TimePoint Now) const;
   /// The service's p99 alone on a server, in microseconds; 0 if unknown.
-  double aloneMicros(ServiceIndex Service, LoadBand Band) const;
+  double getBaselineMicros(ServiceIndex Service, LoadBand Band) const;
 
 private:
   struct Pair {
@@ -58,21 +59,21 @@
     float Confidence_ = 0;
     TimePoint LearnedAt_;
   };
-  struct Alone {
+  struct Baseline {
     double Micros_ = 0;
     std::uint32_t Samples_ = 0;
   };
 
   const Pair *findPair(ServiceIndex Service, ClassIndex Class,
                        LoadBand Band) const;
-  void learnAlone(Alone &Base, double Micros, double Predicted, bool IsAlone,
-                  double TargetMicros);
-  void dropWeakest();
+  void updateBaseline(Baseline &Reference, double Micros, double Predicted,
+                      bool IsAlone, double TargetMicros);
+  void dropLeastConfident();
 
   std::unordered_map<std::uint64_t, Pair> Pairs_;
-  std::vector<std::array<Alone, LoadBands>> Alone_;
+  std::vector<std::array<Baseline, LoadBands>> Baselines_;
 };
 
 } // namespace tulipweir::decide
 
-#endif // TULIPWEIR_SRC_DECIDE_INTERFERENCE_H
+#endif // TULIPWEIR_SRC_DECIDE_INTERFERENCEMODEL_H
--- a/src/decide/Interner.h
+++ b/src/decide/Interner.h
@@ -20,22 +20,22 @@
 public:
   static constexpr std::uint32_t MaxNames = 4096;
 
-  std::uint32_t intern(const Name &Value) {
-    const auto Found = Positions_.find(Value);
-    if (Found != Positions_.end())
-      return Found->second;
+  std::uint32_t intern(const Name &Id) {
+    const auto It = Positions_.find(Id);
+    if (It != Positions_.end())
+      return It->second;
     if (Names_.size() >= MaxNames)
       return MaxNames - 1;
     const auto Position = static_cast<std::uint32_t>(Names_.size());
-    Names_.push_back(Value);
-    Positions_.emplace(Value, Position);
+    Names_.push_back(Id);
+    Positions_.emplace(Id, Position);
     return Position;
   }
-  std::optional<std::uint32_t> find(const Name &Value) const {
-    const auto Found = Positions_.find(Value);
-    if (Found == Positions_.end())
+  std::optional<std::uint32_t> find(const Name &Id) const {
+    const auto It = Positions_.find(Id);
+    if (It == Positions_.end())
       return std::nullopt;
-    return Found->second;
+    return It->second;
   }
   std::uint32_t size() const {
     return static_cast<std::uint32_t>(Names_.size());
--- a/src/decide/PlacementHistory.h
+++ b/src/decide/PlacementHistory.h
@@ -39,11 +39,11 @@
 
   /// The load of Class changed by Delta at At. Changes that are told out of
   /// order count from the latest time told so far.
-  void change(ClassIndex Class, double Delta, TimePoint At);
+  void recordChange(ClassIndex Class, double Delta, TimePoint At);
 
   /// What ran at When; nullopt if the kept changes do not reach back so far.
-  std::optional<ClassLoads> loadsAt(TimePoint When) const;
-  const ClassLoads &now() const { return Now_; }
+  std::optional<ClassLoads> getLoadsAt(TimePoint When) const;
+  const ClassLoads &currentLoads() const { return CurrentLoads_; }
 
 private:
   struct Change {
@@ -52,9 +52,9 @@
     double Delta_;
   };
 
-  ClassLoads Now_;
+  ClassLoads CurrentLoads_;
   std::deque<Change> Changes_;
-  std::optional<TimePoint> ForgottenUntil_;
+  std::optional<TimePoint> DroppedUntil_;
 };
 
 } // namespace tulipweir::decide
--- a/src/decide/PlacementRound.cpp
+++ b/src/decide/PlacementRound.cpp
@@ -12,18 +12,18 @@
 
 /// How long the effect of a placement, and of the evictions that make room for
 /// one, is awaited before it is decided again.
-static constexpr Duration PlaceTime = std::chrono::seconds(5);
-static constexpr Duration EvictTime = std::chrono::seconds(10);
-static constexpr Duration ClaimTime = std::chrono::seconds(20);
+static constexpr Duration PlacementTimeout = std::chrono::seconds(5);
+static constexpr Duration EvictionTimeout = std::chrono::seconds(10);
+static constexpr Duration PreemptionClaimTimeout = std::chrono::seconds(20);
 /// How long a server stays set aside for a task without evictions.
-static constexpr Duration SetAsideTime = std::chrono::minutes(10);
+static constexpr Duration ClaimTimeout = std::chrono::minutes(10);
 /// A task that found no room for this many ageing steps gets one set aside.
-static constexpr int StepsToSetAside = 2;
+static constexpr int AgeingStepsBeforeClaim = 2;
 /// Servers set aside at a time: these, and one more per so many servers.
-static constexpr std::size_t MinSetAside = 2;
-static constexpr std::size_t ServersPerSetAside = 32;
+static constexpr std::size_t MinClaims = 2;
+static constexpr std::size_t ServersPerClaim = 32;
 /// Servers compared when one is set aside.
-static constexpr std::size_t SetAsideDraws = 8;
+static constexpr std::size_t ClaimSamples = 8;
 
 PlacementRound::PlacementRound(PlannerState &State, std::uint64_t Seed)
     : State_(State), Placer_(State, Seed), Preemptor_(State),
@@ -35,33 +35,33 @@
 
 void PlacementRound::placeUrgent(TimePoint Now, std::size_t Budget,
                                  std::vector<Decision> &Decisions) {
-  placeWhile(true, Now, Budget, Decisions);
+  placeWaiting(true, Now, Budget, Decisions);
 }
 
 void PlacementRound::placeAll(TimePoint Now, std::size_t Budget,
                               std::vector<Decision> &Decisions) {
-  placeWhile(false, Now, Budget, Decisions);
+  placeWaiting(false, Now, Budget, Decisions);
 }
 
-void PlacementRound::placeWhile(bool UrgentOnly, TimePoint Now,
-                                std::size_t Budget,
-                                std::vector<Decision> &Decisions) {
+void PlacementRound::placeWaiting(bool UrgentOnly, TimePoint Now,
+                                  std::size_t Budget,
+                                  std::vector<Decision> &Decisions) {
   const std::size_t End = Decisions.size() + Budget;
   // A group that is parked again for the same reason makes no decision.
-  std::size_t Looks = Budget * 2;
-  while (Decisions.size() < End && Looks-- > 0) {
-    const WaitingTask *Waits = State_.Queue_.first();
-    if (!Waits || (UrgentOnly && !isUrgent(Waits->Info_)))
+  std::size_t RemainingTries = Budget * 2;
+  while (Decisions.size() < End && RemainingTries-- > 0) {
+    const WaitingTask *Waiting = State_.Queue_.first();
+    if (!Waiting || (UrgentOnly && !isUrgent(Waiting->Info_)))
       return;
-    if (!tryTask(*Waits, Now, End - Decisions.size(), Decisions))
+    if (!tryPlace(*Waiting, Now, End - Decisions.size(), Decisions))
       return;
   }
 }
 
-bool PlacementRound::tryTask(const WaitingTask &Waits, TimePoint Now,
-                             std::size_t Budget,
-                             std::vector<Decision> &Decisions) {
-  const TaskInfo Task = Waits.Info_;
+bool PlacementRound::tryPlace(const WaitingTask &Waiting, TimePoint Now,
+                              std::size_t Budget,
+                              std::vector<Decision> &Decisions) {
+  const TaskInfo Task = Waiting.Info_;
   PlacementChoice Choice = Placer_.choose(Task, Now);
   if (Choice.Server_) {
     place(Task, std::move(Choice), Now, Decisions);
@@ -74,75 +74,76 @@
       return false;
     if (Decisions.size() > Before)
       return true;
-    if (trySetAside(Waits, Choice.Reservation_, Now, Decisions))
+    if (tryClaimServer(Waiting, Choice.Reservation_, Now, Decisions))
       return true;
   }
-  hold(Task, Choice, Now, Decisions);
+  parkTask(Task, Choice, Now, Decisions);
   return true;
 }
 
 static Decision makeTaskDecision(DecisionKind Kind, ReasonCode Reason,
                                  const TaskInfo &Task,
                                  const Resources &Reservation) {
-  Decision Value;
-  Value.Kind_ = Kind;
-  Value.Reason_ = Reason;
-  Value.Task_ = Task.Task_;
-  Value.Attempt_ = Task.NextAttempt_;
-  Value.Reservation_ = Reservation;
-  return Value;
+  Decision Result;
+  Result.Kind_ = Kind;
+  Result.Reason_ = Reason;
+  Result.Task_ = Task.Task_;
+  Result.Attempt_ = Task.NextAttempt_;
+  Result.Reservation_ = Reservation;
+  return Result;
 }
 
 void PlacementRound::place(const TaskInfo &Task, PlacementChoice Choice,
                            TimePoint Now, std::vector<Decision> &Decisions) {
-  auto Value = makeTaskDecision(DecisionKind::Place, ReasonCode::BestScore,
-                                Task, Choice.Reservation_);
+  auto Result = makeTaskDecision(DecisionKind::Place, ReasonCode::BestScore,
+                                 Task, Choice.Reservation_);
   const ServerEntry &Server = State_.Servers_.at(*Choice.Server_);
-  Value.Server_ = Server.Info_.Server_;
-  Value.Candidates_ = std::move(Choice.Candidates_);
-  const Candidate &Best = Value.Candidates_.front();
-  Value.Text_ = "task " + Task.Task_.toString() + " starts on " +
-                Server.Info_.Server_.value() + " with " +
-                describe(Choice.Reservation_) + " reserved (declared " +
-                describe(Task.Declared_) + "): score " + describe(Best.Score_) +
-                " is the best of " + std::to_string(Value.Candidates_.size()) +
-                " shown (" + Best.Note_ + ")";
+  Result.Server_ = Server.Info_.Server_;
+  Result.Candidates_ = std::move(Choice.Candidates_);
+  const Candidate &Best = Result.Candidates_.front();
+  Result.Text_ =
+      "task " + Task.Task_.toString() + " starts on " +
+      Server.Info_.Server_.value() + " with " + describe(Choice.Reservation_) +
+      " reserved (declared " + describe(Task.Declared_) + "): score " +
+      describe(Best.Score_) + " is the best of " +
+      std::to_string(Result.Candidates_.size()) + " shown (" + Best.Note_ + ")";
   State_.propose(Task.Task_, *Choice.Server_, Choice.Reservation_,
-                 Now + PlaceTime, false);
-  Decisions.push_back(std::move(Value));
+                 Now + PlacementTimeout, false);
+  Decisions.push_back(std::move(Result));
 }
 
 bool PlacementRound::tryPreempt(const TaskInfo &Task, const Resources &Needed,
                                 TimePoint Now, std::size_t Budget,
                                 std::vector<Decision> &Decisions) {
-  const auto Found = Preemptor_.find(Needed, Task.Priority_, Now);
-  if (!Found)
+  const auto Plan = Preemptor_.findCheapest(Needed, Task.Priority_, Now);
+  if (!Plan)
     return true;
-  if (Found->Victims_.size() > Budget)
+  if (Plan->Victims_.size() > Budget)
     return !Decisions.empty() ? false : true;
-  const ServerEntry &Server = State_.Servers_.at(Found->Server_);
-  for (RunningTask *Victim : Found->Victims_) {
-    auto Value = makeTaskDecision(DecisionKind::Evict, ReasonCode::UrgentWork,
-                                  Victim->Info_, Victim->Reservation_);
-    Value.Attempt_ = Victim->Attempt_;
-    Value.Server_ = Server.Info_.Server_;
-    Value.ThrottlePercent_ = Victim->ThrottlePercent_;
-    Value.Text_ = "task " + Victim->Info_.Task_.toString() + " (priority " +
-                  std::to_string(Victim->Info_.Priority_) +
-                  ") is evicted from " + Server.Info_.Server_.value() +
-                  " to make room for urgent task " + Task.Task_.toString() +
-                  " (priority " + std::to_string(Task.Priority_) +
-                  "); this loses " + describe(estimateWorkLost(*Victim, Now)) +
-                  " of work";
-    Victim->PendingUntil_ = Now + EvictTime;
-    Decisions.push_back(std::move(Value));
+  const ServerEntry &Server = State_.Servers_.at(Plan->Server_);
+  for (RunningTask *Victim : Plan->Victims_) {
+    auto Result = makeTaskDecision(DecisionKind::Evict, ReasonCode::UrgentWork,
+                                   Victim->Info_, Victim->Reservation_);
+    Result.Attempt_ = Victim->Attempt_;
+    Result.Server_ = Server.Info_.Server_;
+    Result.ThrottlePercent_ = Victim->ThrottlePercent_;
+    Result.Text_ = "task " + Victim->Info_.Task_.toString() + " (priority " +
+                   std::to_string(Victim->Info_.Priority_) +
+                   ") is evicted from " + Server.Info_.Server_.value() +
+                   " to make room for urgent task " + Task.Task_.toString() +
+                   " (priority " + std::to_string(Task.Priority_) +
+                   "); this loses " + describe(estimateWorkLost(*Victim, Now)) +
+                   " of work";
+    Victim->PendingUntil_ = Now + EvictionTimeout;
+    Decisions.push_back(std::move(Result));
   }
-  State_.propose(Task.Task_, Found->Server_, Needed, Now + ClaimTime, true);
+  State_.propose(Task.Task_, Plan->Server_, Needed,
+                 Now + PreemptionClaimTimeout, true);
   return true;
 }
 
 /// The smallest part of Needed, over the dimensions, that Room has.
-static double fittingPart(const Resources &Needed, const Resources &Room) {
+static double computeFitRatio(const Resources &Needed, const Resources &Room) {
   const auto PartOf = [](std::int64_t Wanted, std::int64_t Free) {
     if (Wanted <= 0)
       return 1.0;
@@ -153,23 +154,24 @@
                    PartOf(Needed.Accelerators_, Room.Accelerators_)});
 }
 
-bool PlacementRound::trySetAside(const WaitingTask &Waits,
-                                 const Resources &Needed, TimePoint Now,
-                                 std::vector<Decision> &Decisions) {
-  const Duration Patience = State_.Policy_.AgeingStep_ * StepsToSetAside;
-  const std::size_t Most =
-      MinSetAside + State_.Servers_.size() / ServersPerSetAside;
-  if (Now - Waits.Since_ < Patience || State_.claims() >= Most)
+bool PlacementRound::tryClaimServer(const WaitingTask &Waiting,
+                                    const Resources &Needed, TimePoint Now,
+                                    std::vector<Decision> &Decisions) {
+  const Duration MinWait = State_.Policy_.AgeingStep_ * AgeingStepsBeforeClaim;
+  const std::size_t Limit =
+      MinClaims + State_.Servers_.size() / ServersPerClaim;
+  if (Now - Waiting.Since_ < MinWait || State_.countClaims() >= Limit)
     return false;
   std::optional<ServerIndex> Best;
   double BestPart = -std::numeric_limits<double>::infinity();
-  for (std::size_t I = 0; I < SetAsideDraws; ++I) {
+  for (std::size_t I = 0; I < ClaimSamples; ++I) {
     const auto From =
         static_cast<ServerIndex>(Random_() % State_.Servers_.size());
     const auto Server = State_.Servers_.limits().findFrom(From, Needed);
     if (!Server || State_.Servers_.at(*Server).ProbeOnly_)
       continue;
-    const double Part = fittingPart(Needed, State_.Servers_.at(*Server).room());
+    const double Part =
+        computeFitRatio(Needed, State_.Servers_.at(*Server).room());
     if (Part <= BestPart)
       continue;
     Best = Server;
@@ -177,16 +179,16 @@
   }
   if (!Best)
     return false;
-  const TaskInfo Task = Waits.Info_;
-  auto Value =
+  const TaskInfo Task = Waiting.Info_;
+  auto Result =
       makeTaskDecision(DecisionKind::Hold, ReasonCode::NoRoom, Task, Needed);
-  Value.Server_ = State_.Servers_.at(*Best).Info_.Server_;
-  Value.Text_ = "task " + Task.Task_.toString() + " has waited " +
-                describe(Duration(Now - Waits.Since_)) + " for " +
-                describe(Needed) + "; " + Value.Server_->value() +
-                " is set aside for it and takes nothing else until it fits";
-  State_.propose(Task.Task_, *Best, Needed, Now + SetAsideTime, true);
-  Decisions.push_back(std::move(Value));
+  Result.Server_ = State_.Servers_.at(*Best).Info_.Server_;
+  Result.Text_ = "task " + Task.Task_.toString() + " has waited " +
+                 describe(Duration(Now - Waiting.Since_)) + " for " +
+                 describe(Needed) + "; " + Result.Server_->value() +
+                 " is set aside for it and takes nothing else until it fits";
+  State_.propose(Task.Task_, *Best, Needed, Now + ClaimTimeout, true);
+  Decisions.push_back(std::move(Result));
   return true;
 }
 
@@ -196,14 +198,14 @@
                                      ReasonCode Reason) {
   if (Reason == ReasonCode::QuotaReached)
     return "team " + Task.Team_.value() + " holds " +
-           describe(State.heldBy(Task.Team_)) + " of its quota of " +
-           describe(State.quotaOf(Task.Team_).value_or(Resources())) +
+           describe(State.getTeamUsage(Task.Team_)) + " of its quota of " +
+           describe(State.findQuota(Task.Team_).value_or(Resources())) +
            ", and the task needs " + describe(Needed);
   if (Reason == ReasonCode::NeverFits)
     return "no server known could hold it even when empty; the most that any "
            "gives is " +
-           describe(State.Servers_.allLimits().largest()) + ", lacking " +
-           describeShortage(Needed, State.Servers_.allLimits().largest());
+           describe(State.Servers_.allLimits().maximum()) + ", lacking " +
+           describeShortage(Needed, State.Servers_.allLimits().maximum());
   if (Reason == ReasonCode::AllQuarantined)
     return "every server that could hold it is quarantined";
   if (Reason == ReasonCode::TailAtRisk)
@@ -213,30 +215,31 @@
     return "it failed or was evicted on the servers with room, and avoids "
            "them for a while";
   return "no server has " + describe(Needed) + " free; short of " +
-         describeShortage(Needed, State.Servers_.room().largest());
+         describeShortage(Needed, State.Servers_.room().maximum());
 }
 
-void PlacementRound::hold(const TaskInfo &Task, const PlacementChoice &Choice,
-                          TimePoint Now, std::vector<Decision> &Decisions) {
+void PlacementRound::parkTask(const TaskInfo &Task,
+                              const PlacementChoice &Choice, TimePoint Now,
+                              std::vector<Decision> &Decisions) {
   if (!State_.Queue_.park(Task.Task_, Choice.Reason_, Now))
     return;
-  auto Value = makeTaskDecision(DecisionKind::Hold, Choice.Reason_, Task,
-                                Choice.Reservation_);
-  Value.Candidates_ = Choice.Candidates_;
-  Value.Text_ =
+  auto Result = makeTaskDecision(DecisionKind::Hold, Choice.Reason_, Task,
+                                 Choice.Reservation_);
+  Result.Candidates_ = Choice.Candidates_;
+  Result.Text_ =
       "task " + Task.Task_.toString() + " waits: " +
       describeObstacle(State_, Task, Choice.Reservation_, Choice.Reason_);
-  Decisions.push_back(std::move(Value));
+  Decisions.push_back(std::move(Result));
 }
 
-void PlacementRound::settleClaims(TimePoint Now, std::size_t Budget,
-                                  std::vector<Decision> &Decisions) {
+void PlacementRound::placeClaimedTasks(TimePoint Now, std::size_t Budget,
+                                       std::vector<Decision> &Decisions) {
   const std::size_t End = Decisions.size() + Budget;
   while (!State_.ClaimsToCheck_.empty() && Decisions.size() < End) {
     const ServerIndex Index = *State_.ClaimsToCheck_.begin();
     State_.ClaimsToCheck_.erase(State_.ClaimsToCheck_.begin());
     const ServerEntry &Server = State_.Servers_.at(Index);
-    if (!Server.takesWork())
+    if (!Server.acceptsTasks())
       continue;
     // The claim itself is among what is held, so the room it needs is free
     // once nothing is missing any more.
@@ -246,29 +249,29 @@
       const Resources Room = Server.room() + Claim.Reservation_;
       if (!Claim.Reservation_.fitsIn(Room) || Decisions.size() >= End)
         continue;
-      State_.settleClaim(Id, Now + PlaceTime);
-      auto Value = makeTaskDecision(DecisionKind::Place, ReasonCode::BestScore,
-                                    Claim.Task_.Info_, Claim.Reservation_);
-      Value.Server_ = Server.Info_.Server_;
-      Value.Candidates_ = {
+      State_.convertClaim(Id, Now + PlacementTimeout);
+      auto Result = makeTaskDecision(DecisionKind::Place, ReasonCode::BestScore,
+                                     Claim.Task_.Info_, Claim.Reservation_);
+      Result.Server_ = Server.Info_.Server_;
+      Result.Candidates_ = {
           Candidate{Server.Info_.Server_, true, 1, "was cleared for it"}};
-      Value.Text_ = "task " + Id.toString() + " starts on " +
-                    Server.Info_.Server_.value() + " with " +
-                    describe(Claim.Reservation_) +
-                    " reserved, which was cleared for it";
-      Decisions.push_back(std::move(Value));
+      Result.Text_ = "task " + Id.toString() + " starts on " +
+                     Server.Info_.Server_.value() + " with " +
+                     describe(Claim.Reservation_) +
+                     " reserved, which was cleared for it";
+      Decisions.push_back(std::move(Result));
     }
   }
 }
 
-void PlacementRound::emptyLeaving(TimePoint Now, std::size_t Budget,
-                                  std::vector<Decision> &Decisions) {
+void PlacementRound::evictFromDraining(TimePoint Now, std::size_t Budget,
+                                       std::vector<Decision> &Decisions) {
   const std::size_t End = Decisions.size() + Budget;
-  auto Next = State_.Leaving_.begin();
-  while (Next != State_.Leaving_.end() && Decisions.size() < End) {
+  auto Next = State_.DrainingServers_.begin();
+  while (Next != State_.DrainingServers_.end() && Decisions.size() < End) {
     const ServerEntry &Server = State_.Servers_.at(*Next);
     if (!Server.Info_.Draining_ || Server.Tasks_.empty()) {
-      Next = State_.Leaving_.erase(Next);
+      Next = State_.DrainingServers_.erase(Next);
       continue;
     }
     ++Next;
@@ -277,16 +280,16 @@
         return;
       if (Now < Task->PendingUntil_)
         continue;
-      auto Value =
+      auto Result =
           makeTaskDecision(DecisionKind::Evict, ReasonCode::ServerLeaving,
                            Task->Info_, Task->Reservation_);
-      Value.Attempt_ = Task->Attempt_;
-      Value.Server_ = Server.Info_.Server_;
-      Value.Text_ = "task " + Task->Info_.Task_.toString() +
-                    " is moved away from " + Server.Info_.Server_.value() +
-                    ", which is leaving";
-      Task->PendingUntil_ = Now + EvictTime;
-      Decisions.push_back(std::move(Value));
+      Result.Attempt_ = Task->Attempt_;
+      Result.Server_ = Server.Info_.Server_;
+      Result.Text_ = "task " + Task->Info_.Task_.toString() +
+                     " is moved away from " + Server.Info_.Server_.value() +
+                     ", which is leaving";
+      Task->PendingUntil_ = Now + EvictionTimeout;
+      Decisions.push_back(std::move(Result));
     }
   }
 }
--- a/src/decide/PlacementRound.h
+++ b/src/decide/PlacementRound.h
@@ -25,27 +25,27 @@
   void placeAll(TimePoint Now, std::size_t Budget,
                 std::vector<Decision> &Decisions);
   /// Appends placements of tasks whose claimed room came free.
-  void settleClaims(TimePoint Now, std::size_t Budget,
-                    std::vector<Decision> &Decisions);
+  void placeClaimedTasks(TimePoint Now, std::size_t Budget,
+                         std::vector<Decision> &Decisions);
   /// Appends evictions from servers that leave.
-  void emptyLeaving(TimePoint Now, std::size_t Budget,
-                    std::vector<Decision> &Decisions);
+  void evictFromDraining(TimePoint Now, std::size_t Budget,
+                         std::vector<Decision> &Decisions);
 
 private:
   bool isUrgent(const TaskInfo &Task) const;
-  void placeWhile(bool UrgentOnly, TimePoint Now, std::size_t Budget,
-                  std::vector<Decision> &Decisions);
+  void placeWaiting(bool UrgentOnly, TimePoint Now, std::size_t Budget,
+                    std::vector<Decision> &Decisions);
   /// Returns false when the budget is too small to go on.
-  bool tryTask(const WaitingTask &Waits, TimePoint Now, std::size_t Budget,
-               std::vector<Decision> &Decisions);
+  bool tryPlace(const WaitingTask &Waiting, TimePoint Now, std::size_t Budget,
+                std::vector<Decision> &Decisions);
   void place(const TaskInfo &Task, PlacementChoice Choice, TimePoint Now,
              std::vector<Decision> &Decisions);
   bool tryPreempt(const TaskInfo &Task, const Resources &Needed, TimePoint Now,
                   std::size_t Budget, std::vector<Decision> &Decisions);
-  bool trySetAside(const WaitingTask &Waits, const Resources &Needed,
-                   TimePoint Now, std::vector<Decision> &Decisions);
-  void hold(const TaskInfo &Task, const PlacementChoice &Choice, TimePoint Now,
-            std::vector<Decision> &Decisions);
+  bool tryClaimServer(const WaitingTask &Waiting, const Resources &Needed,
+                      TimePoint Now, std::vector<Decision> &Decisions);
+  void parkTask(const TaskInfo &Task, const PlacementChoice &Choice,
+                TimePoint Now, std::vector<Decision> &Decisions);
 
   PlannerState &State_;
   Placer Placer_;
--- a/src/decide/Placer.h
+++ b/src/decide/Placer.h
@@ -30,47 +30,48 @@
 
   PlacementChoice choose(const TaskInfo &Task, TimePoint Now);
   /// What would be set aside for the task now.
-  Resources reserveFor(const TaskInfo &Task) const;
+  Resources computeReservation(const TaskInfo &Task) const;
   /// Why nothing can take an amount, by what the indexes say.
-  ReasonCode whyNoRoom(const Resources &Needed) const;
+  ReasonCode findRejectionReason(const Resources &Needed) const;
 
 private:
   /// One task against one server.
-  struct Match {
+  struct PlacementContext {
     const TaskInfo &Task_;
     const Resources &Needed_;
     const ServerEntry &Server_;
     ClassLoad Load_;
-    Pressure Pressure_;
+    TailPressure Pressure_;
     TimePoint Now_;
   };
   struct Filter {
     const char *Name_;
     ReasonCode Reason_;
-    bool (Placer::*Forbids_)(const Match &) const;
+    bool (Placer::*Rejects_)(const PlacementContext &) const;
   };
-  struct ScorePart {
+  struct ScoreTerm {
     const char *Name_;
     double Policy::*Weight_;
-    double (Placer::*Rate_)(const Match &) const; ///< 0 to 1.
+    double (Placer::*Compute_)(const PlacementContext &) const; ///< 0 to 1.
   };
   static const Filter Filters[];
-  static const ScorePart ScoreParts[];
+  static const ScoreTerm ScoreTerms[];
 
-  bool isAvoided(const Match &Value) const;
-  bool isUnproven(const Match &Value) const;
-  bool isTailOver(const Match &Value) const;
-  bool isTailAtRisk(const Match &Value) const;
-  double rateTail(const Match &Value) const;
-  double ratePacking(const Match &Value) const;
-  double rateSafety(const Match &Value) const;
-  double rateSpread(const Match &Value) const;
+  bool isAvoided(const PlacementContext &Context) const;
+  bool hasTooManyUnmeasured(const PlacementContext &Context) const;
+  bool isTailOver(const PlacementContext &Context) const;
+  bool isTailAtRisk(const PlacementContext &Context) const;
+  double scoreTail(const PlacementContext &Context) const;
+  double scorePacking(const PlacementContext &Context) const;
+  double scoreSafety(const PlacementContext &Context) const;
+  double scoreSpread(const PlacementContext &Context) const;
 
-  std::vector<ServerIndex> drawCandidates(const Resources &Needed);
-  Candidate judge(const Match &Value, ReasonCode &Reason) const;
+  std::vector<ServerIndex> sampleServers(const Resources &Needed);
+  Candidate evaluateCandidate(const PlacementContext &Context,
+                              ReasonCode &Reason) const;
 
   const PlannerState &State_;
-  TailModel Tail_;
+  TailModel TailModel_;
   std::mt19937_64 Random_;
 };
 
--- a/src/decide/Planner.cpp
+++ b/src/decide/Planner.cpp
@@ -15,49 +15,49 @@
 using namespace tulipweir::decide;
 
 /// Timers that one call looks at, beside a few per decision.
-static constexpr std::size_t MinTimers = 64;
+static constexpr std::size_t MinExpiriesPerCall = 64;
 
 class Planner::Impl {
 public:
   Impl(const Policy &Settings, std::uint64_t Seed)
-      : State_(Settings), Explaining_(State_, Seed), Round_(State_, Seed),
-        Tails_(State_), Usages_(State_) {}
+      : State_(Settings), ReservationPlacer_(State_, Seed),
+        Round_(State_, Seed), TailGuard_(State_), UsageGuard_(State_) {}
 
   /// Applies changes of servers' health and reports those worth a decision.
-  void applyHealth(std::vector<Decision> &Decisions);
+  void applyHealthChanges(std::vector<Decision> &Decisions);
   std::vector<Decision> decide(TimePoint Now, std::size_t Budget);
 
   PlannerState State_;
-  Placer Explaining_; ///< Only asked for sizes; draws nothing.
+  Placer ReservationPlacer_; ///< Only asked for sizes; draws nothing.
   PlacementRound Round_;
-  TailGuard Tails_;
-  UsageGuard Usages_;
+  TailGuard TailGuard_;
+  UsageGuard UsageGuard_;
   std::vector<Decision> HealthDecisions_;
 };
 
 static Decision makeHealthDecision(const HealthChange &Change) {
-  Decision Value;
-  Value.Server_ = Change.Server_;
+  Decision Result;
+  Result.Server_ = Change.Server_;
   if (Change.To_ == ServerHealth::Quarantined) {
-    Value.Kind_ = DecisionKind::Quarantine;
-    Value.Reason_ = ReasonCode::FailsEveryTask;
-    Value.Text_ = Change.Server_.value() + " is quarantined for " +
-                  describe(Change.For_) + ": " +
-                  std::to_string(Change.Jobs_.size()) +
-                  " jobs that do well elsewhere failed there (";
+    Result.Kind_ = DecisionKind::Quarantine;
+    Result.Reason_ = ReasonCode::FailsEveryTask;
+    Result.Text_ = Change.Server_.value() + " is quarantined for " +
+                   describe(Change.Length_) + ": " +
+                   std::to_string(Change.Jobs_.size()) +
+                   " jobs that do well elsewhere failed there (";
     for (const JobId &Job : Change.Jobs_)
-      Value.Text_ += (&Job == &Change.Jobs_.front() ? "" : ", ") + Job.value();
-    Value.Text_ += ") and nothing did well since";
-    return Value;
+      Result.Text_ += (&Job == &Change.Jobs_.front() ? "" : ", ") + Job.value();
+    Result.Text_ += ") and nothing did well since";
+    return Result;
   }
-  Value.Kind_ = DecisionKind::Readmit;
-  Value.Reason_ = ReasonCode::ProbationPassed;
-  Value.Text_ = Change.Server_.value() +
-                " takes tasks as before: a task did well there on probation";
-  return Value;
+  Result.Kind_ = DecisionKind::Readmit;
+  Result.Reason_ = ReasonCode::ProbationPassed;
+  Result.Text_ = Change.Server_.value() +
+                 " takes tasks as before: a task did well there on probation";
+  return Result;
 }
 
-void Planner::Impl::applyHealth(std::vector<Decision> &Decisions) {
+void Planner::Impl::applyHealthChanges(std::vector<Decision> &Decisions) {
   for (const HealthChange &Change : State_.Health_.takeChanges()) {
     if (const auto Server = State_.Servers_.find(Change.Server_))
       State_.Servers_.setQuarantine(*Server,
@@ -79,9 +79,9 @@
   if (Budget == 0)
     return Decisions;
   State_.Health_.advance(Now);
-  State_.expire(Now, MinTimers + 2 * Budget);
-  State_.Queue_.wakeDue(Now, MinTimers + Budget);
-  applyHealth(Decisions);
+  State_.expire(Now, MinExpiriesPerCall + 2 * Budget);
+  State_.Queue_.wakeDue(Now, MinExpiriesPerCall + Budget);
+  applyHealthChanges(Decisions);
   if (Decisions.size() > Budget) {
     HealthDecisions_.assign(Decisions.begin() +
                                 static_cast<std::ptrdiff_t>(Budget),
@@ -90,17 +90,17 @@
   }
   // The guards may take half, so that waiting work always gets on.
   const std::size_t Half = std::max<std::size_t>(1, Budget / 2);
-  const auto Left = [&](std::size_t Most) {
-    return std::min(Most, Budget - Decisions.size());
+  const auto LimitBudget = [&](std::size_t Limit) {
+    return std::min(Limit, Budget - Decisions.size());
   };
-  Tails_.act(Now, Left(Half), Decisions);
-  Round_.settleClaims(Now, Left(Budget), Decisions);
-  Round_.placeUrgent(Now, Left(Budget), Decisions);
-  Usages_.act(Now, Left(Half), Decisions);
-  Round_.emptyLeaving(Now, Left(Half), Decisions);
-  Round_.placeAll(Now, Left(Budget), Decisions);
-  for (const Decision &Value : Decisions)
-    State_.Decisions_.remember(Value);
+  TailGuard_.appendDecisions(Now, LimitBudget(Half), Decisions);
+  Round_.placeClaimedTasks(Now, LimitBudget(Budget), Decisions);
+  Round_.placeUrgent(Now, LimitBudget(Budget), Decisions);
+  UsageGuard_.appendDecisions(Now, LimitBudget(Half), Decisions);
+  Round_.evictFromDraining(Now, LimitBudget(Half), Decisions);
+  Round_.placeAll(Now, LimitBudget(Budget), Decisions);
+  for (const Decision &D : Decisions)
+    State_.Decisions_.record(D);
   return Decisions;
 }
 
@@ -128,33 +128,33 @@
   Impl_->State_.removeWaiting(Task);
 }
 
-void Planner::notePlaced(const TaskInfo &Task, AttemptNumber Attempt,
-                         const BackendServerId &Server,
-                         const Resources &Reservation, TimePoint Now) {
-  Impl_->State_.notePlaced(Task, Attempt, Server, Reservation, Now);
+void Planner::recordPlacement(const TaskInfo &Task, AttemptNumber Attempt,
+                              const BackendServerId &Server,
+                              const Resources &Reservation, TimePoint Now) {
+  Impl_->State_.recordPlacement(Task, Attempt, Server, Reservation, Now);
 }
 
-void Planner::noteReservation(const TaskId &Task, AttemptNumber Attempt,
-                              const Resources &Reservation) {
-  Impl_->State_.noteReservation(Task, Attempt, Reservation);
+void Planner::updateReservation(const TaskId &Task, AttemptNumber Attempt,
+                                const Resources &Reservation) {
+  Impl_->State_.updateReservation(Task, Attempt, Reservation);
 }
 
-void Planner::noteThrottle(const TaskId &Task, AttemptNumber Attempt,
-                           std::uint32_t Percent, TimePoint Now) {
-  Impl_->State_.noteThrottle(Task, Attempt, Percent, Now);
+void Planner::updateThrottle(const TaskId &Task, AttemptNumber Attempt,
+                             std::uint32_t Percent, TimePoint Now) {
+  Impl_->State_.updateThrottle(Task, Attempt, Percent, Now);
 }
 
-void Planner::noteEnded(const TaskId &Task, AttemptNumber Attempt,
+void Planner::recordEnd(const TaskId &Task, AttemptNumber Attempt,
                         EndReason Reason, TimePoint Now) {
-  Impl_->State_.noteEnded(Task, Attempt, Reason, Now);
+  Impl_->State_.recordEnd(Task, Attempt, Reason, Now);
 }
 
-void Planner::noteUsage(const UsageSample &Sample) {
-  Impl_->Usages_.noteUsage(Sample);
+void Planner::addUsageSample(const UsageSample &Sample) {
+  Impl_->UsageGuard_.addUsageSample(Sample);
 }
 
-void Planner::noteService(const ServiceSample &Sample) {
-  Impl_->Tails_.noteService(Sample);
+void Planner::addServiceSample(const ServiceSample &Sample) {
+  Impl_->TailGuard_.addServiceSample(Sample);
 }
 
 std::vector<Decision> Planner::decide(TimePoint Now, std::size_t Budget) {
@@ -163,7 +163,7 @@
 
 std::optional<Explanation> Planner::explain(const TaskId &Task,
                                             TimePoint Now) const {
-  return explainTask(Impl_->State_, Impl_->Explaining_, Task, Now);
+  return explainTask(Impl_->State_, Impl_->ReservationPlacer_, Task, Now);
 }
 
 std::vector<ServerView> Planner::listServers() const {
--- a/src/decide/PlannerState.h
+++ b/src/decide/PlannerState.h
@@ -7,7 +7,7 @@
 // A task is in exactly one of: waiting (in the queue), proposed (a decision
 // was handed out, or a server is being emptied for it; the room is held until
 // it expires), running (committed). A task may run while its next attempt is
-// already known; that one waits in Later_.
+// already known; that one waits in NextAttempts_.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,7 +15,7 @@
 #define TULIPWEIR_SRC_DECIDE_PLANNERSTATE_H
 
 #include "decide/DecisionLog.h"
-#include "decide/Interference.h"
+#include "decide/InterferenceModel.h"
 #include "decide/Interner.h"
 #include "decide/JobSpread.h"
 #include "decide/Quarantine.h"
@@ -38,12 +38,12 @@
 };
 
 /// What is remembered of a task between its attempts.
-struct TaskMemory {
-  AttemptNumber Ended_; ///< Latest attempt known to have ended.
+struct TaskRecord {
+  AttemptNumber LastEndedAttempt_; ///< Latest attempt known to have ended.
   std::uint32_t Failures_ = 0;
   TimePoint RetryAt_;
-  TimePoint FirstSince_; ///< When it first waited, for ageing.
-  std::optional<BackendServerId> Avoid_;
+  TimePoint WaitingSince_; ///< When it first waited, for ageing.
+  std::optional<BackendServerId> AvoidedServer_;
   TimePoint AvoidUntil_;
 };
 
@@ -57,41 +57,41 @@
   void removeServer(const BackendServerId &Server);
   void addWaiting(const TaskInfo &Task, TimePoint Now);
   void removeWaiting(const TaskId &Task);
-  void notePlaced(const TaskInfo &Task, AttemptNumber Attempt,
-                  const BackendServerId &Server, const Resources &Reservation,
-                  TimePoint Now);
-  void noteReservation(const TaskId &Task, AttemptNumber Attempt,
-                       const Resources &Reservation);
-  void noteThrottle(const TaskId &Task, AttemptNumber Attempt,
-                    std::uint32_t Percent, TimePoint Now);
-  void noteEnded(const TaskId &Task, AttemptNumber Attempt, EndReason Reason,
+  void recordPlacement(const TaskInfo &Task, AttemptNumber Attempt,
+                       const BackendServerId &Server,
+                       const Resources &Reservation, TimePoint Now);
+  void updateReservation(const TaskId &Task, AttemptNumber Attempt,
+                         const Resources &Reservation);
+  void updateThrottle(const TaskId &Task, AttemptNumber Attempt,
+                      std::uint32_t Percent, TimePoint Now);
+  void recordEnd(const TaskId &Task, AttemptNumber Attempt, EndReason Reason,
                  TimePoint Now);
   /// Moves a waiting task to proposed and holds the room.
   void propose(const TaskId &Task, ServerIndex Server,
                const Resources &Reservation, TimePoint ExpiresAt, bool IsClaim);
   /// Turns a claim whose room came free into a proposal.
-  void settleClaim(const TaskId &Task, TimePoint ExpiresAt);
+  void convertClaim(const TaskId &Task, TimePoint ExpiresAt);
   /// Holds the room by which a running task's reservation is to grow.
   void holdGrowth(const TaskId &Task, const Resources &Amount,
                   TimePoint ExpiresAt);
   /// Puts tasks whose proposals expired back to waiting, and due retries into
   /// the queue; Most at most.
-  void expire(TimePoint Now, std::size_t Most);
+  void expire(TimePoint Now, std::size_t Limit);
 
   // Queries.
   RunningTask *findRunning(const TaskId &Task);
   const RunningTask *findRunning(const TaskId &Task) const;
   const Proposal *findProposal(const TaskId &Task) const;
-  const TaskMemory *findMemory(const TaskId &Task) const;
+  const TaskRecord *findRecord(const TaskId &Task) const;
   /// What the team holds, proposals included.
-  Resources heldBy(const TeamId &Team) const;
-  std::optional<Resources> quotaOf(const TeamId &Team) const;
-  std::optional<TimePoint> retryTimeOf(const TaskId &Task) const;
+  Resources getTeamUsage(const TeamId &Team) const;
+  std::optional<Resources> findQuota(const TeamId &Team) const;
+  std::optional<TimePoint> findRetryTime(const TaskId &Task) const;
   /// The target of a service in microseconds, 0 without one.
-  double targetMicros(ServiceIndex Service) const;
-  std::size_t claims() const { return Claims_; }
+  double getTargetMicros(ServiceIndex Service) const;
+  std::size_t countClaims() const { return ClaimCount_; }
   /// By how much tasks of a class that slows services are put off.
-  Duration handicapOf(const TaskInfo &Task) const;
+  Duration computeOrderPenalty(const TaskInfo &Task) const;
 
   Policy Policy_;
   Interner<JobClassId> Classes_;
@@ -100,47 +100,47 @@
   ServerTable Servers_;
   WaitQueue Queue_;
   SizeLearner Sizes_;
-  Interference Effects_;
+  InterferenceModel Interference_;
   JobSpread Spread_;
   DecisionLog Decisions_;
   Quarantine Health_;
   /// Part of all services' reports that stood over their target of late, over
   /// about a hundred seconds.
-  double OverShare_ = 0;
+  double OverTargetShare_ = 0;
   /// Servers on which room came free and that have claims.
   std::set<ServerIndex> ClaimsToCheck_;
   /// Servers that may have tasks to move because they leave.
-  std::set<ServerIndex> Leaving_;
+  std::set<ServerIndex> DrainingServers_;
 
 private:
   void enqueue(const TaskInfo &Task, TimePoint Since);
   std::optional<WaitingTask> dropProposal(const TaskId &Task);
-  void guardEffectSeen(RunningTask &Task);
-  void dropGrowth(const TaskId &Task);
-  void dropRunning(const TaskId &Task, TimePoint Now);
-  void roomGrew(ServerIndex Server);
-  TaskMemory &memoryOf(const TaskId &Task);
-  void indexTargets();
+  void clearGuardPending(RunningTask &Task);
+  void releaseGrowth(const TaskId &Task);
+  void removeRunning(const TaskId &Task, TimePoint Now);
+  void wakeTasksForRoom(ServerIndex Server);
+  TaskRecord &getOrCreateRecord(const TaskId &Task);
+  void indexPolicy();
 
   std::unordered_map<TaskId, RunningTask> Running_;
   std::unordered_map<TaskId, Proposal> Proposals_;
   std::set<std::pair<TimePoint, TaskId>> Expiries_;
-  struct Growth {
+  struct PendingGrowth {
     ServerIndex Server_ = 0;
     Resources Amount_;
     TimePoint ExpiresAt_;
   };
-  std::unordered_map<TaskId, Growth> Growths_;
+  std::unordered_map<TaskId, PendingGrowth> PendingGrowths_;
   std::set<std::pair<TimePoint, TaskId>> GrowthExpiries_;
-  std::unordered_map<TaskId, WaitingTask> Later_;
+  std::unordered_map<TaskId, WaitingTask> NextAttempts_;
   std::unordered_map<TaskId, WaitingTask> BackingOff_;
   std::set<std::pair<TimePoint, TaskId>> Retries_;
-  std::unordered_map<TaskId, TaskMemory> Memory_;
-  std::deque<TaskId> MemoryOrder_;
-  std::unordered_map<TeamId, Resources> Held_;
+  std::unordered_map<TaskId, TaskRecord> Records_;
+  std::deque<TaskId> RecordOrder_;
+  std::unordered_map<TeamId, Resources> TeamUsage_;
   std::unordered_map<TeamId, Resources> Quotas_;
   std::unordered_map<ServiceId, double> Targets_;
-  std::size_t Claims_ = 0;
+  std::size_t ClaimCount_ = 0;
 };
 
 } // namespace tulipweir::decide
--- a/src/decide/Preemptor.cpp
+++ b/src/decide/Preemptor.cpp
@@ -13,22 +13,22 @@
 
 Duration decide::estimateWorkLost(const RunningTask &Task, TimePoint Now) {
   const TimePoint Since = std::max(Task.UsageAt_, Task.PlacedAt_);
-  const Duration Later = std::max(Duration::zero(), Duration(Now - Since));
-  return Task.WorkAtRisk_ + Later * Task.ThrottlePercent_ / 100;
+  const Duration Elapsed = std::max(Duration::zero(), Duration(Now - Since));
+  return Task.WorkAtRisk_ + Elapsed * Task.ThrottlePercent_ / 100;
 }
 
 /// Whether the task holds any of what Room lacks for Needed.
-static bool helps(const RunningTask &Task, const Resources &Needed,
-                  const Resources &Room) {
-  const Resources &Holds = Task.Reservation_;
-  return (Needed.MilliCpus_ > Room.MilliCpus_ && Holds.MilliCpus_ > 0) ||
-         (Needed.MemoryMib_ > Room.MemoryMib_ && Holds.MemoryMib_ > 0) ||
-         (Needed.Accelerators_ > Room.Accelerators_ && Holds.Accelerators_ > 0);
+static bool freesNeeded(const RunningTask &Task, const Resources &Needed,
+                        const Resources &Room) {
+  const Resources &Held = Task.Reservation_;
+  return (Needed.MilliCpus_ > Room.MilliCpus_ && Held.MilliCpus_ > 0) ||
+         (Needed.MemoryMib_ > Room.MemoryMib_ && Held.MemoryMib_ > 0) ||
+         (Needed.Accelerators_ > Room.Accelerators_ && Held.Accelerators_ > 0);
 }
 
 /// Takes back victims that turn out not to be needed, dearest first.
-static void spareNeedless(std::vector<RunningTask *> &Victims, Resources Room,
-                          const Resources &Needed) {
+static void removeUnneededVictims(std::vector<RunningTask *> &Victims,
+                                  Resources Room, const Resources &Needed) {
   for (std::size_t I = Victims.size(); I-- > 0;) {
     const Resources Without = Room - Victims[I]->Reservation_;
     if (!Needed.fitsIn(Without))
@@ -45,13 +45,13 @@
   const ServerEntry &Entry = State_.Servers_.at(Server);
   if (Entry.ProbeOnly_)
     return std::nullopt;
-  const std::uint32_t Below =
+  const std::uint32_t PriorityLimit =
       std::min(Priority, State_.Policy_.UrgentPriority_);
   std::vector<std::pair<Duration, RunningTask *>> Costs;
   for (RunningTask *Task : Entry.Tasks_) {
     if (Costs.size() >= MaxTasks)
       break;
-    if (Task->Info_.Priority_ < Below && Now >= Task->PendingUntil_)
+    if (Task->Info_.Priority_ < PriorityLimit && Now >= Task->PendingUntil_)
       Costs.emplace_back(estimateWorkLost(*Task, Now), Task);
   }
   std::sort(Costs.begin(), Costs.end(), [](const auto &A, const auto &B) {
@@ -59,27 +59,27 @@
            std::pair(B.first, B.second->Info_.Task_);
   });
   Resources Room = Entry.room();
-  Preemption Found;
-  Found.Server_ = Server;
+  Preemption Plan;
+  Plan.Server_ = Server;
   for (const auto &[Cost, Task] : Costs) {
     if (Needed.fitsIn(Room))
       break;
-    if (!helps(*Task, Needed, Room))
+    if (!freesNeeded(*Task, Needed, Room))
       continue;
     Room = Room + Task->Reservation_;
-    Found.Victims_.push_back(Task);
+    Plan.Victims_.push_back(Task);
   }
-  if (!Needed.fitsIn(Room) || Found.Victims_.empty())
+  if (!Needed.fitsIn(Room) || Plan.Victims_.empty())
     return std::nullopt;
-  spareNeedless(Found.Victims_, Room, Needed);
-  for (const RunningTask *Task : Found.Victims_)
-    Found.WorkLost_ += estimateWorkLost(*Task, Now);
-  return Found;
+  removeUnneededVictims(Plan.Victims_, Room, Needed);
+  for (const RunningTask *Task : Plan.Victims_)
+    Plan.WorkLost_ += estimateWorkLost(*Task, Now);
+  return Plan;
 }
 
-std::optional<Preemption> Preemptor::find(const Resources &Needed,
-                                          std::uint32_t Priority,
-                                          TimePoint Now) {
+std::optional<Preemption> Preemptor::findCheapest(const Resources &Needed,
+                                                  std::uint32_t Priority,
+                                                  TimePoint Now) {
   std::optional<Preemption> Best;
   std::optional<ServerIndex> First;
   for (std::size_t I = 0; I < MaxServers; ++I) {
@@ -89,14 +89,14 @@
     if (!First)
       First = Server;
     Cursor_ = *Server + 1;
-    const auto Found = tryServer(*Server, Needed, Priority, Now);
-    if (!Found)
+    const auto Plan = tryServer(*Server, Needed, Priority, Now);
+    if (!Plan)
       continue;
     const bool IsBetter =
-        !Best || std::pair(Found->WorkLost_, Found->Victims_.size()) <
+        !Best || std::pair(Plan->WorkLost_, Plan->Victims_.size()) <
                      std::pair(Best->WorkLost_, Best->Victims_.size());
     if (IsBetter)
-      Best = Found;
+      Best = Plan;
   }
   return Best;
 }
--- a/src/decide/Preemptor.h
+++ b/src/decide/Preemptor.h
@@ -30,8 +30,8 @@
 
   /// The cheapest preemption for a task of this size and priority among the
   /// servers looked at, or nullopt.
-  std::optional<Preemption> find(const Resources &Needed,
-                                 std::uint32_t Priority, TimePoint Now);
+  std::optional<Preemption> findCheapest(const Resources &Needed,
+                                         std::uint32_t Priority, TimePoint Now);
 
 private:
   std::optional<Preemption> tryServer(ServerIndex Server,
--- a/src/decide/Quarantine.h
+++ b/src/decide/Quarantine.h
@@ -36,31 +36,31 @@
   ServerHealth From_ = ServerHealth::Good;
   ServerHealth To_ = ServerHealth::Good;
   std::vector<JobId> Jobs_; ///< The evidence.
-  Duration For_{};
+  Duration Length_{};
   bool operator==(const HealthChange &) const = default;
 };
 
 class Quarantine {
 public:
-  void noteFailed(const JobId &Job, const BackendServerId &Server,
-                  TimePoint Now, const Policy &Settings);
+  void recordFailure(const JobId &Job, const BackendServerId &Server,
+                     TimePoint Now, const Policy &Settings);
   /// A task finished there, or ran there for long.
-  void noteHealthy(const JobId &Job, const BackendServerId &Server,
-                   TimePoint Now, const Policy &Settings);
+  void recordSuccess(const JobId &Job, const BackendServerId &Server,
+                     TimePoint Now, const Policy &Settings);
   /// Ends quarantines whose time is over.
   void advance(TimePoint Now);
   /// Hands out the changes since the last call, in order.
   std::vector<HealthChange> takeChanges();
 
-  ServerHealth healthOf(const BackendServerId &Server) const;
-  std::uint32_t failuresOn(const BackendServerId &Server) const;
+  ServerHealth getHealth(const BackendServerId &Server) const;
+  std::uint32_t countFailedJobs(const BackendServerId &Server) const;
 
 private:
-  struct Server {
+  struct ServerRecord {
     ServerHealth Health_ = ServerHealth::Good;
     std::vector<JobId> FailedJobs_; ///< Different ones since it did well.
     TimePoint Until_;
-    Duration Time_{};
+    Duration QuarantineLength_{};
     TimePoint FailedAt_;
   };
   struct Job {
@@ -68,14 +68,15 @@
     std::vector<BackendServerId> HealthyOn_;
   };
 
-  Job &jobOf(const JobId &Id);
+  Job &getOrCreateJob(const JobId &Id);
   bool isEvidence(const JobId &Id, const BackendServerId &Server) const;
   bool failsEverywhere(const JobId &Id) const;
-  void judge(const BackendServerId &Id, TimePoint Now, const Policy &Settings);
-  void change(const BackendServerId &Id, Server &Value, ServerHealth To,
-              std::vector<JobId> Jobs);
+  void updateHealth(const BackendServerId &Id, TimePoint Now,
+                    const Policy &Settings);
+  void setHealth(const BackendServerId &Id, ServerRecord &Record,
+                 ServerHealth To, std::vector<JobId> Jobs);
 
-  std::unordered_map<BackendServerId, Server> Servers_;
+  std::unordered_map<BackendServerId, ServerRecord> Servers_;
   std::unordered_map<JobId, Job> Jobs_;
   std::deque<JobId> JobOrder_;
   std::set<std::pair<TimePoint, BackendServerId>> Timers_;
--- a/src/decide/RoomTree.h
+++ b/src/decide/ResourceTree.h
@@ -1,4 +1,5 @@
-//===- RoomTree.h - Finds a server with enough room ------------*- C++ -*-===//
+//===- ResourceTree.h - Finds a server with enough room ------------*- C++
+//-*-===//
 //
 // A binary tree over all servers in which each node holds the most room of any
 // server below it, per dimension. A search goes down only where the maxima
@@ -8,8 +9,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_SRC_DECIDE_ROOMTREE_H
-#define TULIPWEIR_SRC_DECIDE_ROOMTREE_H
+#ifndef TULIPWEIR_SRC_DECIDE_RESOURCETREE_H
+#define TULIPWEIR_SRC_DECIDE_RESOURCETREE_H
 
 #include "tulipweir/core/Resources.h"
 
@@ -23,10 +24,10 @@
 /// Position of a server in the planner's tables.
 using ServerIndex = std::uint32_t;
 
-class RoomTree {
+class ResourceTree {
 public:
   /// Room of a server that may not be chosen at all.
-  static constexpr Resources Closed{-1, -1, -1};
+  static constexpr Resources Unavailable{-1, -1, -1};
 
   void set(ServerIndex Server, const Resources &Room);
 
@@ -34,7 +35,7 @@
   std::optional<ServerIndex> findFrom(ServerIndex From,
                                       const Resources &Needed) const;
   /// The most room of any server, per dimension.
-  const Resources &largest() const { return Nodes_[1]; }
+  const Resources &maximum() const { return Nodes_[1]; }
   ServerIndex size() const { return Leaves_; }
 
 private:
@@ -43,9 +44,9 @@
                                     const Resources &Needed) const;
 
   ServerIndex Leaves_ = 1;
-  std::vector<Resources> Nodes_ = {Closed, Closed};
+  std::vector<Resources> Nodes_ = {Unavailable, Unavailable};
 };
 
 } // namespace tulipweir::decide
 
-#endif // TULIPWEIR_SRC_DECIDE_ROOMTREE_H
+#endif // TULIPWEIR_SRC_DECIDE_RESOURCETREE_H
--- a/src/decide/RetryBudget.cpp
+++ b/src/decide/RetryBudget.cpp
@@ -7,16 +7,19 @@
 using namespace tulipweir::decide;
 
 /// Lets ten times a tenth count as a whole one despite rounding.
-static constexpr double WholeRetry = 1 - 1e-9;
+static constexpr double RetryCost = 1 - 1e-9;
 
-RetryBudget::RetryBudget(double Part, double Reserve)
-    : Part_(Part), Reserve_(Reserve), Saved_(Part > 0 ? Reserve : 0) {}
+RetryBudget::RetryBudget(double RetryRatio, double MaxBalance)
+    : RetryRatio_(RetryRatio), MaxBalance_(MaxBalance),
+      Balance_(RetryRatio > 0 ? MaxBalance : 0) {}
 
-void RetryBudget::noteRequest() { Saved_ = std::min(Reserve_, Saved_ + Part_); }
+void RetryBudget::recordFirstTry() {
+  Balance_ = std::min(MaxBalance_, Balance_ + RetryRatio_);
+}
 
 bool RetryBudget::trySpend() {
-  if (Part_ <= 0 || Saved_ < WholeRetry)
+  if (RetryRatio_ <= 0 || Balance_ < RetryCost)
     return false;
-  Saved_ = std::max(0.0, Saved_ - 1);
+  Balance_ = std::max(0.0, Balance_ - 1);
   return true;
 }
--- a/src/decide/ServerChooser.cpp
+++ b/src/decide/ServerChooser.cpp
@@ -10,21 +10,21 @@
 using namespace tulipweir::decide;
 
 /// Part of one answer in the mean over all servers.
-static constexpr double MeanGain = 0.02;
+static constexpr double MeanLatencySmoothing = 0.02;
 /// Part of one answer in a server's share of successes.
-static constexpr double SuccessGain = 0.1;
+static constexpr double SuccessSmoothing = 0.1;
 /// Keeps the cost of a server that only fails finite.
-static constexpr double LeastSuccess = 0.02;
+static constexpr double MinSuccessRate = 0.02;
 /// Below this share of successes a server is ejected.
-static constexpr double EjectSuccess = 0.3;
+static constexpr double EjectionSuccessRate = 0.3;
 /// How much "busy, not run" counts as a success.
 static constexpr double BusySuccess = 0.5;
 
-static double toMicros(Duration Value) {
-  return std::chrono::duration<double, std::micro>(Value).count();
+static double toMicros(Duration Time) {
+  return std::chrono::duration<double, std::micro>(Time).count();
 }
 
-static double successOf(RequestResult Result) {
+static double getSuccessScore(RequestResult Result) {
   if (Result == RequestResult::Served)
     return 1;
   return Result == RequestResult::Busy ? BusySuccess : 0;
@@ -36,102 +36,102 @@
 
 void ServerChooser::setServers(const std::vector<GrantedServer> &Servers,
                                TimePoint Now) {
-  std::vector<Entry> Kept;
+  std::vector<ServerState> Kept;
   std::unordered_map<BackendServerId, std::size_t> Positions;
   for (const GrantedServer &Granted : Servers) {
     if (!Positions.emplace(Granted.Server_, Kept.size()).second)
       continue;
-    const auto Found = Positions_.find(Granted.Server_);
-    Entry Value;
-    if (Found != Positions_.end())
-      Value = std::move(Entries_[Found->second]);
-    Value.Server_ = Granted.Server_;
-    Value.Slots_ = Granted.Slots_;
-    Kept.push_back(std::move(Value));
+    const auto It = Positions_.find(Granted.Server_);
+    ServerState State;
+    if (It != Positions_.end())
+      State = std::move(States_[It->second]);
+    State.Server_ = Granted.Server_;
+    State.Slots_ = Granted.Slots_;
+    Kept.push_back(std::move(State));
   }
   for (const auto &[Id, Position] : Positions_) {
-    if (Positions.contains(Id) || Entries_[Position].InFlight_ == 0)
+    if (Positions.contains(Id) || States_[Position].InFlight_ == 0)
       continue;
-    Entries_[Position].Slots_ = 0;
+    States_[Position].Slots_ = 0;
     Positions.emplace(Id, Kept.size());
-    Kept.push_back(std::move(Entries_[Position]));
+    Kept.push_back(std::move(States_[Position]));
   }
-  Entries_ = std::move(Kept);
+  States_ = std::move(Kept);
   Positions_ = std::move(Positions);
-  Open_.clear();
+  Available_.clear();
   Ejected_.clear();
-  FreeSlots_ = TotalSlots_ = Granted_ = 0;
-  for (std::size_t I = 0; I < Entries_.size(); ++I) {
-    Entry &Value = Entries_[I];
-    Value.Place_ = NoPlace;
-    Value.CountedFree_ = 0;
-    TotalSlots_ += Value.Slots_;
-    Granted_ += Value.Slots_ > 0 ? 1 : 0;
-    if (Value.Health_ == Health::Ejected)
+  FreeSlots_ = TotalSlots_ = GrantedCount_ = 0;
+  for (std::size_t I = 0; I < States_.size(); ++I) {
+    ServerState &State = States_[I];
+    State.AvailableIndex_ = NoIndex;
+    State.CountedFreeSlots_ = 0;
+    TotalSlots_ += State.Slots_;
+    GrantedCount_ += State.Slots_ > 0 ? 1 : 0;
+    if (State.Health_ == Health::Ejected)
       Ejected_.push_back(I);
-    refreshOpen(I);
+    updateAvailability(I);
   }
   NextProbe_ = Ejected_.empty() ? TimePoint::max() : Now;
 }
 
-void ServerChooser::noteStarted(const BackendServerId &Server) {
-  const auto Found = Positions_.find(Server);
-  if (Found == Positions_.end())
+void ServerChooser::recordStart(const BackendServerId &Server) {
+  const auto It = Positions_.find(Server);
+  if (It == Positions_.end())
     return;
-  ++Entries_[Found->second].InFlight_;
-  refreshOpen(Found->second);
+  ++States_[It->second].InFlight_;
+  updateAvailability(It->second);
 }
 
-void ServerChooser::noteEnded(const BackendServerId &Server,
+void ServerChooser::recordEnd(const BackendServerId &Server,
                               RequestResult Result, Duration Latency,
                               TimePoint Now) {
-  const auto Found = Positions_.find(Server);
-  if (Found == Positions_.end())
+  const auto It = Positions_.find(Server);
+  if (It == Positions_.end())
     return;
-  Entry &Value = Entries_[Found->second];
-  assert(Value.InFlight_ > 0 && "ended more often than started");
-  --Value.InFlight_;
-  learn(Value, Result, Latency, Now);
-  updateHealth(Value, Result, Now);
-  refreshOpen(Found->second);
+  ServerState &State = States_[It->second];
+  assert(State.InFlight_ > 0 && "ended more often than started");
+  --State.InFlight_;
+  updateStatistics(State, Result, Latency, Now);
+  updateHealth(State, Result, Now);
+  updateAvailability(It->second);
 }
 
-void ServerChooser::noteReleased(const BackendServerId &Server) {
-  const auto Found = Positions_.find(Server);
-  if (Found == Positions_.end())
+void ServerChooser::releaseSlot(const BackendServerId &Server) {
+  const auto It = Positions_.find(Server);
+  if (It == Positions_.end())
     return;
-  Entry &Value = Entries_[Found->second];
-  assert(Value.InFlight_ > 0 && "released more often than started");
-  --Value.InFlight_;
-  refreshOpen(Found->second);
+  ServerState &State = States_[It->second];
+  assert(State.InFlight_ > 0 && "released more often than started");
+  --State.InFlight_;
+  updateAvailability(It->second);
 }
 
 std::optional<BackendServerId>
 ServerChooser::choose(TimePoint Now,
-                      const std::optional<BackendServerId> &Except) {
+                      const std::optional<BackendServerId> &Excluded) {
   if (Now >= NextProbe_)
     startProbes(Now);
-  const auto Skipped = Except ? Positions_.find(*Except) : Positions_.end();
-  std::size_t Count = Open_.size();
+  const auto Skipped = Excluded ? Positions_.find(*Excluded) : Positions_.end();
+  std::size_t Count = Available_.size();
   // The excepted one is moved last, and the draw stops short of it.
   if (Skipped != Positions_.end() &&
-      Entries_[Skipped->second].Place_ != NoPlace) {
-    const std::size_t From = Entries_[Skipped->second].Place_;
-    std::swap(Open_[From], Open_.back());
-    Entries_[Open_[From]].Place_ = From;
-    Entries_[Open_.back()].Place_ = Count - 1;
+      States_[Skipped->second].AvailableIndex_ != NoIndex) {
+    const std::size_t From = States_[Skipped->second].AvailableIndex_;
+    std::swap(Available_[From], Available_.back());
+    States_[Available_[From]].AvailableIndex_ = From;
+    States_[Available_.back()].AvailableIndex_ = Count - 1;
     --Count;
   }
   if (Count == 0)
     return std::nullopt;
   const std::size_t First = Random_() % Count;
   if (Count == 1)
-    return Entries_[Open_[First]].Server_;
+    return States_[Available_[First]].Server_;
   // Two different ones: the second draw skips the first.
   const std::size_t Second = (First + 1 + Random_() % (Count - 1)) % Count;
-  const Entry &A = Entries_[Open_[First]];
-  const Entry &B = Entries_[Open_[Second]];
-  return costOf(A, Now) <= costOf(B, Now) ? A.Server_ : B.Server_;
+  const ServerState &A = States_[Available_[First]];
+  const ServerState &B = States_[Available_[Second]];
+  return computeCost(A, Now) <= computeCost(B, Now) ? A.Server_ : B.Server_;
 }
 
 Duration ServerChooser::meanLatency() const {
@@ -141,136 +141,138 @@
 
 std::vector<ChooserServerView> ServerChooser::listServers() const {
   std::vector<ChooserServerView> Views;
-  Views.reserve(Entries_.size());
-  for (const Entry &Value : Entries_)
-    Views.push_back({Value.Server_, Value.Slots_, Value.InFlight_,
-                     Value.Latency_, Value.Success_,
-                     Value.Health_ == Health::Ejected});
+  Views.reserve(States_.size());
+  for (const ServerState &State : States_)
+    Views.push_back({State.Server_, State.Slots_, State.InFlight_,
+                     State.Latency_, State.SuccessRate_,
+                     State.Health_ == Health::Ejected});
   return Views;
 }
 
-std::size_t ServerChooser::limitOf(const Entry &Value) {
-  if (Value.Health_ == Health::Ejected)
+std::size_t ServerChooser::getSlotLimit(const ServerState &State) {
+  if (State.Health_ == Health::Ejected)
     return 0;
-  const std::size_t Slots = Value.Slots_;
-  return Value.Health_ == Health::Probing ? std::min<std::size_t>(Slots, 1)
+  const std::size_t Slots = State.Slots_;
+  return State.Health_ == Health::Probing ? std::min<std::size_t>(Slots, 1)
                                           : Slots;
 }
 
-double ServerChooser::costOf(const Entry &Value, TimePoint Now) const {
-  const double Fill = static_cast<double>(Value.InFlight_ + 1) /
-                      static_cast<double>(Value.Slots_);
+double ServerChooser::computeCost(const ServerState &State,
+                                  TimePoint Now) const {
+  const double Fill = static_cast<double>(State.InFlight_ + 1) /
+                      static_cast<double>(State.Slots_);
   const double Mean = std::max(MeanLatency_, 1.0);
-  if (Value.Answers_ == 0)
+  if (State.Answers_ == 0)
     return Fill * Mean;
   // What was measured long ago fades towards what is usual.
   const double Age =
-      toMicros(std::max(Now, Value.AnsweredAt_) - Value.AnsweredAt_);
-  const double Weight = std::exp2(-Age / toMicros(Settings_.ForgetTime_));
-  const double Known = Value.Latency_ > 0 ? Value.Latency_ : Mean;
-  const double Latency = Mean + (Known - Mean) * Weight;
+      toMicros(std::max(Now, State.AnsweredAt_) - State.AnsweredAt_);
+  const double Weight = std::exp2(-Age / toMicros(Settings_.LatencyHalfLife_));
+  const double Observed = State.Latency_ > 0 ? State.Latency_ : Mean;
+  const double Latency = Mean + (Observed - Mean) * Weight;
   const double Success =
-      std::max(LeastSuccess, 1 + (Value.Success_ - 1) * Weight);
+      std::max(MinSuccessRate, 1 + (State.SuccessRate_ - 1) * Weight);
   return Fill * Latency / (Success * Success);
 }
 
-bool ServerChooser::isBad(const Entry &Value) const {
-  if (Value.FailuresInRow_ >= Settings_.FailuresToEject_)
+bool ServerChooser::isOutlier(const ServerState &State) const {
+  if (State.FailuresInRow_ >= Settings_.FailuresToEject_)
     return true;
-  if (Value.Answers_ < Settings_.MinAnswers_)
+  if (State.Answers_ < Settings_.MinAnswers_)
     return false;
-  return Value.Success_ < EjectSuccess ||
-         Value.Latency_ > Settings_.LatencyOutlier_ * MeanLatency_;
+  return State.SuccessRate_ < EjectionSuccessRate ||
+         State.Latency_ > Settings_.LatencyOutlierFactor_ * MeanLatency_;
 }
 
-bool ServerChooser::mayEject() const {
-  const auto Most = static_cast<std::size_t>(Settings_.MaxEjectedPart_ *
-                                             static_cast<double>(Granted_));
-  return Ejected_.size() < Most;
+bool ServerChooser::canEject() const {
+  const auto MaxEjected = static_cast<std::size_t>(
+      Settings_.MaxEjectedRatio_ * static_cast<double>(GrantedCount_));
+  return Ejected_.size() < MaxEjected;
 }
 
-void ServerChooser::learn(Entry &Value, RequestResult Result, Duration Latency,
-                          TimePoint Now) {
+void ServerChooser::updateStatistics(ServerState &State, RequestResult Result,
+                                     Duration Latency, TimePoint Now) {
   const double Micros = std::max(1.0, toMicros(Latency));
-  ++Value.Answers_;
-  Value.AnsweredAt_ = Now;
-  Value.Success_ += SuccessGain * (successOf(Result) - Value.Success_);
+  ++State.Answers_;
+  State.AnsweredAt_ = Now;
+  State.SuccessRate_ +=
+      SuccessSmoothing * (getSuccessScore(Result) - State.SuccessRate_);
   if (Result == RequestResult::Busy)
     return;
-  const double Before = Value.Latency_ > 0 ? Value.Latency_ : Micros;
+  const double Before = State.Latency_ > 0 ? State.Latency_ : Micros;
   // A failure that comes fast is no sign of speed.
   if (Result == RequestResult::Failed && Micros < Before)
     return;
-  Value.Latency_ = Before + Settings_.LatencyGain_ * (Micros - Before);
+  State.Latency_ = Before + Settings_.LatencySmoothing_ * (Micros - Before);
   if (Result != RequestResult::Served)
     return;
-  MeanLatency_ = MeanLatency_ > 0
-                     ? MeanLatency_ + MeanGain * (Micros - MeanLatency_)
-                     : Micros;
+  MeanLatency_ = MeanLatency_ > 0 ? MeanLatency_ + MeanLatencySmoothing *
+                                                       (Micros - MeanLatency_)
+                                  : Micros;
 }
 
-void ServerChooser::updateHealth(Entry &Value, RequestResult Result,
+void ServerChooser::updateHealth(ServerState &State, RequestResult Result,
                                  TimePoint Now) {
   const bool Failed = Result == RequestResult::Failed;
-  Value.FailuresInRow_ = Failed ? Value.FailuresInRow_ + 1 : 0;
-  if (Value.Health_ == Health::Ejected)
+  State.FailuresInRow_ = Failed ? State.FailuresInRow_ + 1 : 0;
+  if (State.Health_ == Health::Ejected)
     return;
-  const bool Probing = Value.Health_ == Health::Probing;
-  if ((Probing && Failed) || isBad(Value)) {
-    if (mayEject())
-      eject(Value, Now);
+  const bool Probing = State.Health_ == Health::Probing;
+  if ((Probing && Failed) || isOutlier(State)) {
+    if (canEject())
+      eject(State, Now);
     return;
   }
   if (Probing && Result == RequestResult::Served)
-    Value.Health_ = Health::Good;
+    State.Health_ = Health::Good;
 }
 
-void ServerChooser::eject(Entry &Value, TimePoint Now) {
-  const bool Relapse = Value.Health_ == Health::Probing;
-  const Duration Longer = Relapse ? Value.EjectTime_ * 2 : Settings_.EjectTime_;
-  Value.EjectTime_ = std::min(Longer, Settings_.MaxEjectTime_);
-  Value.Health_ = Health::Ejected;
-  Value.EjectedUntil_ = Now + Value.EjectTime_;
-  Ejected_.push_back(Positions_.at(Value.Server_));
-  NextProbe_ = std::min(NextProbe_, Value.EjectedUntil_);
+void ServerChooser::eject(ServerState &State, TimePoint Now) {
+  const bool Relapse = State.Health_ == Health::Probing;
+  const Duration Longer = Relapse ? State.EjectTime_ * 2 : Settings_.EjectTime_;
+  State.EjectTime_ = std::min(Longer, Settings_.MaxEjectTime_);
+  State.Health_ = Health::Ejected;
+  State.EjectedUntil_ = Now + State.EjectTime_;
+  Ejected_.push_back(Positions_.at(State.Server_));
+  NextProbe_ = std::min(NextProbe_, State.EjectedUntil_);
 }
 
 void ServerChooser::startProbes(TimePoint Now) {
-  std::vector<std::size_t> Left;
+  std::vector<std::size_t> StillEjected;
   NextProbe_ = TimePoint::max();
   for (const std::size_t Position : Ejected_) {
-    Entry &Value = Entries_[Position];
-    if (Now < Value.EjectedUntil_) {
-      NextProbe_ = std::min(NextProbe_, Value.EjectedUntil_);
-      Left.push_back(Position);
+    ServerState &State = States_[Position];
+    if (Now < State.EjectedUntil_) {
+      NextProbe_ = std::min(NextProbe_, State.EjectedUntil_);
+      StillEjected.push_back(Position);
       continue;
     }
     // What it did before the ejection says nothing about how it is now.
-    Value.Health_ = Health::Probing;
-    Value.FailuresInRow_ = 0;
-    Value.Answers_ = 0;
-    Value.Latency_ = 0;
-    Value.Success_ = 1;
-    refreshOpen(Position);
+    State.Health_ = Health::Probing;
+    State.FailuresInRow_ = 0;
+    State.Answers_ = 0;
+    State.Latency_ = 0;
+    State.SuccessRate_ = 1;
+    updateAvailability(Position);
   }
-  Ejected_ = std::move(Left);
+  Ejected_ = std::move(StillEjected);
 }
 
-void ServerChooser::refreshOpen(std::size_t Position) {
-  Entry &Value = Entries_[Position];
-  const std::size_t Limit = limitOf(Value);
+void ServerChooser::updateAvailability(std::size_t Position) {
+  ServerState &State = States_[Position];
+  const std::size_t Limit = getSlotLimit(State);
   const std::size_t Free =
-      Limit > Value.InFlight_ ? Limit - Value.InFlight_ : 0;
-  FreeSlots_ = FreeSlots_ - Value.CountedFree_ + Free;
-  Value.CountedFree_ = Free;
-  const bool IsOpen = Value.Place_ != NoPlace;
+      Limit > State.InFlight_ ? Limit - State.InFlight_ : 0;
+  FreeSlots_ = FreeSlots_ - State.CountedFreeSlots_ + Free;
+  State.CountedFreeSlots_ = Free;
+  const bool IsOpen = State.AvailableIndex_ != NoIndex;
   if (Free > 0 && !IsOpen) {
-    Value.Place_ = Open_.size();
-    Open_.push_back(Position);
+    State.AvailableIndex_ = Available_.size();
+    Available_.push_back(Position);
   } else if (Free == 0 && IsOpen) {
-    Open_[Value.Place_] = Open_.back();
-    Entries_[Open_.back()].Place_ = Value.Place_;
-    Open_.pop_back();
-    Value.Place_ = NoPlace;
+    Available_[State.AvailableIndex_] = Available_.back();
+    States_[Available_.back()].AvailableIndex_ = State.AvailableIndex_;
+    Available_.pop_back();
+    State.AvailableIndex_ = NoIndex;
   }
 }
--- a/src/decide/ServerTable.cpp
+++ b/src/decide/ServerTable.cpp
@@ -8,25 +8,25 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-ServiceState &ServerEntry::serviceAt(ServiceIndex Service) {
-  for (ServiceState &Known : Services_)
-    if (Known.Service_ == Service)
-      return Known;
+ServiceState &ServerEntry::getOrCreateService(ServiceIndex Service) {
+  for (ServiceState &State : Services_)
+    if (State.Service_ == Service)
+      return State;
   Services_.push_back({});
   Services_.back().Service_ = Service;
   return Services_.back();
 }
 
 ServerIndex ServerTable::intern(const BackendServerId &Server) {
-  const auto Found = Positions_.find(Server);
-  if (Found != Positions_.end())
-    return Found->second;
+  const auto It = Positions_.find(Server);
+  if (It != Positions_.end())
+    return It->second;
   ServerIndex Position = size();
-  if (Unused_.empty()) {
+  if (FreeIndexes_.empty()) {
     Entries_.push_back(std::make_unique<ServerEntry>());
   } else {
-    Position = Unused_.back();
-    Unused_.pop_back();
+    Position = FreeIndexes_.back();
+    FreeIndexes_.pop_back();
     *Entries_[Position] = ServerEntry();
   }
   Entries_[Position]->Info_.Server_ = Server;
@@ -36,10 +36,10 @@
 
 std::optional<ServerIndex>
 ServerTable::find(const BackendServerId &Server) const {
-  const auto Found = Positions_.find(Server);
-  if (Found == Positions_.end())
+  const auto It = Positions_.find(Server);
+  if (It == Positions_.end())
     return std::nullopt;
-  return Found->second;
+  return It->second;
 }
 
 void ServerTable::upsert(const ServerInfo &Info, std::uint32_t Rack) {
@@ -48,97 +48,98 @@
   Entry.Info_ = Info;
   Entry.Rack_ = Rack;
   Entry.Present_ = true;
-  refresh(Position);
+  updateIndexes(Position);
 }
 
 void ServerTable::remove(const BackendServerId &Server) {
-  const auto Found = find(Server);
-  if (!Found)
+  const auto Position = find(Server);
+  if (!Position)
     return;
-  at(*Found).Present_ = false;
-  refresh(*Found);
+  at(*Position).Present_ = false;
+  updateIndexes(*Position);
 }
 
 void ServerTable::addTask(RunningTask &Task, TimePoint Now) {
   ServerEntry &Entry = at(Task.Server_);
-  Task.PlaceInServer_ = Entry.Tasks_.size();
+  Task.IndexInServer_ = Entry.Tasks_.size();
   Entry.Tasks_.push_back(&Task);
   Entry.Reserved_ = Entry.Reserved_ + Task.Reservation_;
-  Entry.Measured_ = Entry.Measured_ + Task.Usage_;
-  Entry.History_.change(
+  Entry.MeasuredUsage_ = Entry.MeasuredUsage_ + Task.Usage_;
+  Entry.History_.recordChange(
       Task.Class_,
-      loadOf(Task.Server_, Task.Reservation_, Task.ThrottlePercent_), Now);
-  refresh(Task.Server_);
+      computeLoad(Task.Server_, Task.Reservation_, Task.ThrottlePercent_), Now);
+  updateIndexes(Task.Server_);
 }
 
 void ServerTable::removeTask(RunningTask &Task, TimePoint Now) {
   ServerEntry &Entry = at(Task.Server_);
-  assert(Entry.Tasks_[Task.PlaceInServer_] == &Task && "task lists disagree");
-  Entry.Tasks_[Task.PlaceInServer_] = Entry.Tasks_.back();
-  Entry.Tasks_[Task.PlaceInServer_]->PlaceInServer_ = Task.PlaceInServer_;
+  assert(Entry.Tasks_[Task.IndexInServer_] == &Task && "task lists disagree");
+  Entry.Tasks_[Task.IndexInServer_] = Entry.Tasks_.back();
+  Entry.Tasks_[Task.IndexInServer_]->IndexInServer_ = Task.IndexInServer_;
   Entry.Tasks_.pop_back();
   Entry.Reserved_ = Entry.Reserved_ - Task.Reservation_;
-  Entry.Measured_ = Entry.Measured_ - Task.Usage_;
-  Entry.Throttled_ -= Task.ThrottlePercent_ < 100 ? 1 : 0;
-  Entry.Unproven_ -= Task.Unproven_ ? 1 : 0;
-  Entry.History_.change(
+  Entry.MeasuredUsage_ = Entry.MeasuredUsage_ - Task.Usage_;
+  Entry.ThrottledCount_ -= Task.ThrottlePercent_ < 100 ? 1 : 0;
+  Entry.Unmeasured_ -= Task.Unmeasured_ ? 1 : 0;
+  Entry.History_.recordChange(
       Task.Class_,
-      -loadOf(Task.Server_, Task.Reservation_, Task.ThrottlePercent_), Now);
-  refresh(Task.Server_);
+      -computeLoad(Task.Server_, Task.Reservation_, Task.ThrottlePercent_),
+      Now);
+  updateIndexes(Task.Server_);
 }
 
 void ServerTable::resizeTask(RunningTask &Task, const Resources &Reservation,
                              TimePoint Now) {
   ServerEntry &Entry = at(Task.Server_);
   const double Before =
-      loadOf(Task.Server_, Task.Reservation_, Task.ThrottlePercent_);
+      computeLoad(Task.Server_, Task.Reservation_, Task.ThrottlePercent_);
   Entry.Reserved_ = Entry.Reserved_ - Task.Reservation_ + Reservation;
   Task.Reservation_ = Reservation;
   const double After =
-      loadOf(Task.Server_, Task.Reservation_, Task.ThrottlePercent_);
-  Entry.History_.change(Task.Class_, After - Before, Now);
-  refresh(Task.Server_);
+      computeLoad(Task.Server_, Task.Reservation_, Task.ThrottlePercent_);
+  Entry.History_.recordChange(Task.Class_, After - Before, Now);
+  updateIndexes(Task.Server_);
 }
 
 void ServerTable::throttleTask(RunningTask &Task, std::uint32_t Percent,
                                TimePoint Now) {
   ServerEntry &Entry = at(Task.Server_);
   const double Before =
-      loadOf(Task.Server_, Task.Reservation_, Task.ThrottlePercent_);
-  const double After = loadOf(Task.Server_, Task.Reservation_, Percent);
-  Entry.Throttled_ -= Task.ThrottlePercent_ < 100 ? 1 : 0;
-  Entry.Throttled_ += Percent < 100 ? 1 : 0;
+      computeLoad(Task.Server_, Task.Reservation_, Task.ThrottlePercent_);
+  const double After = computeLoad(Task.Server_, Task.Reservation_, Percent);
+  Entry.ThrottledCount_ -= Task.ThrottlePercent_ < 100 ? 1 : 0;
+  Entry.ThrottledCount_ += Percent < 100 ? 1 : 0;
   Task.ThrottlePercent_ = Percent;
   Task.ThrottledAt_ = Now;
-  Entry.History_.change(Task.Class_, After - Before, Now);
+  Entry.History_.recordChange(Task.Class_, After - Before, Now);
 }
 
-void ServerTable::measureTask(RunningTask &Task, const Resources &Usage) {
+void ServerTable::updateUsage(RunningTask &Task, const Resources &Usage) {
   ServerEntry &Entry = at(Task.Server_);
-  Entry.Measured_ = Entry.Measured_ - Task.Usage_ + Usage;
+  Entry.MeasuredUsage_ = Entry.MeasuredUsage_ - Task.Usage_ + Usage;
   Task.Usage_ = Usage;
 }
 
-void ServerTable::setUnproven(RunningTask &Task, bool IsUnproven) {
+void ServerTable::setUnmeasured(RunningTask &Task, bool IsUnmeasured) {
   ServerEntry &Entry = at(Task.Server_);
-  Entry.Unproven_ -= Task.Unproven_ ? 1 : 0;
-  Entry.Unproven_ += IsUnproven ? 1 : 0;
-  Task.Unproven_ = IsUnproven;
+  Entry.Unmeasured_ -= Task.Unmeasured_ ? 1 : 0;
+  Entry.Unmeasured_ += IsUnmeasured ? 1 : 0;
+  Task.Unmeasured_ = IsUnmeasured;
 }
 
 void ServerTable::hold(ServerIndex Server, const Resources &Amount) {
   ServerEntry &Entry = at(Server);
   Entry.Held_ = Entry.Held_ + Amount;
-  ++Entry.Holds_;
-  refresh(Server);
+  ++Entry.HoldCount_;
+  updateIndexes(Server);
 }
 
 void ServerTable::release(ServerIndex Server, const Resources &Amount) {
   ServerEntry &Entry = at(Server);
-  assert(Entry.Holds_ > 0 && "released more often than held");
+  assert(Entry.HoldCount_ > 0 && "released more often than held");
   Entry.Held_ = Entry.Held_ - Amount;
-  --Entry.Holds_;
-  refresh(Server);
+  --Entry.HoldCount_;
+  updateIndexes(Server);
 }
 
 void ServerTable::setQuarantine(ServerIndex Server, bool Quarantined,
@@ -146,28 +147,29 @@
   ServerEntry &Entry = at(Server);
   Entry.Quarantined_ = Quarantined;
   Entry.ProbeOnly_ = ProbeOnly;
-  refresh(Server);
+  updateIndexes(Server);
 }
 
-double ServerTable::loadOf(ServerIndex Server, const Resources &Reservation,
-                           std::uint32_t ThrottlePercent) const {
+double ServerTable::computeLoad(ServerIndex Server,
+                                const Resources &Reservation,
+                                std::uint32_t ThrottlePercent) const {
   const auto Processors =
       std::max<std::int64_t>(1, at(Server).Info_.Capacity_.MilliCpus_);
   return static_cast<double>(Reservation.MilliCpus_) /
          static_cast<double>(Processors) * ThrottlePercent / 100;
 }
 
-void ServerTable::refresh(ServerIndex Server) {
+void ServerTable::updateIndexes(ServerIndex Server) {
   const ServerEntry &Entry = at(Server);
-  const bool Staying = Entry.Present_ && !Entry.Info_.Draining_;
-  const bool Takes = Staying && !Entry.Quarantined_;
-  const bool Busy = !Entry.Tasks_.empty() || Entry.Holds_ > 0;
-  const bool Open = Takes && !(Entry.ProbeOnly_ && Busy);
-  Room_.set(Server, Open ? Entry.room() : RoomTree::Closed);
-  Limits_.set(Server, Takes ? Entry.limit() : RoomTree::Closed);
-  AllLimits_.set(Server, Staying ? Entry.limit() : RoomTree::Closed);
+  const bool IsStaying = Entry.Present_ && !Entry.Info_.Draining_;
+  const bool AcceptsTasks = IsStaying && !Entry.Quarantined_;
+  const bool Busy = !Entry.Tasks_.empty() || Entry.HoldCount_ > 0;
+  const bool Open = AcceptsTasks && !(Entry.ProbeOnly_ && Busy);
+  Room_.set(Server, Open ? Entry.room() : ResourceTree::Unavailable);
+  Limits_.set(Server, AcceptsTasks ? Entry.limit() : ResourceTree::Unavailable);
+  AllLimits_.set(Server, IsStaying ? Entry.limit() : ResourceTree::Unavailable);
   if (Entry.Present_ || Busy)
     return;
   Positions_.erase(Entry.Info_.Server_);
-  Unused_.push_back(Server);
+  FreeIndexes_.push_back(Server);
 }
--- a/src/decide/ServerTable.h
+++ b/src/decide/ServerTable.h
@@ -9,9 +9,9 @@
 #ifndef TULIPWEIR_SRC_DECIDE_SERVERTABLE_H
 #define TULIPWEIR_SRC_DECIDE_SERVERTABLE_H
 
-#include "decide/Interference.h"
+#include "decide/InterferenceModel.h"
 #include "decide/PlacementHistory.h"
-#include "decide/RoomTree.h"
+#include "decide/ResourceTree.h"
 #include "tulipweir/decide/Planner.h"
 
 #include <memory>
@@ -22,7 +22,7 @@
 
 /// Stands for "never" where an age is asked for: a monotonic clock may have
 /// started only seconds ago.
-inline constexpr TimePoint LongAgo{-std::chrono::hours(24 * 365)};
+inline constexpr TimePoint DistantPast{-std::chrono::hours(24 * 365)};
 
 /// A committed attempt. Owned by PlannerState; servers point to it.
 struct RunningTask {
@@ -43,10 +43,11 @@
   TimePoint PendingUntil_;        ///< A decision about it awaits its effect.
   std::uint32_t Relapses_ = 0;    ///< Releases after which the tail rose.
   bool GuardPending_ = false;     ///< That decision was the tail guard's.
-  bool Unproven_ = false; ///< Its class's size is a guess, and no sample came.
-  bool HealthNoted_ = false;
+  bool Unmeasured_ =
+      false; ///< Its class's size is a guess, and no sample came.
+  bool HealthRecorded_ = false;
   bool ResizeQueued_ = false;
-  std::size_t PlaceInServer_ = 0;
+  std::size_t IndexInServer_ = 0;
 };
 
 /// One service's late reports from one server.
@@ -54,12 +55,12 @@
   ServiceIndex Service_ = 0;
   LoadBand Band_ = 0;
   LoadBand PeakBand_ = 0; ///< Highest of late, so that waves are expected.
-  TimePoint PeakAt_ = LongAgo;
+  TimePoint PeakAt_ = DistantPast;
   TimePoint SampledAt_;
   double P99Micros_ = 0; ///< Smoothed over a few reports.
   std::uint32_t OverReports_ = 0;
   /// By how much those stood over the target, added up as parts of it.
-  double OverSum_ = 0;
+  double ExcessSum_ = 0;
   std::uint32_t UnderReports_ = 0;
 };
 
@@ -70,28 +71,28 @@
   bool ProbeOnly_ = false; ///< One task at a time, until one does well.
   Resources Reserved_;
   Resources Held_;
-  Resources Measured_; ///< Sum of the latest usages.
+  Resources MeasuredUsage_; ///< Sum of the latest usages.
   std::uint32_t Rack_ = 0;
-  std::uint32_t Holds_ = 0;
+  std::uint32_t HoldCount_ = 0;
   std::vector<RunningTask *> Tasks_;
   std::vector<TaskId> Claims_; ///< Tasks for which it is being emptied.
   PlacementHistory History_;
   std::vector<ServiceState> Services_;
-  TimePoint QuietUntil_; ///< Reports taken before are older than the effect
-                         ///< of the guard's last action.
-  TimePoint GuardPendingUntil_;     ///< An action's effect was not told yet.
-  std::uint32_t GuardPending_ = 0;  ///< Tasks whose effect is awaited.
-  TimePoint GuardedAt_ = LongAgo;   ///< Of the guard's last action.
-  std::uint32_t ReleaseFactor_ = 1; ///< Grows with each relapse.
-  TimePoint ReleasedAt_ = LongAgo;
-  std::uint32_t Throttled_ = 0;
-  std::uint32_t Unproven_ = 0; ///< Tasks whose size is a guess.
+  TimePoint IgnoreReportsUntil_;   ///< Reports taken before are older than the
+                                   ///< effect of the guard's last action.
+  TimePoint GuardPendingUntil_;    ///< An action's effect was not told yet.
+  std::uint32_t GuardPending_ = 0; ///< Tasks whose effect is awaited.
+  TimePoint GuardActedAt_ = DistantPast; ///< Of the guard's last action.
+  std::uint32_t ReleaseFactor_ = 1;      ///< Grows with each relapse.
+  TimePoint ReleasedAt_ = DistantPast;
+  std::uint32_t ThrottledCount_ = 0;
+  std::uint32_t Unmeasured_ = 0; ///< Tasks whose size is a guess.
 
   /// The state of a service; made on its first report.
-  ServiceState &serviceAt(ServiceIndex Service);
+  ServiceState &getOrCreateService(ServiceIndex Service);
   Resources limit() const { return Info_.Capacity_ - Info_.ServiceShare_; }
   Resources room() const { return limit() - Reserved_ - Held_; }
-  bool takesWork() const {
+  bool acceptsTasks() const {
     return Present_ && !Info_.Draining_ && !Quarantined_;
   }
 };
@@ -107,8 +108,8 @@
   void resizeTask(RunningTask &Task, const Resources &Reservation,
                   TimePoint Now);
   void throttleTask(RunningTask &Task, std::uint32_t Percent, TimePoint Now);
-  void measureTask(RunningTask &Task, const Resources &Usage);
-  void setUnproven(RunningTask &Task, bool IsUnproven);
+  void updateUsage(RunningTask &Task, const Resources &Usage);
+  void setUnmeasured(RunningTask &Task, bool IsUnmeasured);
   void hold(ServerIndex Server, const Resources &Amount);
   void release(ServerIndex Server, const Resources &Amount);
   void setQuarantine(ServerIndex Server, bool Quarantined, bool ProbeOnly);
@@ -119,24 +120,24 @@
   std::optional<ServerIndex> find(const BackendServerId &Server) const;
   ServerIndex size() const { return static_cast<ServerIndex>(Entries_.size()); }
   /// Room that is free now, on servers that take work.
-  const RoomTree &room() const { return Room_; }
+  const ResourceTree &room() const { return Room_; }
   /// What servers that take work hold when empty.
-  const RoomTree &limits() const { return Limits_; }
+  const ResourceTree &limits() const { return Limits_; }
   /// The same, quarantined servers included.
-  const RoomTree &allLimits() const { return AllLimits_; }
+  const ResourceTree &allLimits() const { return AllLimits_; }
   /// The load of a task of this size on the server.
-  double loadOf(ServerIndex Server, const Resources &Reservation,
-                std::uint32_t ThrottlePercent) const;
+  double computeLoad(ServerIndex Server, const Resources &Reservation,
+                     std::uint32_t ThrottlePercent) const;
 
 private:
-  void refresh(ServerIndex Server);
+  void updateIndexes(ServerIndex Server);
 
   std::unordered_map<BackendServerId, ServerIndex> Positions_;
   std::vector<std::unique_ptr<ServerEntry>> Entries_;
-  std::vector<ServerIndex> Unused_;
-  RoomTree Room_;
-  RoomTree Limits_;
-  RoomTree AllLimits_;
+  std::vector<ServerIndex> FreeIndexes_;
+  ResourceTree Room_;
+  ResourceTree Limits_;
+  ResourceTree AllLimits_;
 };
 
 } // namespace tulipweir::decide
--- a/src/decide/SizeLearner.cpp
+++ b/src/decide/SizeLearner.cpp
@@ -8,79 +8,80 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-static constexpr double Growth = 1.03;
+static constexpr double BucketGrowth = 1.03;
 /// Upper edge of the first bucket, in thousandths of a processor or MiB.
 static constexpr double FirstEdge = 10;
 /// Samples that count in full; beyond, all weights are halved.
-static constexpr float Remembered = 512;
+static constexpr float MaxTotalWeight = 512;
 /// Memory that runs out ends a task, so nearly its peak is reserved.
 static constexpr double MemoryQuantile = 0.995;
-static constexpr double LeastMemoryMargin = 0.15;
+static constexpr double MinMemoryMargin = 0.15;
 
 void UsageHistogram::add(std::int64_t Amount) {
   const double Ratio = std::max(1.0, static_cast<double>(Amount) / FirstEdge);
-  const auto Bucket =
-      static_cast<std::size_t>(std::ceil(std::log(Ratio) / std::log(Growth)));
+  const auto Bucket = static_cast<std::size_t>(
+      std::ceil(std::log(Ratio) / std::log(BucketGrowth)));
   Weights_[std::min(Bucket, Buckets - 1)] += 1;
   Total_ += 1;
-  if (Total_ < Remembered)
+  if (Total_ < MaxTotalWeight)
     return;
   for (float &Weight : Weights_)
     Weight /= 2;
   Total_ /= 2;
 }
 
-std::int64_t UsageHistogram::quantile(double Part) const {
-  float Left = Total_ * static_cast<float>(Part);
+std::int64_t UsageHistogram::getQuantile(double Fraction) const {
+  float Remaining = Total_ * static_cast<float>(Fraction);
   double Edge = FirstEdge;
   for (const float Weight : Weights_) {
-    Left -= Weight;
-    if (Left <= 0)
+    Remaining -= Weight;
+    if (Remaining <= 0)
       break;
-    Edge *= Growth;
+    Edge *= BucketGrowth;
   }
-  return Total_ > 0
-             ? static_cast<std::int64_t>(std::ceil(Edge / std::sqrt(Growth)))
-             : 0;
+  return Total_ > 0 ? static_cast<std::int64_t>(
+                          std::ceil(Edge / std::sqrt(BucketGrowth)))
+                    : 0;
 }
 
 void SizeLearner::learn(ClassIndex Class, const Resources &Usage,
-                        bool WithProcessors) {
+                        bool CountProcessors) {
   if (Class >= Classes_.size())
     Classes_.resize(std::size_t{Class} + 1);
-  Learned &Known = Classes_[Class];
-  Known.Memory_.add(Usage.MemoryMib_);
-  ++Known.MemorySamples_;
-  if (!WithProcessors)
+  ClassUsage &Learned = Classes_[Class];
+  Learned.Memory_.add(Usage.MemoryMib_);
+  ++Learned.MemorySamples_;
+  if (!CountProcessors)
     return;
-  Known.Processors_.add(Usage.MilliCpus_);
-  ++Known.ProcessorSamples_;
+  Learned.Processors_.add(Usage.MilliCpus_);
+  ++Learned.ProcessorSamples_;
 }
 
-static std::int64_t withMargin(std::int64_t Measured, std::int64_t Declared,
-                               double Margin, const Policy &Settings) {
-  const double Wanted = static_cast<double>(Measured) * (1 + Margin);
+static std::int64_t addMargin(std::int64_t Measured, std::int64_t Declared,
+                              double Margin, const Policy &Settings) {
+  const double WithMargin = static_cast<double>(Measured) * (1 + Margin);
   const double Floor =
       static_cast<double>(Declared) * Settings.ReserveFloorPart_;
-  return static_cast<std::int64_t>(std::ceil(std::max(Wanted, Floor)));
+  return static_cast<std::int64_t>(std::ceil(std::max(WithMargin, Floor)));
 }
 
-Resources SizeLearner::reserveFor(ClassIndex Class, const Resources &Declared,
-                                  const Policy &Settings) const {
+Resources SizeLearner::computeReservation(ClassIndex Class,
+                                          const Resources &Declared,
+                                          const Policy &Settings) const {
   Resources Reserved = Declared;
   if (Class >= Classes_.size())
     return Reserved;
-  const Learned &Known = Classes_[Class];
-  if (Known.ProcessorSamples_ >= MinSamples)
+  const ClassUsage &Learned = Classes_[Class];
+  if (Learned.ProcessorSamples_ >= MinSamples)
     Reserved.MilliCpus_ =
-        withMargin(Known.Processors_.quantile(Settings.UsageQuantile_),
-                   Declared.MilliCpus_, Settings.UsageMargin_, Settings);
-  if (Known.MemorySamples_ >= MinSamples)
-    Reserved.MemoryMib_ = withMargin(
-        Known.Memory_.quantile(
-            std::max(Settings.UsageQuantile_, MemoryQuantile)),
-        Declared.MemoryMib_, std::max(Settings.UsageMargin_, LeastMemoryMargin),
-        Settings);
+        addMargin(Learned.Processors_.getQuantile(Settings.UsageQuantile_),
+                  Declared.MilliCpus_, Settings.UsageMargin_, Settings);
+  if (Learned.MemorySamples_ >= MinSamples)
+    Reserved.MemoryMib_ =
+        addMargin(Learned.Memory_.getQuantile(
+                      std::max(Settings.UsageQuantile_, MemoryQuantile)),
+                  Declared.MemoryMib_,
+                  std::max(Settings.UsageMargin_, MinMemoryMargin), Settings);
   return Reserved;
 }
 
--- a/src/decide/SizeLearner.h
+++ b/src/decide/SizeLearner.h
@@ -26,7 +26,7 @@
 public:
   void add(std::int64_t Amount);
   /// Middle of the bucket in which the quantile lies; 0 when empty.
-  std::int64_t quantile(double Part) const;
+  std::int64_t getQuantile(double Fraction) const;
 
 private:
   static constexpr std::size_t Buckets = 320;
@@ -38,22 +38,22 @@
 public:
   static constexpr std::uint32_t MinSamples = 8;
 
-  /// WithProcessors is false when the task was throttled: what it used then
+  /// CountProcessors is false when the task was throttled: what it used then
   /// says nothing about what it needs.
-  void learn(ClassIndex Class, const Resources &Usage, bool WithProcessors);
+  void learn(ClassIndex Class, const Resources &Usage, bool CountProcessors);
   /// What to set aside for a task of the class.
-  Resources reserveFor(ClassIndex Class, const Resources &Declared,
-                       const Policy &Settings) const;
+  Resources computeReservation(ClassIndex Class, const Resources &Declared,
+                               const Policy &Settings) const;
   bool isKnown(ClassIndex Class) const;
 
 private:
-  struct Learned {
+  struct ClassUsage {
     UsageHistogram Processors_;
     UsageHistogram Memory_;
     std::uint32_t ProcessorSamples_ = 0;
     std::uint32_t MemorySamples_ = 0;
   };
-  std::vector<Learned> Classes_;
+  std::vector<ClassUsage> Classes_;
 };
 
 } // namespace tulipweir::decide
--- a/src/decide/TailGuard.h
+++ b/src/decide/TailGuard.h
@@ -24,17 +24,18 @@
 
 class TailGuard {
 public:
-  explicit TailGuard(PlannerState &State) : State_(State), Tail_(State) {}
+  explicit TailGuard(PlannerState &State) : State_(State), TailModel_(State) {}
 
   /// Counts and learns from one report.
-  void noteService(const ServiceSample &Sample);
+  void addServiceSample(const ServiceSample &Sample);
   /// Appends at most Budget decisions for servers on which reports crossed a
   /// threshold, and marks their tasks as awaiting the effect.
-  void act(TimePoint Now, std::size_t Budget, std::vector<Decision> &Decisions);
+  void appendDecisions(TimePoint Now, std::size_t Budget,
+                       std::vector<Decision> &Decisions);
 
 private:
   /// A running task and by how much it slows the service.
-  struct Offender {
+  struct Antagonist {
     RunningTask *Task_ = nullptr;
     double Weight_ = 0; ///< Learned effect of a server full of its class.
     double Effect_ = 0; ///< Its own, as a part of the service's p99 alone.
@@ -43,43 +44,45 @@
   /// One server's service that stood over its target.
   struct Excess {
     const ServiceState *Service_ = nullptr;
-    double Alone_ = 0;
+    double BaselineMicros_ = 0;
     double Target_ = 0;
-    double Needed_ = 0; ///< By what part of Alone_ it must get shorter.
+    double Needed_ =
+        0; ///< By what part of BaselineMicros_ it must get shorter.
   };
 
-  void count(ServiceState &Service, bool Counts, const ServiceSample &Sample);
-  std::string explain(const Excess &Over) const;
-  void noteShare(ServiceIndex Service, const ServiceSample &Sample);
+  void updateReportCounts(ServiceState &Service, bool IsCounted,
+                          const ServiceSample &Sample);
+  std::string describeReason(const Excess &Over) const;
+  void updateOverTargetShare(ServiceIndex Service, const ServiceSample &Sample);
   bool isOver(const ServiceState &Service) const;
   std::optional<Excess> findExcess(const ServerEntry &Server) const;
-  std::vector<Offender> listOffenders(const ServerEntry &Server,
-                                      const ServiceState &Service,
-                                      TimePoint Now) const;
-  bool isBatchBlameless(const Excess &Over,
-                        const std::vector<Offender> &Offenders,
-                        TimePoint Now) const;
-  void relieve(ServerEntry &Server, const Excess &Over, TimePoint Now,
-               std::size_t Budget, std::vector<Decision> &Decisions);
+  std::vector<Antagonist> listAntagonists(const ServerEntry &Server,
+                                          const ServiceState &Service,
+                                          TimePoint Now) const;
+  bool isCausedOutsideBatch(const Excess &Over,
+                            const std::vector<Antagonist> &Antagonists,
+                            TimePoint Now) const;
+  void reduceExcess(ServerEntry &Server, const Excess &Over, TimePoint Now,
+                    std::size_t Budget, std::vector<Decision> &Decisions);
   /// After a relapse only the tasks released before it are to blame.
-  static void blameReleased(const ServerEntry &Server,
-                            std::vector<Offender> &Offenders);
+  static void keepReleasedTasks(const ServerEntry &Server,
+                                std::vector<Antagonist> &Antagonists);
   void throttle(ServerEntry &Server, const Excess &Over,
-                std::vector<Offender> Offenders, TimePoint Now,
+                std::vector<Antagonist> Antagonists, TimePoint Now,
                 std::size_t Budget, std::vector<Decision> &Decisions);
   void evict(ServerEntry &Server, const Excess &Over,
-             std::vector<Offender> Offenders, TimePoint Now, std::size_t Budget,
-             std::vector<Decision> &Decisions);
-  void restore(ServerEntry &Server, TimePoint Now, std::size_t Budget,
-               std::vector<Decision> &Decisions);
+             std::vector<Antagonist> Antagonists, TimePoint Now,
+             std::size_t Budget, std::vector<Decision> &Decisions);
+  void releaseThrottled(ServerEntry &Server, TimePoint Now, std::size_t Budget,
+                        std::vector<Decision> &Decisions);
   std::vector<RunningTask *> listThrottled(const ServerEntry &Server,
                                            TimePoint Now) const;
   void markPending(ServerEntry &Server, RunningTask &Task, TimePoint Now);
-  bool isReadyToRestore(const ServerEntry &Server) const;
+  bool canRelease(const ServerEntry &Server) const;
 
   PlannerState &State_;
-  TailModel Tail_;
-  std::set<ServerIndex> ToCheck_;
+  TailModel TailModel_;
+  std::set<ServerIndex> ServersToCheck_;
 };
 
 } // namespace tulipweir::decide
--- a/src/decide/TailModel.h
+++ b/src/decide/TailModel.h
@@ -14,7 +14,7 @@
 
 namespace tulipweir::decide {
 
-struct Pressure {
+struct TailPressure {
   double Value_ = 0;
   double Confidence_ = 0;    ///< In the added class's effect; 1 without one.
   ServiceIndex Service_ = 0; ///< The one nearest to its target.
@@ -32,16 +32,17 @@
   explicit TailModel(const PlannerState &State) : State_(State) {}
 
   /// The pressure on a server as it is, or with a load added to it.
-  Pressure pressureOn(const ServerEntry &Server, const ClassLoad *Added,
-                      LoadExpectation Expected, TimePoint Now) const;
+  TailPressure predictPressure(const ServerEntry &Server,
+                               const ClassLoad *Added, LoadExpectation Expected,
+                               TimePoint Now) const;
   /// The band to plan for: the highest one of the last ten minutes.
-  static LoadBand planningBand(const ServiceState &Service, TimePoint Now);
+  static LoadBand getPlanningBand(const ServiceState &Service, TimePoint Now);
   /// By what part the service's p99 alone may grow.
-  double headroomOf(const ServiceState &Service, LoadBand Band) const;
+  double computeHeadroom(const ServiceState &Service, LoadBand Band) const;
   /// The pressure up to which tasks are placed. The heavier the weight of
   /// the tail among all weights, and the more reports stand over their
   /// targets, the lower.
-  double ceiling(double Confidence) const;
+  double getPressureLimit(double Confidence) const;
 
 private:
   const PlannerState &State_;
--- a/src/decide/TokenBucket.cpp
+++ b/src/decide/TokenBucket.cpp
@@ -11,7 +11,7 @@
     : PerSecond_(PerSecond), Burst_(Burst), Tokens_(Burst), UpdatedAt_(Now) {}
 
 bool TokenBucket::tryTake(TimePoint Now, double Amount) {
-  Tokens_ = countAt(Now);
+  Tokens_ = countTokens(Now);
   UpdatedAt_ = std::max(UpdatedAt_, Now);
   if (Tokens_ < Amount)
     return false;
@@ -20,14 +20,14 @@
 }
 
 void TokenBucket::setLimits(double PerSecond, double Burst, TimePoint Now) {
-  Tokens_ = std::min(countAt(Now), Burst);
+  Tokens_ = std::min(countTokens(Now), Burst);
   UpdatedAt_ = std::max(UpdatedAt_, Now);
   PerSecond_ = PerSecond;
   Burst_ = Burst;
 }
 
-Duration TokenBucket::timeUntil(TimePoint Now, double Amount) const {
-  const double Missing = Amount - countAt(Now);
+Duration TokenBucket::getTimeUntil(TimePoint Now, double Amount) const {
+  const double Missing = Amount - countTokens(Now);
   if (Missing <= 0)
     return Duration::zero();
   if (PerSecond_ <= 0 || Amount > Burst_)
@@ -38,9 +38,9 @@
                   MaxWait);
 }
 
-double TokenBucket::countAt(TimePoint Now) const {
+double TokenBucket::countTokens(TimePoint Now) const {
   if (Now <= UpdatedAt_)
     return Tokens_;
-  const std::chrono::duration<double> Passed = Now - UpdatedAt_;
-  return std::min(Burst_, Tokens_ + Passed.count() * PerSecond_);
+  const std::chrono::duration<double> Elapsed = Now - UpdatedAt_;
+  return std::min(Burst_, Tokens_ + Elapsed.count() * PerSecond_);
 }
--- a/src/decide/UsageGuard.h
+++ b/src/decide/UsageGuard.h
@@ -22,20 +22,21 @@
 public:
   explicit UsageGuard(PlannerState &State) : State_(State) {}
 
-  void noteUsage(const UsageSample &Sample);
+  void addUsageSample(const UsageSample &Sample);
   /// Appends at most Budget decisions.
-  void act(TimePoint Now, std::size_t Budget, std::vector<Decision> &Decisions);
+  void appendDecisions(TimePoint Now, std::size_t Budget,
+                       std::vector<Decision> &Decisions);
 
 private:
-  Resources wantedFor(const RunningTask &Task) const;
+  Resources computeWantedReservation(const RunningTask &Task) const;
   bool isWorthResizing(const RunningTask &Task, const Resources &Wanted) const;
-  void queue(RunningTask &Task);
-  std::optional<Decision> judge(RunningTask &Task, TimePoint Now);
+  void enqueueTask(RunningTask &Task);
+  std::optional<Decision> decideTask(RunningTask &Task, TimePoint Now);
   std::optional<Decision> resize(RunningTask &Task, TimePoint Now);
-  std::optional<Decision> punish(RunningTask &Task, TimePoint Now);
+  std::optional<Decision> limitTask(RunningTask &Task, TimePoint Now);
 
   PlannerState &State_;
-  std::deque<TaskId> ToCheck_;
+  std::deque<TaskId> TasksToCheck_;
 };
 
 } // namespace tulipweir::decide
--- a/src/decide/WaitQueue.cpp
+++ b/src/decide/WaitQueue.cpp
@@ -9,47 +9,48 @@
 using namespace tulipweir::decide;
 
 /// Parked groups looked at, and woken, when room comes free.
-static constexpr std::size_t MaxLookedAt = 64;
+static constexpr std::size_t MaxScanned = 64;
 static constexpr std::size_t MaxWoken = 8;
 
 /// Urgent work is tried again soon: each try looks at further servers.
 static constexpr Duration UrgentBackoff = std::chrono::milliseconds(250);
 
-static Duration firstBackoff(ReasonCode Reason) {
+static Duration getInitialBackoff(ReasonCode Reason) {
   using std::chrono::seconds;
   return Reason == ReasonCode::NeverFits ? seconds(5) : seconds(1);
 }
 
-static Duration longestBackoff(ReasonCode Reason) {
+static Duration getMaxBackoff(ReasonCode Reason) {
   using std::chrono::seconds;
   return Reason == ReasonCode::NeverFits ? seconds(120) : seconds(8);
 }
 
 bool GroupKey::operator<(const GroupKey &Other) const {
-  const auto TieOf = [](const GroupKey &Key) {
+  const auto MakeTie = [](const GroupKey &Key) {
     return std::tie(Key.Job_, Key.Priority_, Key.Declared_.MilliCpus_,
                     Key.Declared_.MemoryMib_, Key.Declared_.Accelerators_);
   };
-  return TieOf(*this) < TieOf(Other);
+  return MakeTie(*this) < MakeTie(Other);
 }
 
-WaitQueue::WaitQueue(const Policy &Settings, Handicap PutOff)
+WaitQueue::WaitQueue(const Policy &Settings, OrderPenalty ComputePenalty)
     : UrgentPriority_(Settings.UrgentPriority_),
-      AgeingStep_(Settings.AgeingStep_), PutOff_(std::move(PutOff)) {}
+      AgeingStep_(Settings.AgeingStep_),
+      ComputePenalty_(std::move(ComputePenalty)) {}
 
-GroupKey WaitQueue::keyOf(const TaskInfo &Task) {
+GroupKey WaitQueue::makeKey(const TaskInfo &Task) {
   return {Task.Task_.Job_, Task.Priority_, Task.Declared_};
 }
 
-QueuePosition WaitQueue::positionOf(const GroupKey &Key,
-                                    const Group &Value) const {
+QueuePosition WaitQueue::computePosition(const GroupKey &Key,
+                                         const Group &Entry) const {
   QueuePosition Position;
   Position.Tier_ = Key.Priority_ >= UrgentPriority_ ? 0 : 1;
   // Far more steps than an hour each would leave the range of the clock.
   constexpr std::uint32_t MostSteps = 100000;
-  const auto &[Since, Index] = *Value.Tasks_.begin();
+  const auto &[Since, Index] = *Entry.Tasks_.begin();
   const WaitingTask *First = find(TaskId{Key.Job_, Index});
-  Position.VirtualStart_ = Since + PutOff_(First->Info_) -
+  Position.VirtualStart_ = Since + ComputePenalty_(First->Info_) -
                            AgeingStep_ * std::min(Key.Priority_, MostSteps);
   Position.Group_ = Key;
   return Position;
@@ -61,93 +62,93 @@
   Ready_.clear();
   ParkedOrder_.clear();
   ParkedTimes_.clear();
-  for (auto &[Key, Value] : Groups_) {
-    Value.Parked_ = false;
-    index(Key, Value);
+  for (auto &[Key, Entry] : Groups_) {
+    Entry.Parked_ = false;
+    addToIndexes(Key, Entry);
   }
 }
 
-void WaitQueue::index(const GroupKey &Key, Group &Value) {
-  Value.Position_ = positionOf(Key, Value);
-  if (!Value.Parked_) {
-    Ready_.insert(Value.Position_);
+void WaitQueue::addToIndexes(const GroupKey &Key, Group &Entry) {
+  Entry.Position_ = computePosition(Key, Entry);
+  if (!Entry.Parked_) {
+    Ready_.insert(Entry.Position_);
     return;
   }
-  ParkedOrder_.insert(Value.Position_);
-  ParkedTimes_.insert({Value.State_.RetryAt_, Key});
+  ParkedOrder_.insert(Entry.Position_);
+  ParkedTimes_.insert({Entry.State_.RetryAt_, Key});
 }
 
-void WaitQueue::unindex(Group &Value) {
-  if (!Value.Parked_) {
-    Ready_.erase(Value.Position_);
+void WaitQueue::removeFromIndexes(Group &Entry) {
+  if (!Entry.Parked_) {
+    Ready_.erase(Entry.Position_);
     return;
   }
-  ParkedOrder_.erase(Value.Position_);
-  ParkedTimes_.erase({Value.State_.RetryAt_, Value.Position_.Group_});
+  ParkedOrder_.erase(Entry.Position_);
+  ParkedTimes_.erase({Entry.State_.RetryAt_, Entry.Position_.Group_});
 }
 
 void WaitQueue::add(const TaskInfo &Task, TimePoint Since) {
-  const auto Known = Tasks_.find(Task.Task_);
-  if (Known != Tasks_.end()) {
-    Since = Known->second.Since_;
+  const auto TaskIt = Tasks_.find(Task.Task_);
+  if (TaskIt != Tasks_.end()) {
+    Since = TaskIt->second.Since_;
     remove(Task.Task_);
   }
   Tasks_.emplace(Task.Task_, WaitingTask{Task, Since});
-  const GroupKey Key = keyOf(Task);
-  Group &Value = Groups_[Key];
-  if (!Value.Tasks_.empty())
-    unindex(Value);
-  Value.Tasks_.insert({Since, Task.Task_.Index_});
-  index(Key, Value);
+  const GroupKey Key = makeKey(Task);
+  Group &Entry = Groups_[Key];
+  if (!Entry.Tasks_.empty())
+    removeFromIndexes(Entry);
+  Entry.Tasks_.insert({Since, Task.Task_.Index_});
+  addToIndexes(Key, Entry);
 }
 
 void WaitQueue::remove(const TaskId &Task) {
-  const auto Known = Tasks_.find(Task);
-  if (Known == Tasks_.end())
+  const auto TaskIt = Tasks_.find(Task);
+  if (TaskIt == Tasks_.end())
     return;
-  const GroupKey Key = keyOf(Known->second.Info_);
-  const auto Found = Groups_.find(Key);
-  assert(Found != Groups_.end() && "a waiting task has no group");
-  Group &Value = Found->second;
-  unindex(Value);
-  Value.Tasks_.erase({Known->second.Since_, Task.Index_});
-  Tasks_.erase(Known);
-  if (Value.Tasks_.empty())
-    Groups_.erase(Found);
+  const GroupKey Key = makeKey(TaskIt->second.Info_);
+  const auto GroupIt = Groups_.find(Key);
+  assert(GroupIt != Groups_.end() && "a waiting task has no group");
+  Group &Entry = GroupIt->second;
+  removeFromIndexes(Entry);
+  Entry.Tasks_.erase({TaskIt->second.Since_, Task.Index_});
+  Tasks_.erase(TaskIt);
+  if (Entry.Tasks_.empty())
+    Groups_.erase(GroupIt);
   else
-    index(Key, Value);
+    addToIndexes(Key, Entry);
 }
 
 bool WaitQueue::park(const TaskId &Task, ReasonCode Reason, TimePoint Now) {
-  const auto Known = Tasks_.find(Task);
-  assert(Known != Tasks_.end() && "parked a task that does not wait");
-  const GroupKey Key = keyOf(Known->second.Info_);
-  Group &Value = Groups_.at(Key);
-  unindex(Value);
-  ParkedState &State = Value.State_;
+  const auto TaskIt = Tasks_.find(Task);
+  assert(TaskIt != Tasks_.end() && "parked a task that does not wait");
+  const GroupKey Key = makeKey(TaskIt->second.Info_);
+  Group &Entry = Groups_.at(Key);
+  removeFromIndexes(Entry);
+  ParkedState &State = Entry.State_;
   const bool Changed =
       State.Backoff_ == Duration::zero() || State.Reason_ != Reason;
   State.Backoff_ = Changed
-                       ? firstBackoff(Reason)
-                       : std::min(State.Backoff_ * 2, longestBackoff(Reason));
-  if (Value.Position_.Tier_ == 0 && Reason != ReasonCode::NeverFits)
+                       ? getInitialBackoff(Reason)
+                       : std::min(State.Backoff_ * 2, getMaxBackoff(Reason));
+  if (Entry.Position_.Tier_ == 0 && Reason != ReasonCode::NeverFits)
     State.Backoff_ = UrgentBackoff;
   State.Reason_ = Reason;
   State.RetryAt_ = Now + State.Backoff_;
-  Value.Parked_ = true;
-  index(Key, Value);
+  Entry.Parked_ = true;
+  addToIndexes(Key, Entry);
   return Changed;
 }
 
-void WaitQueue::wake(Group &Value) {
-  const GroupKey Key = Value.Position_.Group_;
-  unindex(Value);
-  Value.Parked_ = false;
-  index(Key, Value);
+void WaitQueue::wake(Group &Entry) {
+  const GroupKey Key = Entry.Position_.Group_;
+  removeFromIndexes(Entry);
+  Entry.Parked_ = false;
+  addToIndexes(Key, Entry);
 }
 
-void WaitQueue::wakeDue(TimePoint Now, std::size_t Most) {
-  for (std::size_t I = 0; I < Most && !ParkedTimes_.empty(); ++I) {
+void WaitQueue::wakeDue(TimePoint Now, std::size_t Limit) {
+  for (std::size_t I = 0; I < Limit && !ParkedTimes_.empty(); ++I) {
     const auto First = *ParkedTimes_.begin();
     if (First.first > Now)
       return;
@@ -157,15 +158,15 @@
 
 void WaitQueue::wakeFitting(const Resources &Room) {
   std::vector<GroupKey> Woken;
-  std::size_t LookedAt = 0;
+  std::size_t Scanned = 0;
   for (const QueuePosition &Position : ParkedOrder_) {
-    if (++LookedAt > MaxLookedAt || Woken.size() >= MaxWoken)
+    if (++Scanned > MaxScanned || Woken.size() >= MaxWoken)
       break;
     // A learned reservation may be smaller than what was declared.
-    constexpr std::int64_t LearnedPart = 5;
+    constexpr std::int64_t MaxLearnedShrink = 5;
     const Resources &Declared = Position.Group_.Declared_;
-    const Resources Least{Declared.MilliCpus_ / LearnedPart,
-                          Declared.MemoryMib_ / LearnedPart,
+    const Resources Least{Declared.MilliCpus_ / MaxLearnedShrink,
+                          Declared.MemoryMib_ / MaxLearnedShrink,
                           Declared.Accelerators_};
     const ReasonCode Reason = Groups_.at(Position.Group_).State_.Reason_;
     const bool WaitsForRoom =
@@ -179,9 +180,9 @@
 
 void WaitQueue::wakeReason(ReasonCode Reason) {
   std::vector<GroupKey> Woken;
-  std::size_t LookedAt = 0;
+  std::size_t Scanned = 0;
   for (const QueuePosition &Position : ParkedOrder_) {
-    if (++LookedAt > MaxLookedAt || Woken.size() >= MaxWoken)
+    if (++Scanned > MaxScanned || Woken.size() >= MaxWoken)
       break;
     if (Groups_.at(Position.Group_).State_.Reason_ == Reason)
       Woken.push_back(Position.Group_);
@@ -194,21 +195,22 @@
   if (Ready_.empty())
     return nullptr;
   const GroupKey &Key = Ready_.begin()->Group_;
-  const Group &Value = Groups_.at(Key);
-  return find(TaskId{Key.Job_, Value.Tasks_.begin()->second});
+  const Group &Entry = Groups_.at(Key);
+  return find(TaskId{Key.Job_, Entry.Tasks_.begin()->second});
 }
 
 const WaitingTask *WaitQueue::find(const TaskId &Task) const {
-  const auto Found = Tasks_.find(Task);
-  return Found == Tasks_.end() ? nullptr : &Found->second;
+  const auto It = Tasks_.find(Task);
+  return It == Tasks_.end() ? nullptr : &It->second;
 }
 
-std::optional<ParkedState> WaitQueue::parkedState(const TaskId &Task) const {
-  const WaitingTask *Known = find(Task);
-  if (!Known)
+std::optional<ParkedState>
+WaitQueue::findParkedState(const TaskId &Task) const {
+  const WaitingTask *Waiting = find(Task);
+  if (!Waiting)
     return std::nullopt;
-  const Group &Value = Groups_.at(keyOf(Known->Info_));
-  if (!Value.Parked_)
+  const Group &Entry = Groups_.at(makeKey(Waiting->Info_));
+  if (!Entry.Parked_)
     return std::nullopt;
-  return Value.State_;
+  return Entry.State_;
 }
--- a/src/decide/WaitQueue.h
+++ b/src/decide/WaitQueue.h
@@ -58,9 +58,9 @@
 class WaitQueue {
 public:
   /// By how much a task's start in the order is put off; bounded.
-  using Handicap = std::function<Duration(const TaskInfo &)>;
+  using OrderPenalty = std::function<Duration(const TaskInfo &)>;
 
-  WaitQueue(const Policy &Settings, Handicap PutOff);
+  WaitQueue(const Policy &Settings, OrderPenalty ComputePenalty);
 
   // Commands.
   void setPolicy(const Policy &Settings);
@@ -70,7 +70,7 @@
   /// Parks the group of the task; returns whether its reason is a new one.
   bool park(const TaskId &Task, ReasonCode Reason, TimePoint Now);
   /// Makes groups whose retry time came ready again, Most at most.
-  void wakeDue(TimePoint Now, std::size_t Most);
+  void wakeDue(TimePoint Now, std::size_t Limit);
   /// Makes parked groups that fit in Room ready, first ones first.
   void wakeFitting(const Resources &Room);
   /// Makes groups that are parked for Reason ready, a bounded number.
@@ -80,7 +80,7 @@
   /// The task to try next, or nullptr.
   const WaitingTask *first() const;
   const WaitingTask *find(const TaskId &Task) const;
-  std::optional<ParkedState> parkedState(const TaskId &Task) const;
+  std::optional<ParkedState> findParkedState(const TaskId &Task) const;
   std::size_t size() const { return Tasks_.size(); }
 
 private:
@@ -92,15 +92,15 @@
   };
   using Groups = std::map<GroupKey, Group>;
 
-  static GroupKey keyOf(const TaskInfo &Task);
-  QueuePosition positionOf(const GroupKey &Key, const Group &Value) const;
-  void index(const GroupKey &Key, Group &Value);
-  void unindex(Group &Value);
-  void wake(Group &Value);
+  static GroupKey makeKey(const TaskInfo &Task);
+  QueuePosition computePosition(const GroupKey &Key, const Group &Entry) const;
+  void addToIndexes(const GroupKey &Key, Group &Entry);
+  void removeFromIndexes(Group &Entry);
+  void wake(Group &Entry);
 
   std::uint32_t UrgentPriority_;
   Duration AgeingStep_;
-  Handicap PutOff_;
+  OrderPenalty ComputePenalty_;
   std::unordered_map<TaskId, WaitingTask> Tasks_;
   Groups Groups_;
   std::set<QueuePosition> Ready_;
--- a/src/entry/ServiceGate.cpp
+++ b/src/entry/ServiceGate.cpp
@@ -24,7 +24,7 @@
   decide::AdmissionSettings Settings;
   Settings.QueueLimit_ = Config.QueueLimit_;
   Admission_.setSettings(Settings);
-  Budget_.setPart(RetryBudget);
+  Budget_.setRetryRatio(RetryBudget);
 }
 
 void ServiceGate::setServers(
@@ -40,7 +40,7 @@
   Chooser_.setServers(Granted, Clock_.now());
 }
 
-decide::SlotView ServiceGate::viewSlots() const {
+decide::SlotStatus ServiceGate::viewSlots() const {
   return {Chooser_.freeSlots(), Chooser_.totalSlots(), Chooser_.meanLatency()};
 }
 
@@ -53,7 +53,7 @@
     const auto Found = Servers_.find(*Chosen);
     if (Found == Servers_.end() || !Found->second->tryTake(Now))
       continue;
-    Chooser_.noteStarted(*Chosen);
+    Chooser_.recordStart(*Chosen);
     return Found->second;
   }
   return nullptr;
@@ -79,12 +79,12 @@
     if (!Answer.Slot_ && !canServe(Now)) {
       Answer.RetryAfter_ = NoServersRetry;
     } else if (!Answer.Slot_) {
-      decide::SlotView Slots = viewSlots();
+      decide::SlotStatus Slots = viewSlots();
       Slots.Free_ = 0; // What is free is not for this request.
-      const decide::AdmissionAnswer Asked =
-          Admission_.ask(Now, Deadline, Slots);
+      const decide::AdmissionResult Asked =
+          Admission_.evaluate(Now, Deadline, Slots);
       if (Asked.Choice_ == decide::AdmissionChoice::Queue) {
-        Admission_.noteQueued(Now, Slots);
+        Admission_.recordQueued(Now, Slots);
         Queue_.push_back({Deadline, Except, std::move(Done)});
         return;
       }
@@ -105,7 +105,7 @@
 
 void ServiceGate::noteFirstTry() {
   std::lock_guard Lock(Mutex_);
-  Budget_.noteRequest();
+  Budget_.recordFirstTry();
 }
 
 bool ServiceGate::trySpendRetry() {
@@ -117,7 +117,7 @@
   std::lock_guard Lock(Mutex_);
   if (!Servers_.contains(Server))
     return false;
-  Chooser_.noteStarted(Server);
+  Chooser_.recordStart(Server);
   return true;
 }
 
@@ -126,9 +126,9 @@
                             Duration Latency) {
   std::lock_guard Lock(Mutex_);
   if (Result)
-    Chooser_.noteEnded(Server, *Result, Latency, Clock_.now());
+    Chooser_.recordEnd(Server, *Result, Latency, Clock_.now());
   else
-    Chooser_.noteReleased(Server);
+    Chooser_.releaseSlot(Server);
 }
 
 std::optional<ServiceGate::Handed> ServiceGate::takeNext(TimePoint Now) {
@@ -139,11 +139,11 @@
   const Duration Left = First.Deadline_ - Now;
   if (Left <= Duration::zero() || Left < Chooser_.meanLatency()) {
     // Its answer would come too late: the slot is for one that can use it.
-    Admission_.noteGivenUp();
+    Admission_.recordAbandoned();
     Answer.Reason_ = RequestReason::TooLate;
-    Answer.RetryAfter_ = Admission_.ask(Now, Now, viewSlots()).RetryAfter_;
+    Answer.RetryAfter_ = Admission_.evaluate(Now, Now, viewSlots()).RetryAfter_;
   } else if (!canServe(Now)) {
-    Admission_.noteGivenUp();
+    Admission_.recordAbandoned();
     Answer.RetryAfter_ = NoServersRetry;
   } else {
     Answer.Slot_ = takeSlot(Now, First.Except_);
@@ -152,7 +152,7 @@
       Answer.Slot_ = takeSlot(Now, std::nullopt);
     if (!Answer.Slot_)
       return std::nullopt;
-    Admission_.noteDrained(Now);
+    Admission_.recordDequeued(Now);
   }
   Handed Result{std::move(First.Done_), std::move(Answer)};
   Queue_.pop_front();
@@ -184,10 +184,11 @@
         Kept.push_back(std::move(One));
         continue;
       }
-      Admission_.noteGivenUp();
+      Admission_.recordAbandoned();
       GateAnswer Answer;
       Answer.Reason_ = RequestReason::TooLate;
-      Answer.RetryAfter_ = Admission_.ask(Now, Now, viewSlots()).RetryAfter_;
+      Answer.RetryAfter_ =
+          Admission_.evaluate(Now, Now, viewSlots()).RetryAfter_;
       Refused.push_back({std::move(One.Done_), std::move(Answer)});
     }
     Queue_ = std::move(Kept);
@@ -202,7 +203,7 @@
   std::lock_guard Lock(Mutex_);
   Dropped.swap(Queue_);
   for (std::size_t Count = Dropped.size(); Count > 0; --Count)
-    Admission_.noteGivenUp();
+    Admission_.recordAbandoned();
 }
 
 Duration ServiceGate::getServiceTime() const {
@@ -223,7 +224,7 @@
   View.FreeSlots_ = Chooser_.freeSlots();
   View.TotalSlots_ = Chooser_.totalSlots();
   View.DrainPerSecond_ = Admission_.drainRate(Clock_.now());
-  View.RetriesSaved_ = Budget_.saved();
+  View.RetriesSaved_ = Budget_.balance();
   View.MeanLatency_ = Chooser_.meanLatency();
   View.Servers_ = Chooser_.listServers();
   return View;
--- a/tests/decide/NaiveLedger.h
+++ b/tests/decide/NaiveLedger.h
@@ -25,14 +25,14 @@
 /// Stands for the state machine of the log: refuses what would overfill.
 class NaiveLedger {
 public:
-  Resources usedOn(const BackendServerId &Server) const {
+  Resources sumReservedOn(const BackendServerId &Server) const {
     Resources Sum;
     for (const auto &[Id, Entry] : Placed_)
       if (Entry.Server_ == Server)
         Sum = Sum + Entry.Reservation_;
     return Sum;
   }
-  Resources usedBy(const TeamId &Team) const {
+  Resources sumReservedBy(const TeamId &Team) const {
     Resources Sum;
     for (const auto &[Id, Entry] : Placed_)
       if (Entry.Info_.Team_ == Team)
@@ -46,10 +46,10 @@
         }));
   }
   bool fits(const BackendServerId &Server, const Resources &Added) const {
-    const auto Found = Servers_.find(Server);
-    return Found != Servers_.end() &&
-           (usedOn(Server) + Added)
-               .fitsIn(Found->second.Capacity_ - Found->second.ServiceShare_);
+    const auto It = Servers_.find(Server);
+    return It != Servers_.end() &&
+           (sumReservedOn(Server) + Added)
+               .fitsIn(It->second.Capacity_ - It->second.ServiceShare_);
   }
   bool anyFits(const Resources &Added) const {
     return std::any_of(Servers_.begin(), Servers_.end(), [&](const auto &Pair) {
@@ -61,14 +61,14 @@
   std::map<TaskId, LedgerEntry> Placed_;
 };
 
-inline BackendServerId serverNamed(int I) {
+inline BackendServerId makeServerId(int I) {
   return BackendServerId("vm-" + std::to_string(I));
 }
 
 inline ServerInfo makeServer(int I, const Resources &Capacity,
                              int PerRack = 8) {
   ServerInfo Info;
-  Info.Server_ = serverNamed(I);
+  Info.Server_ = makeServerId(I);
   Info.Rack_ = RackId("rack-" + std::to_string(I / PerRack));
   Info.Capacity_ = Capacity;
   return Info;
@@ -88,12 +88,12 @@
 }
 
 /// The decisions of one kind.
-inline std::vector<Decision> only(const std::vector<Decision> &All,
-                                  DecisionKind Kind) {
-  std::vector<Decision> Some;
-  std::copy_if(All.begin(), All.end(), std::back_inserter(Some),
-               [&](const Decision &Value) { return Value.Kind_ == Kind; });
-  return Some;
+inline std::vector<Decision> filterByKind(const std::vector<Decision> &All,
+                                          DecisionKind Kind) {
+  std::vector<Decision> Matching;
+  std::copy_if(All.begin(), All.end(), std::back_inserter(Matching),
+               [&](const Decision &D) { return D.Kind_ == Kind; });
+  return Matching;
 }
 
 } // namespace tulipweir::decide
