--- a/tests/decide/PlannerPropertyTest.cpp
+++ b/tests/decide/PlannerPropertyTest.cpp
@@ -19,9 +19,9 @@
 
 namespace {
 /// A planner, the ledger, and a channel between them that delays.
-class Fuzz {
+class PlannerFuzzer {
 public:
-  explicit Fuzz(std::uint64_t Seed)
+  explicit PlannerFuzzer(std::uint64_t Seed)
       : Random_(Seed), Planner_(makePolicy(), Seed) {}
 
   static Policy makePolicy() {
@@ -35,40 +35,42 @@
 
   void step() {
     Now_ += std::chrono::milliseconds(draw(400));
-    using Event = void (Fuzz::*)();
+    using Event = void (PlannerFuzzer::*)();
     static constexpr Event Events[] = {
-        &Fuzz::addTasks,  &Fuzz::addTasks,   &Fuzz::changeServer,
-        &Fuzz::endTask,   &Fuzz::endTask,    &Fuzz::cancelTasks,
-        &Fuzz::reportUse, &Fuzz::reportTail, &Fuzz::loseServer};
+        &PlannerFuzzer::addTasks,     &PlannerFuzzer::addTasks,
+        &PlannerFuzzer::changeServer, &PlannerFuzzer::endTask,
+        &PlannerFuzzer::endTask,      &PlannerFuzzer::cancelTasks,
+        &PlannerFuzzer::reportUsage,  &PlannerFuzzer::reportTail,
+        &PlannerFuzzer::removeServer};
     (this->*Events[draw(std::size(Events))])();
     deliver();
-    for (const Decision &Value : Planner_.decide(Now_, 1 + draw(16)))
-      take(Value);
+    for (const Decision &D : Planner_.decide(Now_, 1 + draw(16)))
+      apply(D);
     checkSums();
   }
 
   /// Ends all, delivers all, and checks that nothing is held any more.
   void finish() {
     // Placements that are on their way are committed, then ended too.
-    while (!Channel_.empty() || !Ledger_.Placed_.empty()) {
+    while (!Events_.empty() || !Ledger_.Placed_.empty()) {
       while (!Ledger_.Placed_.empty())
         end(Ledger_.Placed_.begin()->first, EndReason::Cancelled);
       Now_ += 1min;
       deliver();
     }
-    for (const TaskId &Task : Known_)
+    for (const TaskId &Task : Tasks_)
       Planner_.removeWaiting(Task);
     for (const ServerView &View : Planner_.listServers())
       EXPECT_EQ(View.Reserved_, Resources()) << View.Server_.value();
   }
 
-  int Places_ = 0;
-  int Refused_ = 0;
+  int PlacementCount_ = 0;
+  int RefusedCount_ = 0;
 
 private:
-  struct Delayed {
+  struct DelayedEvent {
     TimePoint At_;
-    std::function<void()> Tell_;
+    std::function<void()> Deliver_;
   };
   struct Outstanding {
     BackendServerId Server_;
@@ -78,21 +80,21 @@
 
   std::size_t draw(std::size_t Below) { return Random_() % Below; }
 
-  void tellLater(std::function<void()> Tell) {
+  void scheduleEvent(std::function<void()> Deliver) {
     const auto Lag = std::chrono::milliseconds(draw(2) ? 0 : draw(4000));
-    Channel_.push_back({Now_ + Lag, std::move(Tell)});
+    Events_.push_back({Now_ + Lag, std::move(Deliver)});
   }
 
   /// Tells what is due, in any order.
   void deliver() {
-    std::shuffle(Channel_.begin(), Channel_.end(), Random_);
-    auto Due = std::move(Channel_);
-    Channel_.clear();
-    for (Delayed &Each : Due) {
-      if (Each.At_ <= Now_)
-        Each.Tell_();
+    std::shuffle(Events_.begin(), Events_.end(), Random_);
+    auto Due = std::move(Events_);
+    Events_.clear();
+    for (DelayedEvent &Item : Due) {
+      if (Item.At_ <= Now_)
+        Item.Deliver_();
       else
-        Channel_.push_back(std::move(Each));
+        Events_.push_back(std::move(Item));
     }
   }
 
@@ -107,8 +109,8 @@
                    draw(5) == 0 ? 100 : static_cast<std::uint32_t>(draw(10)));
       Task.Team_ = TeamId(draw(3) == 0 ? "small" : "large");
       Task.NextAttempt_ = AttemptNumber(Attempts_[Task.Task_] + 1);
-      Known_.insert(Task.Task_);
-      Infos_[Task.Task_] = Task;
+      Tasks_.insert(Task.Task_);
+      TaskInfos_[Task.Task_] = Task;
       Planner_.addWaiting(Task, Now_);
     }
   }
@@ -118,14 +120,14 @@
         static_cast<int>(draw(10)),
         Resources::makeFor(8000, 8000, static_cast<std::int64_t>(draw(2))), 3);
     Server.Draining_ = draw(6) == 0;
-    const auto Known = Ledger_.Servers_.find(Server.Server_);
-    if (Known != Ledger_.Servers_.end())
-      Server.Capacity_ = Known->second.Capacity_;
+    const auto It = Ledger_.Servers_.find(Server.Server_);
+    if (It != Ledger_.Servers_.end())
+      Server.Capacity_ = It->second.Capacity_;
     Ledger_.Servers_[Server.Server_] = Server;
     Planner_.upsertServer(Server);
   }
 
-  void loseServer() {
+  void removeServer() {
     if (draw(4) != 0 || Ledger_.Servers_.empty())
       return;
     const auto Server = Ledger_.Servers_.begin()->first;
@@ -144,20 +146,20 @@
     const auto Attempt = Ledger_.Placed_.at(Task).Attempt_;
     Ledger_.Placed_.erase(Task);
     const TimePoint At = Now_;
-    tellLater([=, this] { Planner_.noteEnded(Task, Attempt, Reason, At); });
+    scheduleEvent([=, this] { Planner_.recordEnd(Task, Attempt, Reason, At); });
     if (Reason == EndReason::Finished || Reason == EndReason::Cancelled)
       return;
-    auto Next = Infos_[Task];
+    auto Next = TaskInfos_[Task];
     Next.NextAttempt_ = AttemptNumber(Attempt.value() + 1);
-    tellLater([=, this] { Planner_.addWaiting(Next, At); });
+    scheduleEvent([=, this] { Planner_.addWaiting(Next, At); });
   }
 
   void endTask() {
     if (Ledger_.Placed_.empty())
       return;
-    auto Some = Ledger_.Placed_.begin();
-    std::advance(Some, draw(Ledger_.Placed_.size()));
-    end(Some->first, static_cast<EndReason>(draw(4)));
+    auto It = Ledger_.Placed_.begin();
+    std::advance(It, draw(Ledger_.Placed_.size()));
+    end(It->first, static_cast<EndReason>(draw(4)));
   }
 
   void cancelTasks() {
@@ -173,7 +175,7 @@
     }
   }
 
-  void reportUse() {
+  void reportUsage() {
     for (const auto &[Id, Entry] : Ledger_.Placed_) {
       UsageSample Sample;
       Sample.Task_ = Id;
@@ -186,7 +188,7 @@
           static_cast<std::int64_t>(
               Part * static_cast<double>(Entry.Reservation_.MemoryMib_)));
       Sample.SampledAt_ = Now_;
-      tellLater([=, this] { Planner_.noteUsage(Sample); });
+      scheduleEvent([=, this] { Planner_.addUsageSample(Sample); });
     }
   }
 
@@ -198,102 +200,98 @@
                            std::chrono::milliseconds(40 + draw(200)),
                            static_cast<std::uint32_t>(draw(100)),
                            Now_};
-      tellLater([=, this] { Planner_.noteService(Sample); });
+      scheduleEvent([=, this] { Planner_.addServiceSample(Sample); });
     }
   }
 
   /// What was handed out and may still be committed, per server.
-  Resources outstandingOn(const BackendServerId &Server) const {
+  Resources sumOutstanding(const BackendServerId &Server) const {
     Resources Sum;
-    for (const auto &[Task, Value] : Outstanding_)
-      if (Value.Server_ == Server && Now_ < Value.Until_)
-        Sum = Sum + Value.Amount_;
+    for (const auto &[Task, Pending] : Outstanding_)
+      if (Pending.Server_ == Server && Now_ < Pending.Until_)
+        Sum = Sum + Pending.Amount_;
     return Sum;
   }
 
   void checkFits(const BackendServerId &Server) {
     // The planner hears of ends late, so it never counts less than we do.
-    EXPECT_TRUE(Ledger_.fits(Server, outstandingOn(Server)))
+    EXPECT_TRUE(Ledger_.fits(Server, sumOutstanding(Server)))
         << Server.value() << " would be overfilled";
   }
 
-  void take(const Decision &Value) {
-    EXPECT_FALSE(Value.Text_.empty());
-    EXPECT_LE(Value.Candidates_.size(), 5U);
-    if (Value.Kind_ == DecisionKind::Place)
-      takePlace(Value);
-    else if (Value.Kind_ == DecisionKind::Reserve)
-      takeReserve(Value);
-    else if (Value.Kind_ == DecisionKind::Evict)
-      takeEvict(Value);
-    else if (Value.Kind_ == DecisionKind::Throttle)
-      tellLater([=, this] {
-        Planner_.noteThrottle(*Value.Task_, Value.Attempt_,
-                              Value.ThrottlePercent_, Now_);
+  void apply(const Decision &D) {
+    EXPECT_FALSE(D.Text_.empty());
+    EXPECT_LE(D.Candidates_.size(), 5U);
+    if (D.Kind_ == DecisionKind::Place)
+      applyPlace(D);
+    else if (D.Kind_ == DecisionKind::Reserve)
+      applyReserve(D);
+    else if (D.Kind_ == DecisionKind::Evict)
+      applyEvict(D);
+    else if (D.Kind_ == DecisionKind::Throttle)
+      scheduleEvent([=, this] {
+        Planner_.updateThrottle(*D.Task_, D.Attempt_, D.ThrottlePercent_, Now_);
       });
   }
 
-  void takePlace(const Decision &Value) {
-    ++Places_;
-    const TaskId Task = *Value.Task_;
-    if (!Ledger_.Servers_.contains(*Value.Server_))
+  void applyPlace(const Decision &D) {
+    ++PlacementCount_;
+    const TaskId Task = *D.Task_;
+    if (!Ledger_.Servers_.contains(*D.Server_))
       return;
-    EXPECT_FALSE(Ledger_.Servers_.at(*Value.Server_).Draining_);
+    EXPECT_FALSE(Ledger_.Servers_.at(*D.Server_).Draining_);
     // Not decided twice before the first one's effect could be told.
-    const auto Before = Emitted_.find({Task, Value.Attempt_});
-    EXPECT_TRUE(Before == Emitted_.end() || Now_ - Before->second >= 5s);
+    const auto Before = PlacedAt_.find({Task, D.Attempt_});
+    EXPECT_TRUE(Before == PlacedAt_.end() || Now_ - Before->second >= 5s);
     EXPECT_FALSE(Ledger_.Placed_.contains(Task)) << Task.toString();
-    Emitted_[{Task, Value.Attempt_}] = Now_;
-    Outstanding_[Task] = {*Value.Server_, Value.Reservation_, Now_ + 5s};
-    checkFits(*Value.Server_);
-    const auto Info = Infos_[Task];
-    tellLater([=, this] { commitPlace(Info, Value); });
+    PlacedAt_[{Task, D.Attempt_}] = Now_;
+    Outstanding_[Task] = {*D.Server_, D.Reservation_, Now_ + 5s};
+    checkFits(*D.Server_);
+    const auto Info = TaskInfos_[Task];
+    scheduleEvent([=, this] { commitPlace(Info, D); });
   }
 
   /// The state machine's rules: next attempt only, never overfull.
-  void commitPlace(const TaskInfo &Info, const Decision &Value) {
-    const TaskId Task = *Value.Task_;
+  void commitPlace(const TaskInfo &Info, const Decision &D) {
+    const TaskId Task = *D.Task_;
     Outstanding_.erase(Task);
     const bool Refused = Ledger_.Placed_.contains(Task) ||
-                         Value.Attempt_.value() != Attempts_[Task] + 1 ||
-                         !Ledger_.fits(*Value.Server_, Value.Reservation_);
+                         D.Attempt_.value() != Attempts_[Task] + 1 ||
+                         !Ledger_.fits(*D.Server_, D.Reservation_);
     if (Refused) {
-      ++Refused_;
+      ++RefusedCount_;
       return;
     }
-    Attempts_[Task] = Value.Attempt_.value();
-    Ledger_.Placed_[Task] = {Info, Value.Attempt_, *Value.Server_,
-                             Value.Reservation_};
+    Attempts_[Task] = D.Attempt_.value();
+    Ledger_.Placed_[Task] = {Info, D.Attempt_, *D.Server_, D.Reservation_};
     // The leader is told of a commit when it is applied.
-    Planner_.notePlaced(Info, Value.Attempt_, *Value.Server_,
-                        Value.Reservation_, Now_);
+    Planner_.recordPlacement(Info, D.Attempt_, *D.Server_, D.Reservation_,
+                             Now_);
   }
 
-  void takeReserve(const Decision &Value) {
-    const auto Found = Ledger_.Placed_.find(*Value.Task_);
-    if (Found == Ledger_.Placed_.end() ||
-        Found->second.Attempt_ != Value.Attempt_)
+  void applyReserve(const Decision &D) {
+    const auto It = Ledger_.Placed_.find(*D.Task_);
+    if (It == Ledger_.Placed_.end() || It->second.Attempt_ != D.Attempt_)
       return;
-    const Resources Before = Found->second.Reservation_;
-    if (!Ledger_.fits(*Value.Server_, Value.Reservation_ - Before))
+    const Resources Before = It->second.Reservation_;
+    if (!Ledger_.fits(*D.Server_, D.Reservation_ - Before))
       return;
-    Found->second.Reservation_ = Value.Reservation_;
-    checkFits(*Value.Server_);
-    Planner_.noteReservation(*Value.Task_, Value.Attempt_, Value.Reservation_);
+    It->second.Reservation_ = D.Reservation_;
+    checkFits(*D.Server_);
+    Planner_.updateReservation(*D.Task_, D.Attempt_, D.Reservation_);
   }
 
-  void takeEvict(const Decision &Value) {
-    const auto Found = Ledger_.Placed_.find(*Value.Task_);
-    if (Found == Ledger_.Placed_.end() ||
-        Found->second.Attempt_ != Value.Attempt_)
+  void applyEvict(const Decision &D) {
+    const auto It = Ledger_.Placed_.find(*D.Task_);
+    if (It == Ledger_.Placed_.end() || It->second.Attempt_ != D.Attempt_)
       return;
-    end(*Value.Task_, EndReason::Evicted);
+    end(*D.Task_, EndReason::Evicted);
   }
 
   void checkSums() {
     for (const auto &[Id, Info] : Ledger_.Servers_) {
       const Resources Limit = Info.Capacity_ - Info.ServiceShare_;
-      ASSERT_TRUE(Ledger_.usedOn(Id).fitsIn(Limit)) << Id.value();
+      ASSERT_TRUE(Ledger_.sumReservedOn(Id).fitsIn(Limit)) << Id.value();
     }
   }
 
@@ -301,25 +299,25 @@
   TimePoint Now_{1h};
   Planner Planner_;
   NaiveLedger Ledger_;
-  std::vector<Delayed> Channel_;
+  std::vector<DelayedEvent> Events_;
   std::map<TaskId, Outstanding> Outstanding_;
   std::map<TaskId, std::uint64_t> Attempts_;
-  std::map<TaskId, TaskInfo> Infos_;
-  std::set<TaskId> Known_;
-  std::map<std::pair<TaskId, AttemptNumber>, TimePoint> Emitted_;
+  std::map<TaskId, TaskInfo> TaskInfos_;
+  std::set<TaskId> Tasks_;
+  std::map<std::pair<TaskId, AttemptNumber>, TimePoint> PlacedAt_;
 };
 } // namespace
 
-TEST(PlannerPropertyTest, NoEventsInAnyOrderOverfillAServer) {
-  int Places = 0;
+TEST(PlannerPropertyTest, NoOrderOfEventsOverfillsAServer) {
+  int Placements = 0;
   for (std::uint64_t Seed = 1; Seed <= 60; ++Seed) {
-    Fuzz Run(Seed);
+    PlannerFuzzer Fuzzer(Seed);
     for (int I = 0; I < 400; ++I)
-      Run.step();
-    Run.finish();
-    Places += Run.Places_;
+      Fuzzer.step();
+    Fuzzer.finish();
+    Placements += Fuzzer.PlacementCount_;
     if (HasFailure())
       FAIL() << "seed " << Seed;
   }
-  EXPECT_GT(Places, 5000);
+  EXPECT_GT(Placements, 5000);
 }
--- a/tests/decide/PlannerTest.cpp
+++ b/tests/decide/PlannerTest.cpp
@@ -21,40 +21,40 @@
     for (int I = 0; I < Count; ++I)
       Planner_.upsertServer(makeServer(I, Capacity));
   }
-  void wait(const std::string &Job, std::uint32_t Tasks,
-            const Resources &Declared = Small, std::uint32_t Priority = 0) {
+  void addJob(const std::string &Job, std::uint32_t Tasks,
+              const Resources &Declared = Small, std::uint32_t Priority = 0) {
     for (std::uint32_t I = 0; I < Tasks; ++I)
       add(makeTask(Job, I, Declared, Priority));
   }
   void add(const TaskInfo &Task) {
-    Infos_[Task.Task_] = Task;
+    TaskInfos_[Task.Task_] = Task;
     Planner_.addWaiting(Task, Now_);
   }
   std::vector<Decision> decide() { return Planner_.decide(Now_, Budget); }
   /// Decides and tells every effect back at once; ends what is evicted.
   std::vector<Decision> decideAndCommit() {
     auto Decisions = decide();
-    for (const Decision &Value : Decisions)
-      commit(Value);
+    for (const Decision &D : Decisions)
+      commit(D);
     return Decisions;
   }
-  void commit(const Decision &Value) {
-    if (Value.Kind_ == DecisionKind::Place) {
-      Planner_.notePlaced(Infos_[*Value.Task_], Value.Attempt_, *Value.Server_,
-                          Value.Reservation_, Now_);
-      Placed_[*Value.Task_] = Value;
-    } else if (Value.Kind_ == DecisionKind::Evict) {
-      end(*Value.Task_, EndReason::Evicted);
+  void commit(const Decision &D) {
+    if (D.Kind_ == DecisionKind::Place) {
+      Planner_.recordPlacement(TaskInfos_[*D.Task_], D.Attempt_, *D.Server_,
+                               D.Reservation_, Now_);
+      Placed_[*D.Task_] = D;
+    } else if (D.Kind_ == DecisionKind::Evict) {
+      end(*D.Task_, EndReason::Evicted);
     }
   }
   // By value: the caller may pass a key of the map that is erased from.
   void end(TaskId Task, EndReason Reason) {
     const auto Attempt = Placed_.at(Task).Attempt_;
     Placed_.erase(Task);
-    Planner_.noteEnded(Task, Attempt, Reason, Now_);
-    Infos_[Task].NextAttempt_ = AttemptNumber(Attempt.value() + 1);
+    Planner_.recordEnd(Task, Attempt, Reason, Now_);
+    TaskInfos_[Task].NextAttempt_ = AttemptNumber(Attempt.value() + 1);
   }
-  Resources reserved() const {
+  Resources sumReserved() const {
     Resources Sum;
     for (const ServerView &View : Planner_.listServers())
       Sum = Sum + View.Reserved_;
@@ -64,28 +64,28 @@
   Policy Settings_;
   Planner Planner_{Settings_, 7};
   TimePoint Now_{1h};
-  std::map<TaskId, TaskInfo> Infos_;
+  std::map<TaskId, TaskInfo> TaskInfos_;
   std::map<TaskId, Decision> Placed_;
 };
 } // namespace
 
 TEST_F(PlannerTest, DecisionShowsCandidatesChoiceAndReason) {
   addServers(4);
-  wait("a", 1);
+  addJob("a", 1);
   const auto Decisions = decide();
   ASSERT_EQ(Decisions.size(), 1U);
-  const Decision &Value = Decisions[0];
-  EXPECT_EQ(Value.Kind_, DecisionKind::Place);
-  EXPECT_EQ(Value.Reservation_, Small);
-  ASSERT_FALSE(Value.Candidates_.empty());
-  EXPECT_EQ(Value.Candidates_[0].Server_, *Value.Server_);
-  EXPECT_NE(Value.Text_.find("a/0"), std::string::npos);
-  EXPECT_NE(Value.Text_.find(Value.Server_->value()), std::string::npos);
+  const Decision &D = Decisions[0];
+  EXPECT_EQ(D.Kind_, DecisionKind::Place);
+  EXPECT_EQ(D.Reservation_, Small);
+  ASSERT_FALSE(D.Candidates_.empty());
+  EXPECT_EQ(D.Candidates_[0].Server_, *D.Server_);
+  EXPECT_NE(D.Text_.find("a/0"), std::string::npos);
+  EXPECT_NE(D.Text_.find(D.Server_->value()), std::string::npos);
 }
 
 TEST_F(PlannerTest, SameDecisionIsNotRepeatedBeforeItsRetryTime) {
   addServers(1);
-  wait("a", 1);
+  addJob("a", 1);
   EXPECT_EQ(decide().size(), 1U);
   Now_ += 4s;
   EXPECT_TRUE(decide().empty());
@@ -96,70 +96,71 @@
 TEST_F(PlannerTest, FindsTheOnlyServerWithRoom) {
   addServers(200, {500, 500, 0});
   Planner_.upsertServer(makeServer(777, Machine));
-  wait("a", 8);
-  for (const Decision &Value : decideAndCommit())
-    EXPECT_EQ(Value.Server_, serverNamed(777));
+  addJob("a", 8);
+  for (const Decision &D : decideAndCommit())
+    EXPECT_EQ(D.Server_, makeServerId(777));
   EXPECT_EQ(Placed_.size(), 8U);
 }
 
-TEST_F(PlannerTest, ImpossibleJobShowsItsReasonAndHoldsUpNobody) {
+TEST_F(PlannerTest, AJobThatNeverFitsIsExplainedAndBlocksNoOther) {
   addServers(2);
-  wait("huge", 1, {9000, 1000, 0});
-  wait("gpu", 1, {1000, 1000, 1});
-  wait("a", 16);
+  addJob("huge", 1, {9000, 1000, 0});
+  addJob("gpu", 1, {1000, 1000, 1});
+  addJob("a", 16);
   decideAndCommit();
   EXPECT_EQ(Placed_.size(), 16U);
-  const auto Why = Planner_.explain({JobId("huge"), 0}, Now_);
-  ASSERT_TRUE(Why && Why->Last_);
-  EXPECT_EQ(Why->Last_->Reason_, ReasonCode::NeverFits);
-  EXPECT_NE(Why->WhatWouldHelp_.find("9 processors"), std::string::npos);
+  const auto Explained = Planner_.explain({JobId("huge"), 0}, Now_);
+  ASSERT_TRUE(Explained && Explained->Last_);
+  EXPECT_EQ(Explained->Last_->Reason_, ReasonCode::NeverFits);
+  EXPECT_NE(Explained->WhatWouldHelp_.find("9 processors"), std::string::npos);
   // Told once, not on each call.
   Now_ += 1h;
   EXPECT_TRUE(decide().empty());
   Planner_.upsertServer(makeServer(9, {16000, 8000, 1}));
-  EXPECT_EQ(only(decideAndCommit(), DecisionKind::Place).size(), 2U);
+  EXPECT_EQ(filterByKind(decideAndCommit(), DecisionKind::Place).size(), 2U);
 }
 
-TEST_F(PlannerTest, ThousandImpossibleJobsDoNotDelayAPossibleOne) {
+TEST_F(PlannerTest, JobsThatNeverFitDoNotDelayOneThatFits) {
   addServers(1);
   for (int I = 0; I < 1000; ++I)
-    wait("huge-" + std::to_string(I), 1, {9000, 1, 0}, 50);
-  wait("a", 1);
+    addJob("huge-" + std::to_string(I), 1, {9000, 1, 0}, 50);
+  addJob("a", 1);
   for (int Calls = 0; Calls < 1000 / int(Budget) + 2; ++Calls)
     decideAndCommit();
   EXPECT_TRUE(Placed_.contains({JobId("a"), 0}));
 }
 
-TEST_F(PlannerTest, TeamStaysWithinItsQuotaAndOthersGoOn) {
+TEST_F(PlannerTest, AFullQuotaDoesNotBlockOtherTeams) {
   Settings_.Quotas_ = {{TeamId("team"), Resources::makeFor(3000, 99999)}};
   Planner_.setPolicy(Settings_);
   addServers(2);
-  wait("a", 5);
+  addJob("a", 5);
   auto Other = makeTask("b", 0, Small);
   Other.Team_ = TeamId("other");
   add(Other);
   decideAndCommit();
   EXPECT_EQ(Placed_.size(), 4U);
   EXPECT_TRUE(Placed_.contains(Other.Task_));
-  const auto Why = Planner_.explain({JobId("a"), 4}, Now_);
-  EXPECT_NE(Why->WhatWouldHelp_.find("quota"), std::string::npos);
+  const auto Explained = Planner_.explain({JobId("a"), 4}, Now_);
+  EXPECT_NE(Explained->WhatWouldHelp_.find("quota"), std::string::npos);
   end({JobId("a"), 0}, EndReason::Finished);
-  EXPECT_EQ(only(decideAndCommit(), DecisionKind::Place).size(), 1U);
+  EXPECT_EQ(filterByKind(decideAndCommit(), DecisionKind::Place).size(), 1U);
 }
 
-TEST_F(PlannerTest, UrgentWorkStartsByEvictingTheCheapest) {
+TEST_F(PlannerTest, UrgentTasksEvictTheTaskThatLosesLeastWork) {
   addServers(3);
-  wait("batch", 24);
+  addJob("batch", 24);
   decideAndCommit();
   ASSERT_EQ(Placed_.size(), 24U);
   // All but one are far from their checkpoint.
   const TaskId Cheap{JobId("batch"), 11};
   Now_ += 10s;
-  for (const auto &[Id, Value] : Placed_)
-    Planner_.noteUsage({Id, Value.Attempt_, *Value.Server_, Small,
-                        Id == Cheap ? Duration(1s) : Duration(100s), Now_});
-  wait("urgent", 1, Small, 100);
-  const auto Evictions = only(decide(), DecisionKind::Evict);
+  for (const auto &[Id, D] : Placed_)
+    Planner_.addUsageSample({Id, D.Attempt_, *D.Server_, Small,
+                             Id == Cheap ? Duration(1s) : Duration(100s),
+                             Now_});
+  addJob("urgent", 1, Small, 100);
+  const auto Evictions = filterByKind(decide(), DecisionKind::Evict);
   ASSERT_EQ(Evictions.size(), 1U);
   EXPECT_EQ(Evictions[0].Task_, Cheap);
   EXPECT_EQ(Evictions[0].Reason_, ReasonCode::UrgentWork);
@@ -168,37 +169,37 @@
   EXPECT_TRUE(decide().empty());
   commit(Evictions[0]);
   // The room is kept for the urgent task, though others wait as well.
-  wait("more", 3);
+  addJob("more", 3);
   Now_ += 100ms;
   decideAndCommit();
   EXPECT_TRUE(Placed_.contains({JobId("urgent"), 0}));
   EXPECT_FALSE(Placed_.contains({JobId("more"), 0}));
 }
 
-TEST_F(PlannerTest, UrgentWorkIsNeverEvictedForUrgentWork) {
+TEST_F(PlannerTest, UrgentTasksNeverEvictUrgentTasks) {
   addServers(1);
-  wait("urgent", 8, Small, 100);
+  addJob("urgent", 8, Small, 100);
   decideAndCommit();
-  wait("higher", 1, Small, 200);
-  EXPECT_TRUE(only(decide(), DecisionKind::Evict).empty());
+  addJob("higher", 1, Small, 200);
+  EXPECT_TRUE(filterByKind(decide(), DecisionKind::Evict).empty());
 }
 
-TEST_F(PlannerTest, HigherPriorityIsOvertakenOnlyByTheStatedBound) {
+TEST_F(PlannerTest, AHigherPriorityGoesFirstWithinTheAgeingBound) {
   Settings_.AgeingStep_ = 30s;
   Planner_.setPolicy(Settings_);
-  wait("low", 1, Small, 1);
+  addJob("low", 1, Small, 1);
   Now_ += 119s; // Four steps of priority outweigh 120 s of waiting.
-  wait("high", 1, Small, 5);
+  addJob("high", 1, Small, 5);
   addServers(1, Small);
   EXPECT_EQ(decide()[0].Task_->Job_, JobId("high"));
 }
 
-TEST_F(PlannerTest, LongWaitOvertakesAHigherPriority) {
+TEST_F(PlannerTest, ALongWaitOutweighsAHigherPriority) {
   Settings_.AgeingStep_ = 30s;
   Planner_.setPolicy(Settings_);
-  wait("low", 1, Small, 1);
+  addJob("low", 1, Small, 1);
   Now_ += 121s;
-  wait("high", 1, Small, 5);
+  addJob("high", 1, Small, 5);
   addServers(1, Small);
   EXPECT_EQ(decide()[0].Task_->Job_, JobId("low"));
 }
@@ -207,9 +208,9 @@
   Settings_.AgeingStep_ = 10s;
   Planner_.setPolicy(Settings_);
   addServers(4);
-  wait("filler", 32);
+  addJob("filler", 32);
   decideAndCommit();
-  wait("large", 1, Machine, 5);
+  addJob("large", 1, Machine, 5);
   // Each second one of the longest running ends and a new one comes.
   std::uint32_t Next = 0;
   int Seconds = 0;
@@ -224,10 +225,10 @@
   EXPECT_LE(Seconds, 20 + 8 + 32);
 }
 
-TEST_F(PlannerTest, CancellationWaveFreesExactlyWhatWasHeld) {
+TEST_F(PlannerTest, CancellationReleasesExactlyTheReservedResources) {
   addServers(10);
-  wait("keep", 20);
-  wait("drop", 60);
+  addJob("keep", 20);
+  addJob("drop", 60);
   while (Placed_.size() < 70)
     decideAndCommit();
   decide(); // The rest is proposed and not committed.
@@ -237,50 +238,50 @@
     if (Placed_.contains(Task))
       end(Task, EndReason::Cancelled);
   }
-  EXPECT_EQ(reserved(), Resources::makeFor(20000, 20000));
+  EXPECT_EQ(sumReserved(), Resources::makeFor(20000, 20000));
   // What is free again can be placed again, to the last processor.
-  wait("next", 60);
+  addJob("next", 60);
   decideAndCommit();
   EXPECT_EQ(Placed_.size(), 80U);
 }
 
-TEST_F(PlannerTest, EvictedTaskResumesOnceUnderItsNextAttempt) {
+TEST_F(PlannerTest, AnEvictedTaskIsPlacedOnceAsItsNextAttempt) {
   addServers(2);
-  wait("a", 1);
+  addJob("a", 1);
   decideAndCommit();
   const TaskId Task{JobId("a"), 0};
   const Decision First = Placed_.at(Task);
   end(Task, EndReason::Evicted);
-  Planner_.addWaiting(Infos_[Task], Now_);
-  Planner_.addWaiting(Infos_[Task], Now_); // Told twice.
-  const auto Again = only(decideAndCommit(), DecisionKind::Place);
+  Planner_.addWaiting(TaskInfos_[Task], Now_);
+  Planner_.addWaiting(TaskInfos_[Task], Now_); // Told twice.
+  const auto Again = filterByKind(decideAndCommit(), DecisionKind::Place);
   ASSERT_EQ(Again.size(), 1U);
   EXPECT_EQ(Again[0].Attempt_, AttemptNumber(2));
   // Late repeats of the first attempt's events change nothing.
-  Planner_.notePlaced(Infos_[Task], First.Attempt_, *First.Server_, Small,
-                      Now_);
-  Planner_.noteEnded(Task, First.Attempt_, EndReason::Evicted, Now_);
-  auto Old = Infos_[Task];
+  Planner_.recordPlacement(TaskInfos_[Task], First.Attempt_, *First.Server_,
+                           Small, Now_);
+  Planner_.recordEnd(Task, First.Attempt_, EndReason::Evicted, Now_);
+  auto Old = TaskInfos_[Task];
   Old.NextAttempt_ = AttemptNumber(1);
   Planner_.addWaiting(Old, Now_);
   Now_ += 1h;
   EXPECT_TRUE(decide().empty());
-  EXPECT_EQ(reserved(), Small);
+  EXPECT_EQ(sumReserved(), Small);
 }
 
-TEST_F(PlannerTest, DrainingServerGetsNothingAndIsEmptied) {
+TEST_F(PlannerTest, ADrainingServerGetsNoTasksAndItsTasksAreEvicted) {
   addServers(2);
-  wait("a", 8);
+  addJob("a", 8);
   decideAndCommit();
   auto Leaving = makeServer(0, Machine);
   Leaving.Draining_ = true;
   Planner_.upsertServer(Leaving);
-  wait("b", 4);
-  for (const Decision &Value : decideAndCommit()) {
-    if (Value.Kind_ == DecisionKind::Place) {
-      EXPECT_EQ(Value.Server_, serverNamed(1));
-    } else if (Value.Kind_ == DecisionKind::Evict) {
-      EXPECT_EQ(Value.Reason_, ReasonCode::ServerLeaving);
+  addJob("b", 4);
+  for (const Decision &D : decideAndCommit()) {
+    if (D.Kind_ == DecisionKind::Place) {
+      EXPECT_EQ(D.Server_, makeServerId(1));
+    } else if (D.Kind_ == DecisionKind::Evict) {
+      EXPECT_EQ(D.Reason_, ReasonCode::ServerLeaving);
     }
   }
   EXPECT_EQ(Planner_.listServers()[0].Tasks_, 0U);
@@ -296,25 +297,24 @@
     decideAndCommit();
   }
   std::map<int, int> Counts;
-  for (const auto &[Id, Value] : Placed_)
-    ++Counts[std::stoi(Value.Server_->value().substr(3)) / 2];
+  for (const auto &[Id, D] : Placed_)
+    ++Counts[std::stoi(D.Server_->value().substr(3)) / 2];
   EXPECT_EQ(Counts.size(), 4U);
 }
 
-TEST_F(PlannerTest, ReservationFollowsMeasuredUsageAndNeverItsThrottle) {
+TEST_F(PlannerTest, ReservationsIgnoreTheUsageOfThrottledTasks) {
   addServers(4);
-  wait("a", 8, {1000, 2000, 0});
+  addJob("a", 8, {1000, 2000, 0});
   decideAndCommit();
   std::vector<Decision> Resized;
   for (int I = 0; I < 6; ++I) {
     Now_ += 2s;
-    for (const auto &[Id, Value] : Placed_)
-      Planner_.noteUsage({Id, Value.Attempt_, *Value.Server_,
-                          Resources::makeFor(400, 900), 1s, Now_});
-    for (const Decision &Value : only(decide(), DecisionKind::Reserve)) {
-      Planner_.noteReservation(*Value.Task_, Value.Attempt_,
-                               Value.Reservation_);
-      Resized.push_back(Value);
+    for (const auto &[Id, D] : Placed_)
+      Planner_.addUsageSample(
+          {Id, D.Attempt_, *D.Server_, Resources::makeFor(400, 900), 1s, Now_});
+    for (const Decision &D : filterByKind(decide(), DecisionKind::Reserve)) {
+      Planner_.updateReservation(*D.Task_, D.Attempt_, D.Reservation_);
+      Resized.push_back(D);
     }
   }
   ASSERT_EQ(Resized.size(), 8U);
@@ -323,46 +323,46 @@
   // What a throttled task uses says nothing about what it needs.
   for (int I = 0; I < 80; ++I) {
     Now_ += 2s;
-    for (const auto &[Id, Value] : Placed_) {
-      Planner_.noteThrottle(Id, Value.Attempt_, 40, Now_ - 1s);
-      Planner_.noteUsage({Id, Value.Attempt_, *Value.Server_,
-                          Resources::makeFor(160, 900), 1s, Now_});
+    for (const auto &[Id, D] : Placed_) {
+      Planner_.updateThrottle(Id, D.Attempt_, 40, Now_ - 1s);
+      Planner_.addUsageSample(
+          {Id, D.Attempt_, *D.Server_, Resources::makeFor(160, 900), 1s, Now_});
     }
-    EXPECT_TRUE(only(decide(), DecisionKind::Reserve).empty());
+    EXPECT_TRUE(filterByKind(decide(), DecisionKind::Reserve).empty());
   }
   // The next task of the class starts with what was learned.
   add(makeTask("a", 99, {1000, 2000, 0}));
-  EXPECT_NEAR(only(decide(), DecisionKind::Place)[0].Reservation_.MilliCpus_,
-              400, 25);
+  EXPECT_NEAR(
+      filterByKind(decide(), DecisionKind::Place)[0].Reservation_.MilliCpus_,
+      400, 25);
 }
 
-TEST_F(PlannerTest, OffenderIsThrottledThenEvictedAndNotItsNeighbours) {
+TEST_F(PlannerTest, OnlyATaskOverItsReservationIsThrottledThenEvicted) {
   Planner_.upsertServer(makeServer(0, Resources::makeFor(4000, 8000)));
-  wait("modest", 3);
-  wait("greedy", 1);
+  addJob("modest", 3);
+  addJob("greedy", 1);
   decideAndCommit();
   ASSERT_EQ(Placed_.size(), 4U);
   const TaskId Greedy{JobId("greedy"), 0};
-  std::vector<Decision> Acts;
+  std::vector<Decision> Decisions;
   for (int I = 0; I < 10 && Placed_.contains(Greedy); ++I) {
     Now_ += 2s;
-    for (const auto &[Id, Value] : Placed_)
-      Planner_.noteUsage({Id, Value.Attempt_, *Value.Server_,
-                          Resources::makeFor(Id == Greedy ? 1800 : 950, 900),
-                          1s, Now_});
-    for (const Decision &Value : decide()) {
-      Acts.push_back(Value);
-      commit(Value);
-      if (Value.Kind_ == DecisionKind::Throttle)
-        Planner_.noteThrottle(*Value.Task_, Value.Attempt_,
-                              Value.ThrottlePercent_, Now_);
+    for (const auto &[Id, D] : Placed_)
+      Planner_.addUsageSample(
+          {Id, D.Attempt_, *D.Server_,
+           Resources::makeFor(Id == Greedy ? 1800 : 950, 900), 1s, Now_});
+    for (const Decision &D : decide()) {
+      Decisions.push_back(D);
+      commit(D);
+      if (D.Kind_ == DecisionKind::Throttle)
+        Planner_.updateThrottle(*D.Task_, D.Attempt_, D.ThrottlePercent_, Now_);
     }
   }
-  ASSERT_EQ(Acts.size(), 2U);
-  EXPECT_EQ(Acts[0].Kind_, DecisionKind::Throttle);
-  EXPECT_EQ(Acts[1].Kind_, DecisionKind::Evict);
-  for (const Decision &Value : Acts) {
-    EXPECT_EQ(Value.Task_, Greedy);
-    EXPECT_EQ(Value.Reason_, ReasonCode::UsageOverReserved);
+  ASSERT_EQ(Decisions.size(), 2U);
+  EXPECT_EQ(Decisions[0].Kind_, DecisionKind::Throttle);
+  EXPECT_EQ(Decisions[1].Kind_, DecisionKind::Evict);
+  for (const Decision &D : Decisions) {
+    EXPECT_EQ(D.Task_, Greedy);
+    EXPECT_EQ(D.Reason_, ReasonCode::UsageOverReserved);
   }
 }
--- a/tests/decide/QuarantineTest.cpp
+++ b/tests/decide/QuarantineTest.cpp
@@ -16,7 +16,8 @@
 /// Ten servers that are all needed; whether a task fails is up to the test.
 class QuarantineTest : public testing::Test {
 protected:
-  using Fails = std::function<bool(const JobId &, const BackendServerId &)>;
+  using FailurePredicate =
+      std::function<bool(const JobId &, const BackendServerId &)>;
 
   QuarantineTest() {
     for (int I = 0; I < 10; ++I)
@@ -25,7 +26,7 @@
 
   /// Runs jobs of four tasks for a time; failing tasks end after 1 s, others
   /// after 5 s.
-  void run(int Seconds, const Fails &DoesFail) {
+  void run(int Seconds, const FailurePredicate &DoesFail) {
     for (int Second = 0; Second < Seconds; ++Second) {
       Now_ += 1s;
       if (Second % 2 == 0)
@@ -34,42 +35,42 @@
                        Resources::makeFor(8000, 500)));
       Jobs_ += Second % 2 == 0 ? 1 : 0;
       endTasks(DoesFail);
-      for (const Decision &Value : Planner_.decide(Now_, 64))
-        take(Value);
+      for (const Decision &D : Planner_.decide(Now_, 64))
+        apply(D);
     }
   }
 
   void add(const TaskInfo &Task) {
-    Infos_[Task.Task_] = Task;
+    TaskInfos_[Task.Task_] = Task;
     Planner_.addWaiting(Task, Now_);
   }
 
-  void take(const Decision &Value) {
-    if (Value.Kind_ == DecisionKind::Quarantine)
-      Quarantined_.push_back(*Value.Server_);
-    if (Value.Kind_ == DecisionKind::Readmit)
-      Readmitted_.push_back(*Value.Server_);
-    if (Value.Kind_ != DecisionKind::Place)
+  void apply(const Decision &D) {
+    if (D.Kind_ == DecisionKind::Quarantine)
+      Quarantined_.push_back(*D.Server_);
+    if (D.Kind_ == DecisionKind::Readmit)
+      Readmitted_.push_back(*D.Server_);
+    if (D.Kind_ != DecisionKind::Place)
       return;
-    ++Starts_[*Value.Server_];
-    Planner_.notePlaced(Infos_[*Value.Task_], Value.Attempt_, *Value.Server_,
-                        Value.Reservation_, Now_);
-    Running_[*Value.Task_] = {Now_, Value};
+    ++Starts_[*D.Server_];
+    Planner_.recordPlacement(TaskInfos_[*D.Task_], D.Attempt_, *D.Server_,
+                             D.Reservation_, Now_);
+    Running_[*D.Task_] = {Now_, D};
   }
 
-  void endTasks(const Fails &DoesFail) {
+  void endTasks(const FailurePredicate &DoesFail) {
     for (auto It = Running_.begin(); It != Running_.end();) {
-      const auto &[At, Value] = It->second;
-      const bool Failed = DoesFail(It->first.Job_, *Value.Server_);
+      const auto &[At, D] = It->second;
+      const bool Failed = DoesFail(It->first.Job_, *D.Server_);
       if (Now_ - At < (Failed ? 1s : 5s)) {
         ++It;
         continue;
       }
-      Planner_.noteEnded(It->first, Value.Attempt_,
+      Planner_.recordEnd(It->first, D.Attempt_,
                          Failed ? EndReason::Failed : EndReason::Finished,
                          Now_);
-      auto Next = Infos_[It->first];
-      Next.NextAttempt_ = AttemptNumber(Value.Attempt_.value() + 1);
+      auto Next = TaskInfos_[It->first];
+      Next.NextAttempt_ = AttemptNumber(D.Attempt_.value() + 1);
       if (Failed && Next.NextAttempt_.value() < 10)
         add(Next);
       It = Running_.erase(It);
@@ -79,7 +80,7 @@
   Planner Planner_{Policy(), 5};
   TimePoint Now_{1h};
   int Jobs_ = 0;
-  std::map<TaskId, TaskInfo> Infos_;
+  std::map<TaskId, TaskInfo> TaskInfos_;
   std::map<TaskId, std::pair<TimePoint, Decision>> Running_;
   std::map<BackendServerId, int> Starts_;
   std::vector<BackendServerId> Quarantined_;
@@ -89,16 +90,16 @@
 
 TEST_F(QuarantineTest, ServerThatFailsEveryTaskIsQuarantined) {
   run(60, [](const JobId &, const BackendServerId &Server) {
-    return Server == serverNamed(3);
+    return Server == makeServerId(3);
   });
   ASSERT_FALSE(Quarantined_.empty());
   for (const BackendServerId &Server : Quarantined_)
-    EXPECT_EQ(Server, serverNamed(3));
-  EXPECT_LE(Starts_[serverNamed(3)], 12);
+    EXPECT_EQ(Server, makeServerId(3));
+  EXPECT_LE(Starts_[makeServerId(3)], 12);
   EXPECT_TRUE(Planner_.listServers()[3].Quarantined_);
 }
 
-TEST_F(QuarantineTest, PoisonousJobsDoNotQuarantineHealthyServers) {
+TEST_F(QuarantineTest, FailingJobsDoNotQuarantineHealthyServers) {
   run(300, [](const JobId &Job, const BackendServerId &) {
     return Job.value().back() == '1' || Job.value().back() == '4' ||
            Job.value().back() == '7';
@@ -106,19 +107,19 @@
   EXPECT_TRUE(Quarantined_.empty());
 }
 
-TEST_F(QuarantineTest, HealedServerComesBackByProbation) {
+TEST_F(QuarantineTest, ARecoveredServerIsReadmittedAfterProbation) {
   run(60, [](const JobId &, const BackendServerId &Server) {
-    return Server == serverNamed(3);
+    return Server == makeServerId(3);
   });
   ASSERT_FALSE(Quarantined_.empty());
   run(200, [](const JobId &, const BackendServerId &) { return false; });
-  EXPECT_EQ(Readmitted_, std::vector{serverNamed(3)});
+  EXPECT_EQ(Readmitted_, std::vector{makeServerId(3)});
   EXPECT_FALSE(Planner_.listServers()[3].Quarantined_);
 }
 
-TEST_F(QuarantineTest, RelapsesLastLonger) {
+TEST_F(QuarantineTest, EachFurtherQuarantineLastsLonger) {
   run(900, [](const JobId &, const BackendServerId &Server) {
-    return Server == serverNamed(3);
+    return Server == makeServerId(3);
   });
   // 60, 120, 240, 480 s: at most five in fifteen minutes.
   EXPECT_GE(Quarantined_.size(), 2U);
@@ -126,16 +127,16 @@
   EXPECT_TRUE(Readmitted_.empty());
 }
 
-TEST(QuarantineRulesTest, FailureOfAJobThatDidWellNowhereIsNoEvidence) {
+TEST(QuarantineRulesTest, AJobThatSucceededNowhereIsNoEvidence) {
   Quarantine Health;
   const Policy Settings;
   const TimePoint Now{1h};
   for (int I = 0; I < 5; ++I)
-    Health.noteFailed(JobId("j" + std::to_string(I)), serverNamed(0), Now,
-                      Settings);
-  EXPECT_EQ(Health.healthOf(serverNamed(0)), ServerHealth::Suspect);
+    Health.recordFailure(JobId("j" + std::to_string(I)), makeServerId(0), Now,
+                         Settings);
+  EXPECT_EQ(Health.getHealth(makeServerId(0)), ServerHealth::Suspect);
   for (int I = 0; I < 3; ++I)
-    Health.noteHealthy(JobId("j" + std::to_string(I)), serverNamed(1), Now,
-                       Settings);
-  EXPECT_EQ(Health.healthOf(serverNamed(0)), ServerHealth::Quarantined);
+    Health.recordSuccess(JobId("j" + std::to_string(I)), makeServerId(1), Now,
+                         Settings);
+  EXPECT_EQ(Health.getHealth(makeServerId(0)), ServerHealth::Quarantined);
 }
--- a/tests/decide/ServerChooserTest.cpp
+++ b/tests/decide/ServerChooserTest.cpp
@@ -12,7 +12,7 @@
 
 static constexpr TimePoint Start{1h};
 
-static BackendServerId serverAt(int I) {
+static BackendServerId makeServerId(int I) {
   return BackendServerId("s" + std::to_string(I));
 }
 
@@ -20,7 +20,7 @@
   std::vector<GrantedServer> Granted;
   Granted.reserve(static_cast<std::size_t>(Count));
   for (int I = 0; I < Count; ++I)
-    Granted.push_back({serverAt(I), Slots});
+    Granted.push_back({makeServerId(I), Slots});
   return Granted;
 }
 
@@ -33,17 +33,18 @@
 
 /// Sends Count requests one after another; returns how many each server got.
 static std::map<BackendServerId, int>
-drive(ServerChooser &Chooser, std::map<BackendServerId, Behaviour> Servers,
-      int Count, TimePoint &Now) {
+sendRequests(ServerChooser &Chooser,
+             std::map<BackendServerId, Behaviour> Servers, int Count,
+             TimePoint &Now) {
   std::map<BackendServerId, int> Sent;
   for (int I = 0; I < Count; ++I) {
     Now += 1ms;
     const auto Choice = Chooser.choose(Now);
     if (!Choice)
       continue;
-    Chooser.noteStarted(*Choice);
+    Chooser.recordStart(*Choice);
     const Behaviour Answer = Servers[*Choice];
-    Chooser.noteEnded(*Choice, Answer.Result_, Answer.Latency_, Now);
+    Chooser.recordEnd(*Choice, Answer.Result_, Answer.Latency_, Now);
     ++Sent[*Choice];
   }
   return Sent;
@@ -53,7 +54,7 @@
   ServerChooser Chooser({}, 1);
   Chooser.setServers(grant(10), Start);
   TimePoint Now = Start;
-  for (const auto &[Id, Count] : drive(Chooser, {}, 10000, Now))
+  for (const auto &[Id, Count] : sendRequests(Chooser, {}, 10000, Now))
     EXPECT_NEAR(Count, 1000, 300) << Id.value();
 }
 
@@ -64,77 +65,78 @@
   for (int I = 0; I < 6; ++I) {
     const auto Choice = Chooser.choose(Start);
     ASSERT_TRUE(Choice);
-    Chooser.noteStarted(*Choice);
+    Chooser.recordStart(*Choice);
     EXPECT_LE(++InFlight[*Choice], 2);
   }
   EXPECT_FALSE(Chooser.choose(Start));
   EXPECT_EQ(Chooser.freeSlots(), 0U);
-  Chooser.noteEnded(serverAt(1), RequestResult::Served, 1ms, Start);
-  EXPECT_EQ(Chooser.choose(Start), serverAt(1));
-  EXPECT_FALSE(Chooser.choose(Start, serverAt(1)));
+  Chooser.recordEnd(makeServerId(1), RequestResult::Served, 1ms, Start);
+  EXPECT_EQ(Chooser.choose(Start), makeServerId(1));
+  EXPECT_FALSE(Chooser.choose(Start, makeServerId(1)));
 }
 
 TEST(ServerChooserTest, SlowServerGetsLess) {
   ServerChooser Chooser({}, 3);
   Chooser.setServers(grant(4), Start);
   TimePoint Now = Start;
-  auto Sent =
-      drive(Chooser, {{serverAt(0), {RequestResult::Served, 30ms}}}, 4000, Now);
-  EXPECT_LT(Sent[serverAt(0)], 400);
+  auto Sent = sendRequests(
+      Chooser, {{makeServerId(0), {RequestResult::Served, 30ms}}}, 4000, Now);
+  EXPECT_LT(Sent[makeServerId(0)], 400);
 }
 
 TEST(ServerChooserTest, FastErrorsAttractNoTraffic) {
   ServerChooser Chooser({}, 4);
   Chooser.setServers(grant(10), Start);
   TimePoint Now = Start;
-  auto Sent = drive(Chooser, {{serverAt(0), {RequestResult::Failed, 10us}}},
-                    20000, Now);
+  auto Sent = sendRequests(
+      Chooser, {{makeServerId(0), {RequestResult::Failed, 10us}}}, 20000, Now);
   // 20 s: five failures to eject it, then a probe after 5, 10, 20 s.
-  EXPECT_LE(Sent[serverAt(0)], 10);
+  EXPECT_LE(Sent[makeServerId(0)], 10);
 }
 
 TEST(ServerChooserTest, FastErrorsAttractNoTrafficWhenNoneMayBeEjected) {
   ChooserSettings Settings;
-  Settings.MaxEjectedPart_ = 0;
+  Settings.MaxEjectedRatio_ = 0;
   ServerChooser Chooser(Settings, 5);
   Chooser.setServers(grant(3), Start);
   TimePoint Now = Start;
-  auto Sent =
-      drive(Chooser, {{serverAt(0), {RequestResult::Failed, 10us}}}, 6000, Now);
-  EXPECT_LT(Sent[serverAt(0)], 6000 / 3 / 10);
+  auto Sent = sendRequests(
+      Chooser, {{makeServerId(0), {RequestResult::Failed, 10us}}}, 6000, Now);
+  EXPECT_LT(Sent[makeServerId(0)], 6000 / 3 / 10);
 }
 
-TEST(ServerChooserTest, EjectionLeavesTheFloor) {
+TEST(ServerChooserTest, EjectsAtMostTheConfiguredRatio) {
   ServerChooser Chooser({}, 6);
   Chooser.setServers(grant(10), Start);
   std::map<BackendServerId, Behaviour> AllFail;
   for (int I = 0; I < 10; ++I)
-    AllFail[serverAt(I)] = {RequestResult::Failed, 1ms};
+    AllFail[makeServerId(I)] = {RequestResult::Failed, 1ms};
   TimePoint Now = Start;
-  drive(Chooser, AllFail, 1000, Now);
+  sendRequests(Chooser, AllFail, 1000, Now);
   int Ejected = 0;
   for (const auto &View : Chooser.listServers())
     Ejected += View.Ejected_ ? 1 : 0;
   EXPECT_EQ(Ejected, 3);
 }
 
-TEST(ServerChooserTest, RecoveredServerComesBackByProbe) {
+TEST(ServerChooserTest, ARecoveredServerIsUsedAgainAfterAProbe) {
   ServerChooser Chooser({}, 7);
   Chooser.setServers(grant(10), Start);
   TimePoint Now = Start;
-  drive(Chooser, {{serverAt(0), {RequestResult::Failed, 1ms}}}, 1000, Now);
+  sendRequests(Chooser, {{makeServerId(0), {RequestResult::Failed, 1ms}}}, 1000,
+               Now);
   EXPECT_TRUE(Chooser.listServers()[0].Ejected_);
-  auto Sent = drive(Chooser, {}, 20000, Now);
-  EXPECT_GT(Sent[serverAt(0)], 500);
+  auto Sent = sendRequests(Chooser, {}, 20000, Now);
+  EXPECT_GT(Sent[makeServerId(0)], 500);
 }
 
-TEST(ServerChooserTest, WithdrawnServerGetsNothingButStillEnds) {
+TEST(ServerChooserTest, ARemovedServerGetsNoNewRequests) {
   ServerChooser Chooser({}, 8);
   Chooser.setServers(grant(2), Start);
-  Chooser.noteStarted(serverAt(1));
+  Chooser.recordStart(makeServerId(1));
   Chooser.setServers(grant(1), Start);
   for (int I = 0; I < 100; ++I)
-    EXPECT_EQ(Chooser.choose(Start), serverAt(0));
-  Chooser.noteEnded(serverAt(1), RequestResult::Served, 1ms, Start);
+    EXPECT_EQ(Chooser.choose(Start), makeServerId(0));
+  Chooser.recordEnd(makeServerId(1), RequestResult::Served, 1ms, Start);
   EXPECT_EQ(Chooser.freeSlots(), 8U);
 }
--- a/tests/decide/TailGuardTest.cpp
+++ b/tests/decide/TailGuardTest.cpp
@@ -28,8 +28,8 @@
     for (std::uint32_t I = 0; I < Tasks; ++I) {
       const auto Task = makeTask(Job, I, Resources::makeFor(1600, 100));
       Speed_[Task.Task_] = 100;
-      Planner_.notePlaced(Task, AttemptNumber(1), serverNamed(0),
-                          Task.Declared_, Now_);
+      Planner_.recordPlacement(Task, AttemptNumber(1), makeServerId(0),
+                               Task.Declared_, Now_);
     }
   }
 
@@ -44,25 +44,23 @@
   /// One second: report, deliver what is due, decide, apply.
   void tick(Duration Lag) {
     Now_ += 1s;
-    Reports_.push_back({serverNamed(0), Booking, 500, p99(), 50, Now_});
+    Reports_.push_back({makeServerId(0), Booking, 500, p99(), 50, Now_});
     while (!Reports_.empty() && Reports_.front().SampledAt_ + Lag <= Now_) {
-      Planner_.noteService(Reports_.front());
+      Planner_.addServiceSample(Reports_.front());
       Reports_.pop_front();
     }
-    for (const Decision &Value : Planner_.decide(Now_, 64))
-      apply(Value);
+    for (const Decision &D : Planner_.decide(Now_, 64))
+      apply(D);
   }
 
-  void apply(const Decision &Value) {
-    Acts_.emplace_back(Now_, Value);
-    if (Value.Kind_ == DecisionKind::Throttle) {
-      Speed_[*Value.Task_] = Value.ThrottlePercent_;
-      Planner_.noteThrottle(*Value.Task_, Value.Attempt_,
-                            Value.ThrottlePercent_, Now_);
-    } else if (Value.Kind_ == DecisionKind::Evict) {
-      Speed_.erase(*Value.Task_);
-      Planner_.noteEnded(*Value.Task_, Value.Attempt_, EndReason::Evicted,
-                         Now_);
+  void apply(const Decision &D) {
+    Decisions_.emplace_back(Now_, D);
+    if (D.Kind_ == DecisionKind::Throttle) {
+      Speed_[*D.Task_] = D.ThrottlePercent_;
+      Planner_.updateThrottle(*D.Task_, D.Attempt_, D.ThrottlePercent_, Now_);
+    } else if (D.Kind_ == DecisionKind::Evict) {
+      Speed_.erase(*D.Task_);
+      Planner_.recordEnd(*D.Task_, D.Attempt_, EndReason::Evicted, Now_);
     }
   }
 
@@ -71,17 +69,17 @@
   TimePoint Now_{1h};
   std::map<TaskId, std::uint32_t> Speed_;
   std::deque<ServiceSample> Reports_;
-  std::vector<std::pair<TimePoint, Decision>> Acts_;
+  std::vector<std::pair<TimePoint, Decision>> Decisions_;
 };
 } // namespace
 
-TEST_F(TailGuardTest, BringsTheTailUnderItsTargetAndNamesTheFigures) {
+TEST_F(TailGuardTest, BringsTheP99UnderItsTargetAndReportsIt) {
   place("loud", 4);
   for (int I = 0; I < 60; ++I)
     tick(0s);
   EXPECT_LE(p99(), 50ms);
-  ASSERT_FALSE(Acts_.empty());
-  const Decision &First = Acts_[0].second;
+  ASSERT_FALSE(Decisions_.empty());
+  const Decision &First = Decisions_[0].second;
   EXPECT_EQ(First.Kind_, DecisionKind::Throttle);
   EXPECT_EQ(First.Reason_, ReasonCode::TailOverTarget);
   EXPECT_NE(First.Text_.find("100.0 ms"), std::string::npos) << First.Text_;
@@ -91,21 +89,21 @@
   place("loud", 4);
   tick(0s);
   tick(0s);
-  EXPECT_TRUE(Acts_.empty());
+  EXPECT_TRUE(Decisions_.empty());
   tick(0s);
-  EXPECT_FALSE(Acts_.empty());
+  EXPECT_FALSE(Decisions_.empty());
 }
 
-TEST_F(TailGuardTest, ReactsOnceToEvidenceOlderThanTheEffect) {
+TEST_F(TailGuardTest, IgnoresReportsOlderThanItsLastAction) {
   place("loud", 4);
   // All reports up to twelve seconds old still show the state before.
   TimePoint First{};
   for (int I = 0; I < 40; ++I) {
     tick(12s);
-    if (First == TimePoint() && !Acts_.empty())
+    if (First == TimePoint() && !Decisions_.empty())
       First = Now_;
     if (First != TimePoint() && Now_ <= First + 12s) {
-      EXPECT_EQ(Acts_.back().first, First) << "acted on old evidence";
+      EXPECT_EQ(Decisions_.back().first, First) << "acted on old evidence";
     }
   }
   EXPECT_NE(First, TimePoint());
@@ -120,8 +118,8 @@
   // releases, each taken back, in ten minutes. The second half is calm.
   std::map<TaskId, int> Changes;
   int Late = 0;
-  for (const auto &[At, Value] : Acts_) {
-    ++Changes[*Value.Task_];
+  for (const auto &[At, D] : Decisions_) {
+    ++Changes[*D.Task_];
     Late += At > TimePoint(1h) + 300s ? 1 : 0;
   }
   for (const auto &[Id, Count] : Changes)
@@ -130,7 +128,7 @@
   EXPECT_LE(p99(), 50ms);
 }
 
-TEST_F(TailGuardTest, LearnsWhichClassIsLoudAndLeavesTheQuietAlone) {
+TEST_F(TailGuardTest, ThrottlesOnlyTheClassThatSlowsTheService) {
   place("loud", 3);
   for (int I = 0; I < 5; ++I)
     tick(0s);
@@ -143,27 +141,27 @@
     }
 }
 
-TEST_F(TailGuardTest, ReportsOfFewRequestsOrOldOnesAreNoEvidence) {
+TEST_F(TailGuardTest, IgnoresOldReportsAndThoseOfFewRequests) {
   place("loud", 4);
   for (int I = 0; I < 20; ++I) {
     Now_ += 1s;
-    Planner_.noteService({serverNamed(0), Booking, 3, 900ms, 50, Now_});
-    Planner_.noteService(
-        {serverNamed(0), Booking, 500, 900ms, 50, TimePoint()});
+    Planner_.addServiceSample({makeServerId(0), Booking, 3, 900ms, 50, Now_});
+    Planner_.addServiceSample(
+        {makeServerId(0), Booking, 500, 900ms, 50, TimePoint()});
     EXPECT_TRUE(Planner_.decide(Now_, 64).empty());
   }
 }
 
-TEST(PlacementHistoryTest, TellsWhatRanAtAnEarlierTime) {
+TEST(PlacementHistoryTest, ReturnsTheLoadsAtAnEarlierTime) {
   PlacementHistory History;
   const TimePoint Start{1h};
-  History.change(1, 0.5, Start);
-  History.change(2, 0.25, Start + 2s);
-  History.change(1, -0.5, Start + 4s);
-  EXPECT_EQ(History.loadsAt(Start + 1s), (ClassLoads{{1, 0.5}}));
-  EXPECT_EQ(History.loadsAt(Start + 3s)->size(), 2U);
-  EXPECT_EQ(History.loadsAt(Start + 5s), (ClassLoads{{2, 0.25}}));
+  History.recordChange(1, 0.5, Start);
+  History.recordChange(2, 0.25, Start + 2s);
+  History.recordChange(1, -0.5, Start + 4s);
+  EXPECT_EQ(History.getLoadsAt(Start + 1s), (ClassLoads{{1, 0.5}}));
+  EXPECT_EQ(History.getLoadsAt(Start + 3s)->size(), 2U);
+  EXPECT_EQ(History.getLoadsAt(Start + 5s), (ClassLoads{{2, 0.25}}));
   for (std::size_t I = 0; I < PlacementHistory::MaxChanges; ++I)
-    History.change(3, 0.1, Start + 10s);
-  EXPECT_FALSE(History.loadsAt(Start + 1s)) << "forgotten, not guessed";
+    History.recordChange(3, 0.1, Start + 10s);
+  EXPECT_FALSE(History.getLoadsAt(Start + 1s)) << "forgotten, not guessed";
 }
