--- a/bench/decide/ComparedPolicies.cpp
+++ b/bench/decide/ComparedPolicies.cpp
@@ -1,4 +1,4 @@
-//===- ComparedPolicies.cpp - What ours is measured against -------------===//
+//===- ComparedPolicies.cpp - Policies to compare -----------------------===//
 
 #include "ComparedPolicies.h"
 
@@ -54,7 +54,8 @@
   Planner Planner_;
 };
 
-/// Waiting and running tasks as first-fit and the oracle keep them.
+/// Keeps the lists of servers, waiting tasks and running tasks that first-fit
+/// and the oracle share.
 class ListPolicy : public ComparedPolicy {
 public:
   void upsertServer(const ServerInfo &Server) override {
@@ -191,7 +192,8 @@
       const std::size_t Class = Workload_.getTask(Task->Task_).Class_;
       const Resources &Size = Workload_.classes()[Class].Size_;
       const SimulatedServer *Best = pick(Class, Size, Room, Added);
-      // Tasks of one class are alike: where one has no place, none has.
+      // Tasks of one class need the same resources: if one does not fit, none
+      // does.
       if (!Best || Decisions.size() >= DecisionsPerSecond)
         return;
       auto &Free = Room[Best->Info_.Server_];
--- a/bench/decide/DecideBench.cpp
+++ b/bench/decide/DecideBench.cpp
@@ -1,8 +1,8 @@
-//===- DecideBench.cpp - The measures of the decisions ------------------===//
+//===- DecideBench.cpp - Benchmarks of the planner -----------------------===//
 //
-// Usage: bench_decide policy|placement. Prints the figures and each bound with
-// met or missed; the last line is "NAME: figure=value ... bounds=met|missed".
-// Exits with 1 when a bound is missed.
+// Usage: bench_decide policy|placement. Prints the figures and, for each
+// bound, whether it is met or missed; the last line is "NAME: figure=value ...
+// bounds=met|missed". Exits with 1 when a bound is missed.
 //
 //===----------------------------------------------------------------------===//
 
--- a/bench/decide/DecideBench.h
+++ b/bench/decide/DecideBench.h
@@ -1,6 +1,6 @@
-//===- DecideBench.h - The measures of the decisions -----------*- C++ -*-===//
+//===- DecideBench.h - Benchmarks of the planner ---------------*- C++ -*-===//
 //
-// The measures that bench_decide runs, each in its own file.
+// The benchmarks that bench_decide runs, each in its own file.
 //
 //===----------------------------------------------------------------------===//
 
@@ -9,11 +9,11 @@
 
 namespace tulipweir::decide {
 
-/// Prints one bound and whether it is met. Relation is "<=" or ">=".
+/// Prints one bound and returns whether it is met. Relation is "<=" or ">=".
 bool checkBound(const char *Name, double Value, const char *Relation,
                 double Bound);
 
-/// Each returns whether all its bounds are met.
+/// Each benchmark returns whether all its bounds are met.
 bool measurePolicy();
 bool measurePlacement();
 
--- a/bench/decide/PlacementBench.cpp
+++ b/bench/decide/PlacementBench.cpp
@@ -16,12 +16,12 @@
 static constexpr std::array<int, 3> ServerCounts = {48, 300, 1200};
 static constexpr int RunningTasks = 20000;
 static constexpr int TasksPerJob = 100;
-static constexpr int OurDecisions = 20000;
+static constexpr int PlannerDecisions = 20000;
 static constexpr int NaiveDecisions = 300;
 static constexpr std::size_t Batch = 64;
 static constexpr TimePoint Start{std::chrono::hours(1)};
 
-static double secondsSince(std::chrono::steady_clock::time_point Begin) {
+static double getSecondsSince(std::chrono::steady_clock::time_point Begin) {
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - Begin)
       .count();
 }
@@ -49,8 +49,8 @@
 }
 
 namespace {
-/// Sums everything up anew for each decision, by scanning all tasks, and
-/// scores every server with the same parts: packing and spread over racks.
+/// Recomputes all sums for each decision by scanning all tasks, and scores
+/// every server with the same terms: packing and spread over racks.
 class NaivePlanner {
 public:
   void upsertServer(const ServerInfo &Info) { Servers_.push_back(Info); }
@@ -90,13 +90,14 @@
 };
 
 struct Cost {
-  double OursMicros_ = 0;
+  double PlannerMicros_ = 0;
   double NaiveMicros_ = 0;
 };
 } // namespace
 
-/// Each server's service reports once, so that predictions are made as well.
-static void reportServices(Planner &Ours, int Count) {
+/// Sends one service report for each server, so that the planner also computes
+/// predictions.
+static void reportServices(Planner &Indexed, int Count) {
   for (int I = 0; I < Count; ++I) {
     ServiceSample Sample;
     Sample.Server_ = BackendServerId("vm-" + std::to_string(I));
@@ -105,13 +106,13 @@
     Sample.P99_ = std::chrono::milliseconds(20);
     Sample.LoadPercent_ = 50;
     Sample.SampledAt_ = Start + std::chrono::seconds(1);
-    Ours.addServiceSample(Sample);
+    Indexed.addServiceSample(Sample);
   }
 }
 
-/// A few samples for each running task of the first jobs, so that the sizes of
-/// all classes are known.
-static void reportUsage(Planner &Ours) {
+/// Sends one usage sample for each running task, so that the sizes of all
+/// classes are known.
+static void reportUsage(Planner &Indexed) {
   for (int I = 0; I < RunningTasks; ++I) {
     const TaskInfo Task = makeTask(I);
     UsageSample Sample;
@@ -119,56 +120,57 @@
     Sample.Attempt_ = AttemptNumber(1);
     Sample.Usage_ = Task.Declared_;
     Sample.SampledAt_ = Start + std::chrono::seconds(1);
-    Ours.addUsageSample(Sample);
+    Indexed.addUsageSample(Sample);
   }
 }
 
-/// Decides and commits placements; returns microseconds for each.
-static double timeOurs(Planner &Ours) {
-  for (int I = 0; I < OurDecisions; ++I)
-    Ours.addWaiting(makeTask(RunningTasks + I), Start);
+/// Decides and commits placements; returns the microseconds per placement.
+static double measurePlanner(Planner &Indexed) {
+  for (int I = 0; I < PlannerDecisions; ++I)
+    Indexed.addWaiting(makeTask(RunningTasks + I), Start);
   TimePoint Now = Start + std::chrono::seconds(2);
   int Placed = 0;
   double Seconds = 0;
-  while (Placed < OurDecisions) {
+  while (Placed < PlannerDecisions) {
     Now += std::chrono::milliseconds(100);
     const auto Begin = std::chrono::steady_clock::now();
-    const auto Decisions = Ours.decide(Now, Batch);
+    const auto Decisions = Indexed.decide(Now, Batch);
     for (const Decision &D : Decisions) {
       if (D.Kind_ != DecisionKind::Place)
         continue;
       const int Index =
           std::stoi(D.Task_->Job_.value().substr(4)) * TasksPerJob +
           static_cast<int>(D.Task_->Index_);
-      Ours.recordPlacement(makeTask(Index), D.Attempt_, *D.Server_,
-                           D.Reservation_, Now);
+      Indexed.recordPlacement(makeTask(Index), D.Attempt_, *D.Server_,
+                              D.Reservation_, Now);
       ++Placed;
     }
-    Seconds += secondsSince(Begin);
+    Seconds += getSecondsSince(Begin);
     if (Decisions.empty() && Now > Start + std::chrono::hours(1))
       break;
   }
-  std::printf("  ours placed %d of %d\n", Placed, OurDecisions);
+  std::printf("  ours placed %d of %d\n", Placed, PlannerDecisions);
   return Seconds / std::max(1, Placed) * 1e6;
 }
 
 static Cost measureAt(int Count) {
   Policy Settings;
   Settings.Targets_ = {{ServiceId("booking"), std::chrono::milliseconds(100)}};
-  Planner Ours(Settings, 1);
+  Planner Indexed(Settings, 1);
   NaivePlanner Naive;
   for (int I = 0; I < Count; ++I) {
-    Ours.upsertServer(makeServer(I, Count));
+    Indexed.upsertServer(makeServer(I, Count));
     Naive.upsertServer(makeServer(I, Count));
   }
   for (int I = 0; I < RunningTasks; ++I) {
     const BackendServerId Server("vm-" + std::to_string(I % Count));
     const TaskInfo Task = makeTask(I);
-    Ours.recordPlacement(Task, AttemptNumber(1), Server, Task.Declared_, Start);
+    Indexed.recordPlacement(Task, AttemptNumber(1), Server, Task.Declared_,
+                            Start);
     Naive.recordPlacement(Task, Server);
   }
-  reportServices(Ours, Count);
-  reportUsage(Ours);
+  reportServices(Indexed, Count);
+  reportUsage(Indexed);
   Cost Result;
   const auto Begin = std::chrono::steady_clock::now();
   for (int I = 0; I < NaiveDecisions; ++I) {
@@ -176,13 +178,14 @@
     if (const auto Server = Naive.place(Task))
       Naive.recordPlacement(Task, *Server);
   }
-  Result.NaiveMicros_ = secondsSince(Begin) / NaiveDecisions * 1e6;
-  Result.OursMicros_ = timeOurs(Ours);
+  Result.NaiveMicros_ = getSecondsSince(Begin) / NaiveDecisions * 1e6;
+  Result.PlannerMicros_ = measurePlanner(Indexed);
   std::printf("%4d servers, %d running tasks: ours %.2f us (%.0f/s), naive "
               "%.1f us (%.0f/s), %.1fx\n",
-              Count, RunningTasks, Result.OursMicros_, 1e6 / Result.OursMicros_,
-              Result.NaiveMicros_, 1e6 / Result.NaiveMicros_,
-              Result.NaiveMicros_ / Result.OursMicros_);
+              Count, RunningTasks, Result.PlannerMicros_,
+              1e6 / Result.PlannerMicros_, Result.NaiveMicros_,
+              1e6 / Result.NaiveMicros_,
+              Result.NaiveMicros_ / Result.PlannerMicros_);
   return Result;
 }
 
@@ -192,13 +195,13 @@
     Costs[Count] = measureAt(Count);
   const Cost &Few = Costs[ServerCounts.front()];
   const Cost &Many = Costs[ServerCounts.back()];
-  const double Ratio = Many.NaiveMicros_ / Many.OursMicros_;
-  const double Growth = Many.OursMicros_ / Few.OursMicros_;
+  const double Ratio = Many.NaiveMicros_ / Many.PlannerMicros_;
+  const double Growth = Many.PlannerMicros_ / Few.PlannerMicros_;
   bool Met = checkBound("times faster than naive at 1200", Ratio, ">=", 20);
   Met &= checkBound("cost growth from 48 to 1200", Growth, "<=", 2);
   std::printf("placement: ours_us=%.2f naive_us=%.1f ratio=%.1f growth=%.2f "
               "decisions_per_s=%.0f bounds=%s\n",
-              Many.OursMicros_, Many.NaiveMicros_, Ratio, Growth,
-              1e6 / Many.OursMicros_, Met ? "met" : "missed");
+              Many.PlannerMicros_, Many.NaiveMicros_, Ratio, Growth,
+              1e6 / Many.PlannerMicros_, Met ? "met" : "missed");
   return Met;
 }
--- a/bench/decide/PolicyBench.cpp
+++ b/bench/decide/PolicyBench.cpp
@@ -1,4 +1,4 @@
-//===- PolicyBench.cpp - Tail, throughput and evictions -----------------===//
+//===- PolicyBench.cpp - Tail latency, throughput and evictions ----------===//
 
 #include "ComparedPolicies.h"
 #include "DecideBench.h"
@@ -15,7 +15,7 @@
 
 namespace {
 struct Comparison {
-  WorkloadResult Ours_;
+  WorkloadResult Planner_;
   WorkloadResult FirstFit_;
 };
 } // namespace
@@ -31,7 +31,7 @@
               Result.GuardActions_, Result.FalseAlarms_, Result.Overfilled_);
 }
 
-/// The oracle sees everything without lag: one run does for all.
+/// The oracle has no lag, so one run serves for all lags.
 static WorkloadResult runOracle(std::uint64_t Seed) {
   WorkloadSettings Settings;
   Settings.Seed_ = Seed;
@@ -47,11 +47,11 @@
   Settings.Lag_ = std::chrono::seconds(Lag);
   const Policy Weights = SimulatedWorkload::makePolicy();
   Comparison Result;
-  SimulatedWorkload ForOurs(Settings);
-  Result.Ours_ = ForOurs.run(*makePlannerPolicy(Weights, Seed));
-  print("ours", Lag, Seed, Result.Ours_);
-  SimulatedWorkload ForFirstFit(Settings);
-  Result.FirstFit_ = ForFirstFit.run(*makeFirstFit(Weights));
+  SimulatedWorkload PlannerWorkload(Settings);
+  Result.Planner_ = PlannerWorkload.run(*makePlannerPolicy(Weights, Seed));
+  print("ours", Lag, Seed, Result.Planner_);
+  SimulatedWorkload FirstFitWorkload(Settings);
+  Result.FirstFit_ = FirstFitWorkload.run(*makeFirstFit(Weights));
   print("first-fit", Lag, Seed, Result.FirstFit_);
   return Result;
 }
@@ -60,39 +60,40 @@
   std::printf("40 servers, 1800 s, declared sizes off by up to 5x, noisy "
               "waves, 5%% failing servers, VM losses, cancellations\n");
   bool Met = true;
-  double WorstTail = 0;
-  double LeastFinished = 1e9;
-  double MostEvictions = 0;
+  double MaxTailRatio = 0;
+  double MinFinishedRatio = 1e9;
+  double MaxEvictionRatio = 0;
   int Actions = 0;
   int FalseAlarms = 0;
-  double Oracle = 0;
+  double OracleWork = 0;
   for (const std::uint64_t Seed : Seeds)
-    Oracle += runOracle(Seed).FinishedWork_;
+    OracleWork += runOracle(Seed).FinishedWork_;
   for (const int Lag : LagSeconds) {
-    double Ours = 0;
+    double FinishedWork = 0;
     double Evictions = 0;
-    double FirstFit = 0;
+    double FirstFitEvictions = 0;
     for (const std::uint64_t Seed : Seeds) {
       const Comparison Results = compare(Lag, Seed);
-      WorstTail = std::max(WorstTail, Results.Ours_.TailRatio_);
-      Ours += Results.Ours_.FinishedWork_;
-      Evictions += Results.Ours_.Evictions_;
-      FirstFit += Results.FirstFit_.Evictions_;
-      Actions += Results.Ours_.GuardActions_;
-      FalseAlarms += Results.Ours_.FalseAlarms_;
+      MaxTailRatio = std::max(MaxTailRatio, Results.Planner_.TailRatio_);
+      FinishedWork += Results.Planner_.FinishedWork_;
+      Evictions += Results.Planner_.Evictions_;
+      FirstFitEvictions += Results.FirstFit_.Evictions_;
+      Actions += Results.Planner_.GuardActions_;
+      FalseAlarms += Results.Planner_.FalseAlarms_;
     }
     std::printf("lag %d s: finished %.3f of the oracle's, evictions %.3f of "
                 "first-fit's\n",
-                Lag, Ours / Oracle, Evictions / FirstFit);
-    LeastFinished = std::min(LeastFinished, Ours / Oracle);
-    MostEvictions = std::max(MostEvictions, Evictions / FirstFit);
+                Lag, FinishedWork / OracleWork, Evictions / FirstFitEvictions);
+    MinFinishedRatio = std::min(MinFinishedRatio, FinishedWork / OracleWork);
+    MaxEvictionRatio =
+        std::max(MaxEvictionRatio, Evictions / FirstFitEvictions);
   }
-  Met &= checkBound("worst p99 against alone", WorstTail, "<=", 1.3);
-  Met &= checkBound("finished against oracle", LeastFinished, ">=", 0.85);
-  Met &= checkBound("evictions against first-fit", MostEvictions, "<=", 0.5);
+  Met &= checkBound("worst p99 against alone", MaxTailRatio, "<=", 1.3);
+  Met &= checkBound("finished against oracle", MinFinishedRatio, ">=", 0.85);
+  Met &= checkBound("evictions against first-fit", MaxEvictionRatio, "<=", 0.5);
   std::printf("policy: p99_ratio=%.3f finished_part=%.3f evictions_part=%.3f "
               "false_alarms=%d/%d bounds=%s\n",
-              WorstTail, LeastFinished, MostEvictions, FalseAlarms, Actions,
-              Met ? "met" : "missed");
+              MaxTailRatio, MinFinishedRatio, MaxEvictionRatio, FalseAlarms,
+              Actions, Met ? "met" : "missed");
   return Met;
 }
--- a/bench/decide/SimulatedWorkload.cpp
+++ b/bench/decide/SimulatedWorkload.cpp
@@ -1,5 +1,4 @@
-//===- SimulatedWorkload.cpp - Services and batch work as arithmetic
-//-------===//
+//===- SimulatedWorkload.cpp - Simulated services and tasks -------------===//
 
 #include "SimulatedWorkload.h"
 
@@ -63,7 +62,7 @@
     Server.Info_.Rack_ = RackId("rack-" + std::to_string(I / 8));
     Server.Info_.Capacity_ = Resources::makeFor(32000, 125000);
     Server.Info_.ServiceShare_ = Resources::makeFor(8000, 16000);
-    // One server in twenty.
+    // One server in twenty fails every task.
     Server.FailsAll_ = Settings.Faults_ && I % 20 == 7;
     Servers_.push_back(Server);
   }
@@ -90,7 +89,7 @@
   }
   if (AddedTasks > 0)
     AddTasks(AddedClass, AddedTasks);
-  // Past the processors there are, everything queues.
+  // Requests and tasks queue once the processors are used up.
   const double Overload = std::max(0.0, Cores / 32 - 1);
   return 1 + Effect + 4 * Overload;
 }
@@ -168,7 +167,7 @@
   }
   if (Second % 500 != 450)
     return;
-  // A wave of cancellations: one job in ten.
+  // Cancels one job in ten.
   for (auto &[Id, Task] : Tasks_) {
     if (Task.Done_ || std::hash<JobId>()(Id.Job_) % 10 != 0)
       continue;
@@ -206,7 +205,8 @@
 }
 
 void SimulatedWorkload::measureRequests(const SimulatedServer &Server) {
-  // Exponential latencies with the given p99; the same draw for both.
+  // Latencies are exponential with the given p99. Both lists get the same
+  // draws.
   constexpr double P99OfUnit = 4.605170186;
   std::exponential_distribution<double> Unit(1);
   const int Count =
@@ -239,7 +239,7 @@
   const auto Tasks = Server.Tasks_;
   for (const TaskId &Id : Tasks)
     advanceTask(Tasks_.at(Id), Speed, Policy);
-  // Out of memory: the newest task is lost.
+  // The newest task is lost when the server runs out of memory.
   if (Memory > 125000 - 16000 && !Server.Tasks_.empty())
     stop(Tasks_.at(Server.Tasks_.back()), EndReason::Lost, Policy);
 }
@@ -357,9 +357,9 @@
   }
 }
 
-static double computeQuantile(std::vector<float> &Values, double Part) {
+static double computeQuantile(std::vector<float> &Values, double Fraction) {
   const auto Position = static_cast<std::ptrdiff_t>(
-      Part * static_cast<double>(Values.size() - 1));
+      Fraction * static_cast<double>(Values.size() - 1));
   std::nth_element(Values.begin(), Values.begin() + Position, Values.end());
   return Values[static_cast<std::size_t>(Position)];
 }
@@ -367,7 +367,7 @@
 WorkloadResult SimulatedWorkload::run(ComparedPolicy &Policy) {
   for (const SimulatedServer &Server : Servers_)
     Policy.upsertServer(Server.Info_);
-  // More work waits at all times than can be done.
+  // More work waits at all times than the servers can do.
   constexpr int FirstJobs = 60;
   constexpr int JobEvery = 6;
   for (int I = 0; I < FirstJobs; ++I)
--- a/bench/decide/SimulatedWorkload.h
+++ b/bench/decide/SimulatedWorkload.h
@@ -1,11 +1,11 @@
-//===- SimulatedWorkload.h - Services and batch work as arithmetic -*- C++
-//-*-===//
+//===- SimulatedWorkload.h - Simulated services and tasks ------*- C++ -*-===//
 //
-// A seeded workload for comparing policies, in steps of one second: one service
-// on each server whose load moves in waves, job classes that slow it by a true
-// effect nobody is told, declared sizes off by up to five times, noisy waves,
-// servers that fail every task, VM losses, waves of cancellations, and reports
-// that arrive late. Plain sums; no messages, machines or processes.
+// A seeded workload for comparing policies, in steps of one second: one
+// service on each server whose load varies in waves; job classes that slow it
+// by an effect that the policies do not know; declared sizes that are wrong by
+// up to a factor of five; noisy phases, servers that fail every task, VM
+// losses, cancellations, and reports that arrive late. It is plain arithmetic
+// without messages, machines or processes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,13 +26,14 @@
   int Seconds_ = 1800;
   Duration Lag_{};
   double WorstDeclared_ = 5; ///< Declared sizes are off by up to this factor.
-  bool Faults_ = true; ///< Noisy waves, failing servers, losses, cancellations.
+  /// Noisy phases, failing servers, losses, cancellations.
+  bool Faults_ = true;
 };
 
 struct SimulatedClass {
   JobClassId Id_;
-  double Effect_ = 0; ///< Slowdown, as a part, of a server full of it.
-  Resources Size_;    ///< What a task really uses.
+  double Effect_ = 0; ///< Relative slowdown when the class fills a server.
+  Resources Size_;    ///< True usage of one task.
 };
 
 struct SimulatedTask {
@@ -55,27 +56,31 @@
   bool Up_ = true;
   bool FailsAll_ = false;
   int DownUntil_ = 0;
-  double Load_ = 0;        ///< Of its service, 0 to 1.
-  double P99_ = 0;         ///< Milliseconds, true.
-  double BaselineP99_ = 0; ///< Milliseconds without batch work.
+  double Load_ = 0;        ///< Load of the service, 0 to 1.
+  double P99_ = 0;         ///< True p99 in milliseconds.
+  double BaselineP99_ = 0; ///< p99 in milliseconds without batch work.
   int OverAt_ = -1000000;  ///< Last second in which P99_ was over the target.
   std::vector<TaskId> Tasks_;
 };
 
-/// What a run came to.
+/// The figures of one run.
 struct WorkloadResult {
-  double TailRatio_ = 0;    ///< p99 of all requests against that alone.
+  /// p99 of all requests relative to the p99 without tasks.
+  double TailRatio_ = 0;
   double FinishedWork_ = 0; ///< Processor seconds of finished tasks.
   int FinishedTasks_ = 0;
   int Evictions_ = 0;
-  double LostToEvictions_ = 0; ///< Processor seconds.
+  double LostToEvictions_ = 0; ///< Lost work in processor seconds.
   int Throttles_ = 0;
   int GuardActions_ = 0;
-  int FalseAlarms_ = 0; ///< Guard actions where the true p99 had been fine.
-  int Overfilled_ = 0;  ///< Refused decisions that would overfill.
+  /// Guard actions while the true p99 was under the target.
+  int FalseAlarms_ = 0;
+  /// Decisions refused because they would overfill a server.
+  int Overfilled_ = 0;
 };
 
-/// What is compared: told the same events, asked for decisions.
+/// A policy under comparison: it receives the same events as the others and
+/// returns decisions.
 class ComparedPolicy {
 public:
   virtual ~ComparedPolicy() = default;
@@ -98,20 +103,21 @@
 public:
   explicit SimulatedWorkload(const WorkloadSettings &Settings);
 
-  /// Runs the policy through the whole time.
+  /// Runs the policy for Seconds_ simulated seconds.
   WorkloadResult run(ComparedPolicy &Policy);
 
-  /// The policy's settings: the target is 1.25 times the p99 alone at the
-  /// top of a wave.
+  /// Returns the policy settings: the target is 1.25 times the p99 without
+  /// batch work at the top of a load wave.
   static Policy makePolicy();
 
-  // The truth, for the oracle.
+  // The true state, for the oracle.
   const std::vector<SimulatedServer> &servers() const { return Servers_; }
   const std::vector<SimulatedClass> &classes() const { return Classes_; }
   const SimulatedTask &getTask(const TaskId &Task) const {
     return Tasks_.at(Task);
   }
-  /// Slowdown of the service on a server, with more of a class on it.
+  /// Returns the slowdown of the service on a server that runs AddedTasks more
+  /// tasks of a class.
   double computeSlowdown(const SimulatedServer &Server, std::size_t AddedClass,
                          double AddedTasks, double Load) const;
   static double getBaselineP99(double Load);
--- a/include/tulipweir/decide/Admission.h
+++ b/include/tulipweir/decide/Admission.h
@@ -1,9 +1,9 @@
-//===- Admission.h - Whether a request may wait ----------------*- C++ -*-===//
+//===- Admission.h - Admission control for one service ---------*- C++ -*-===//
 //
 // The bounded queue in front of one service. A request that cannot start
-// before its deadline is refused at once, with the time after which a place is
-// likely; it is never held back to be refused late. The drain rate is
-// measured from the starts out of the queue.
+// before its deadline is refused at once, with a time after which a slot is
+// likely to be free, instead of waiting first and being refused late. The
+// drain rate is measured from the requests that leave the queue to start.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,24 +18,24 @@
 namespace tulipweir::decide {
 
 enum class AdmissionChoice : std::uint8_t {
-  Start,     ///< Nothing waits and a slot is free: send it now.
-  Queue,     ///< Put it last in the queue.
+  Start,     ///< Nothing waits and a slot is free: send the request now.
+  Queue,     ///< Append the request to the queue.
   QueueFull, ///< Refuse: the queue is at its limit.
-  TooLate,   ///< Refuse: it would not start before its deadline.
+  TooLate,   ///< Refuse: the request would not start before its deadline.
 };
 
 struct AdmissionResult {
   AdmissionChoice Choice_ = AdmissionChoice::Start;
-  Duration ExpectedWait_{}; ///< Until it would start.
-  Duration RetryAfter_{};   ///< Of a refusal: when to come back.
+  Duration ExpectedWait_{}; ///< Expected time until the request starts.
+  Duration RetryAfter_{};   ///< When to retry a refused request.
   bool operator==(const AdmissionResult &) const = default;
 };
 
-/// What the slots of one service look like to the entry that asks.
+/// The slots of one service that an entry may use.
 struct SlotStatus {
-  std::size_t Free_ = 0;   ///< Free over all granted servers.
-  std::size_t Total_ = 0;  ///< Granted over all servers.
-  Duration ServiceTime_{}; ///< How long one request is expected to run.
+  std::size_t Free_ = 0;   ///< Free slots over all granted servers.
+  std::size_t Total_ = 0;  ///< Granted slots over all servers.
+  Duration ServiceTime_{}; ///< Expected duration of one request.
   bool operator==(const SlotStatus &) const = default;
 };
 
@@ -49,27 +49,30 @@
   bool operator==(const AdmissionSettings &) const = default;
 };
 
-/// Counts who waits; the caller keeps the queue itself. Not thread-safe.
+/// Counts the waiting requests; the caller keeps the queue itself. Not
+/// thread-safe.
 class Admission {
 public:
   Admission(const AdmissionSettings &Settings, TimePoint Now);
 
-  /// Says what to do with a request that arrives. Changes nothing: tell what
-  /// was done with recordQueued.
+  /// Returns what to do with a new request. Changes nothing: the caller reports
+  /// a queued request with recordQueued.
   AdmissionResult evaluate(TimePoint Now, TimePoint Deadline,
                            const SlotStatus &Slots) const;
 
-  /// The request was put into the queue.
+  /// Records that a request was put into the queue.
   void recordQueued(TimePoint Now, const SlotStatus &Slots);
-  /// A waiting request got a slot and left the queue.
+  /// Records that a waiting request got a slot and left the queue.
   void recordDequeued(TimePoint Now);
-  /// A waiting request was given up (deadline, caller gone).
+  /// Records that a waiting request was abandoned (deadline passed or caller
+  /// gone).
   void recordAbandoned();
   void setSettings(const AdmissionSettings &Settings) { Settings_ = Settings; }
 
   std::size_t waiting() const { return Waiting_; }
-  /// Requests that leave the queue per second, measured since it last became
-  /// non-empty; it starts from what the slots promise.
+  /// Returns the requests that leave the queue per second, measured since it
+  /// last became non-empty. The first estimate is the nominal rate of the
+  /// slots.
   double drainRate(TimePoint Now) const;
 
 private:
@@ -78,8 +81,8 @@
 
   AdmissionSettings Settings_;
   std::size_t Waiting_ = 0;
-  double DrainRate_ =
-      0; ///< Per second, as of DrainRateAt_; decays while some wait.
+  /// Requests per second at DrainRateAt_; decays while requests wait.
+  double DrainRate_ = 0;
   TimePoint DrainRateAt_;
 };
 
--- a/include/tulipweir/decide/Decision.h
+++ b/include/tulipweir/decide/Decision.h
@@ -1,7 +1,7 @@
-//===- Decision.h - Decisions as values ------------------------*- C++ -*-===//
+//===- Decision.h - Decisions of the planner -------------------*- C++ -*-===//
 //
-// A decision says what was seen, which candidates there were, what was chosen
-// and why. The decision stream, explain and the dump all show this value.
+// A decision holds the candidates that were compared, the choice and its
+// reason. The decision stream, explain and the dump all show this value.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,43 +23,46 @@
   Place,      ///< Start a waiting task on Server_ with Reservation_.
   Reserve,    ///< Change a running attempt's reservation to Reservation_.
   Throttle,   ///< Set a running attempt to ThrottlePercent_.
-  Evict,      ///< Checkpoint and stop a running attempt; it waits again.
-  Quarantine, ///< Give Server_ no new tasks until probation.
-  Readmit,    ///< End a quarantine.
-  Hold,       ///< Nothing can be done for the task now; Reason_ says why.
+  Evict,      ///< Checkpoint and stop a running attempt; the task waits again.
+  Quarantine, ///< Give Server_ no new tasks until its probation.
+  Readmit,    ///< End the quarantine of Server_.
+  Hold,       ///< The task cannot be placed now; Reason_ says why.
 };
 
-/// Returns the stable, lower-case name, as shown to operators.
+/// Returns the stable, lower-case name shown to operators.
 std::string_view getKindName(DecisionKind Kind);
 
-/// Why a decision was taken. Stable names; the text adds the figures.
+/// Why a decision was taken. The names are stable; the decision's text adds the
+/// figures.
 enum class ReasonCode : std::uint8_t {
   BestScore,
-  NoRoom,       ///< Every server lacks room at the moment.
-  NeverFits,    ///< No server known could ever hold it.
-  QuotaReached, ///< The team holds its whole quota.
-  BackingOff,   ///< It failed and waits before the next try.
+  NoRoom,       ///< No server has enough room at the moment.
+  NeverFits,    ///< No known server could hold the task even when empty.
+  QuotaReached, ///< The team uses its whole quota.
+  BackingOff,   ///< The task failed and waits for its next retry.
   AllQuarantined,
-  UrgentWork,     ///< Evicted to make room for a higher priority.
-  TailOverTarget, ///< A service's p99 stood over its target.
+  UrgentWork,     ///< Evicted to make room for a task of higher priority.
+  TailOverTarget, ///< A service's p99 exceeded its target.
   TailRecovered,
   UsageOverReserved,
   LearnedSize,
   FailsEveryTask,
   ProbationPassed,
   ServerLeaving,
-  TailAtRisk, ///< Every server with room would get a service's tail over its
+  TailAtRisk, ///< On every server with room a service's p99 would exceed its
               ///< target.
 };
 
 std::string_view getReasonName(ReasonCode Reason);
 
-/// A backend server that was looked at, and its score or what ruled it out.
+/// A backend server that was considered, with its score or the rule that
+/// excluded it.
 struct Candidate {
   BackendServerId Server_;
   bool Allowed_ = false;
-  double Score_ = 0; ///< Higher is better; 0 when ruled out.
-  std::string Note_; ///< The score's parts, or the rule that ruled it out.
+  double Score_ = 0; ///< Higher is better; 0 when excluded.
+  std::string
+      Note_; ///< The terms of the score, or the rule that excluded the server.
   bool operator==(const Candidate &) const = default;
 };
 
@@ -71,20 +74,20 @@
   std::optional<BackendServerId> Server_;
   Resources Reservation_;
   std::uint32_t ThrottlePercent_ = 100;
-  std::vector<Candidate> Candidates_; ///< At most a handful, best first.
-  std::string Text_; ///< One sentence with the figures, for people.
+  std::vector<Candidate> Candidates_; ///< A bounded number, best first.
+  std::string Text_; ///< One sentence with the figures, for operators.
   bool operator==(const Decision &) const = default;
 };
 
-/// The state of one task as an operator asks for it.
+/// The state of one task, as an operator queries it.
 struct Explanation {
   TaskId Task_;
   bool Running_ = false;
   std::optional<BackendServerId> Server_;
   Resources Declared_;
   Resources Reservation_;
-  std::optional<Decision> Last_; ///< The latest decision about it.
-  std::string WhatWouldHelp_;    ///< What would let a waiting task run.
+  std::optional<Decision> Last_; ///< The latest decision about the task.
+  std::string WhatWouldHelp_;    ///< What would let a waiting task start.
   bool operator==(const Explanation &) const = default;
 };
 
--- a/include/tulipweir/decide/Planner.h
+++ b/include/tulipweir/decide/Planner.h
@@ -1,10 +1,10 @@
-//===- Planner.h - Where tasks run, and what gives way ---------*- C++ -*-===//
+//===- Planner.h - Placement, throttling and eviction of tasks --*- C++ -*-===//
 //
-// The decisions of a data centre's leader. It is told events in the order in
-// which they were committed or measured, and asked for decisions; it changes
-// nothing by itself: a decision counts only once its committed effect is told
-// back (recordPlacement, recordEnd). No sockets, clocks, JSON or threads
-// inside.
+// The planner decides for the leader of a data centre. It receives events in
+// the order in which they were committed or measured, and returns decisions on
+// request. It changes nothing by itself: a decision counts only once its
+// committed effect is reported back (recordPlacement, recordEnd). It uses no
+// sockets, clocks, JSON or threads.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,24 +29,25 @@
   BackendServerId Server_;
   RackId Rack_;
   Resources Capacity_;
-  /// Set aside for the services it serves; never given to tasks.
+  /// Reserved for the services on the server; never given to tasks.
   Resources ServiceShare_;
   bool Draining_ = false;
   bool operator==(const ServerInfo &) const = default;
 };
 
-/// A task that waits for a place.
+/// A task that waits to be placed.
 struct TaskInfo {
   TaskId Task_;
   AttemptNumber NextAttempt_;
   TeamId Team_;
   JobClassId Class_;
-  std::uint32_t Priority_ = 0; ///< Higher goes first; urgent from the policy.
+  /// Higher goes first; urgent from Policy::UrgentPriority_ on.
+  std::uint32_t Priority_ = 0;
   Resources Declared_;
   bool operator==(const TaskInfo &) const = default;
 };
 
-/// Why an attempt ended, as far as the decisions care.
+/// Why an attempt ended, as far as the planner distinguishes it.
 enum class EndReason : std::uint8_t {
   Finished,
   Failed,
@@ -55,17 +56,17 @@
   Cancelled,
 };
 
-/// A late measurement of one attempt.
+/// A usage measurement of one attempt. It may arrive late.
 struct UsageSample {
   TaskId Task_;
   AttemptNumber Attempt_;
   BackendServerId Server_;
   Resources Usage_;
   Duration WorkSinceCheckpoint_{};
-  TimePoint SampledAt_{}; ///< When it was taken, not when it arrived.
+  TimePoint SampledAt_{}; ///< When the sample was taken, not when it arrived.
 };
 
-/// A late measurement of one service on one backend server.
+/// A measurement of one service on one backend server. It may arrive late.
 struct ServiceSample {
   BackendServerId Server_;
   ServiceId Service_;
@@ -83,16 +84,16 @@
   Planner(const Planner &) = delete;
   Planner &operator=(const Planner &) = delete;
 
-  // Commands: events told to the planner.
+  // Commands: events that the leader reports.
 
   void setPolicy(const Policy &Settings);
   void upsertServer(const ServerInfo &Server);
-  /// Its attempts must have been ended with recordEnd before or after.
+  /// Removes a server. Its attempts are ended with recordEnd before or after.
   void removeServer(const BackendServerId &Server);
   void addWaiting(const TaskInfo &Task, TimePoint Now);
-  /// Forgets a waiting task (cancelled). Running ones end with recordEnd.
+  /// Removes a cancelled waiting task. Running tasks end with recordEnd.
   void removeWaiting(const TaskId &Task);
-  /// A placement was committed. Also used to rebuild after an election.
+  /// Records a committed placement. Also rebuilds the state after an election.
   void recordPlacement(const TaskInfo &Task, AttemptNumber Attempt,
                        const BackendServerId &Server,
                        const Resources &Reservation, TimePoint Now);
@@ -107,16 +108,16 @@
 
   // Queries.
 
-  /// Returns at most Budget decisions for now, most urgent first. Bounded
-  /// work: proportional to Budget, not to all tasks or servers. The same
-  /// decision is not returned again until its effect was told back or its
-  /// retry time passed.
+  /// Returns at most Budget decisions, most urgent first. The work is
+  /// proportional to Budget, not to the number of tasks or servers. A decision
+  /// is not returned again until its effect was reported back or its retry time
+  /// passed.
   std::vector<Decision> decide(TimePoint Now, std::size_t Budget);
 
-  /// Why this task waits or stands where it stands; nullopt if unknown.
+  /// Returns why a task waits or runs where it does; nullopt if it is unknown.
   std::optional<Explanation> explain(const TaskId &Task, TimePoint Now) const;
 
-  /// All servers with what is reserved, for the dump.
+  /// Returns all servers with their reserved resources, for the dump.
   std::vector<ServerView> listServers() const;
 
 private:
--- a/include/tulipweir/decide/RetryBudget.h
+++ b/include/tulipweir/decide/RetryBudget.h
@@ -1,8 +1,8 @@
-//===- RetryBudget.h - How many retries are affordable ---------*- C++ -*-===//
+//===- RetryBudget.h - Limits retries and hedges ---------------*- C++ -*-===//
 //
-// Retries and hedges may add only a part (10% by default) to the load that
-// first tries bring, so that they never multiply an overload. Each first try
-// earns that part of a retry; each retry or hedge spends a whole one.
+// Retries and hedges may add only a part (10% by default) to the load of first
+// tries, so that they never multiply an overload. Each first try adds that
+// part of a retry to the balance; each retry or hedge costs one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,13 +14,13 @@
 /// Not thread-safe: guarded by its owner's lock.
 class RetryBudget {
 public:
-  /// Part is retries per first try, 0 to 1; Reserve is the most that can be
-  /// saved up, and what a quiet service starts with.
+  /// RetryRatio is the retries per first try, 0 to 1. MaxBalance is the most
+  /// that can be saved up, and the initial balance.
   explicit RetryBudget(double RetryRatio, double MaxBalance = 10);
 
-  /// A first try was sent.
+  /// Records that a first try was sent.
   void recordFirstTry();
-  /// Spends one retry or hedge if it is affordable.
+  /// Spends one retry or hedge if the balance allows it.
   bool trySpend();
   void setRetryRatio(double RetryRatio) { RetryRatio_ = RetryRatio; }
 
--- a/include/tulipweir/decide/ServerChooser.h
+++ b/include/tulipweir/decide/ServerChooser.h
@@ -1,11 +1,12 @@
-//===- ServerChooser.h - Which backend server gets a request ---*- C++ -*-===//
+//===- ServerChooser.h - Load balancing over backend servers ---*- C++ -*-===//
 //
-// An entry's choice among the backend servers of one service on which it was
-// granted slots: the better of two random ones by
-//   (in flight + 1) / slots x recent latency / (share of successes) squared.
-// Servers that fail or lag far behind the others are ejected for a while, but
-// never more than a part of them; an ejected one comes back by a single probe
-// at a time. Every call takes constant time but for setServers.
+// Chooses among the backend servers of one service that granted slots to this
+// entry: of two random servers the one with the lower cost
+//   (in flight + 1) / slots x recent latency / (success rate) squared.
+// Servers that fail or are much slower than the others are ejected for a
+// while, but never more than a configured ratio of them. After that time an
+// ejected server gets one probe request at a time until one succeeds. Every
+// call but setServers takes constant time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,36 +28,39 @@
 /// Slots of one backend server that this entry may use.
 struct GrantedServer {
   BackendServerId Server_;
-  std::uint32_t Slots_ = 0; ///< 0 keeps its history but sends nothing.
+  /// 0 keeps the server's statistics but sends it nothing.
+  std::uint32_t Slots_ = 0;
   bool operator==(const GrantedServer &) const = default;
 };
 
 enum class RequestResult : std::uint8_t {
-  Served, ///< A whole answer came, whatever its HTTP status under 500.
-  Busy,   ///< "Busy, not run": full, yet healthy.
-  Failed, ///< Connection, timeout, 5xx or a damaged answer.
+  Served, ///< A complete answer with any HTTP status under 500.
+  Busy,   ///< "Busy, not run": the server is full, but healthy.
+  Failed, ///< Connection error, timeout, 5xx or a damaged answer.
 };
 
 struct ChooserSettings {
-  /// Failures in a row that eject a server, 1 or more.
+  /// Consecutive failures that eject a server, 1 or more.
   std::uint32_t FailuresToEject_ = 5;
-  /// A latency over this multiple of all servers' mean ejects, over 1.
+  /// A server is ejected when its latency exceeds the mean of all servers by
+  /// this factor, over 1.
   double LatencyOutlierFactor_ = 5;
-  /// Answers needed before latency may eject.
+  /// Answers needed before a server is ejected for its latency or success rate.
   std::uint32_t MinAnswers_ = 20;
-  /// Most servers that may be ejected at a time, 0 to 1 of all granted.
+  /// Largest ratio of granted servers that may be ejected at a time, 0 to 1.
   double MaxEjectedRatio_ = 0.3;
-  /// First ejection's length; doubles up to the longest on each relapse.
+  /// Length of the first ejection. It doubles on each relapse up to the
+  /// maximum.
   Duration EjectTime_ = std::chrono::seconds(5);
   Duration MaxEjectTime_ = std::chrono::seconds(60);
-  /// Part of a new latency in the average, 0 to 1.
+  /// Weight of a new latency in the moving average, 0 to 1.
   double LatencySmoothing_ = 0.1;
-  /// After this time without an answer a server's latency is half forgotten.
+  /// Time without an answer in which the weight of a server's latency halves.
   Duration LatencyHalfLife_ = std::chrono::seconds(5);
   bool operator==(const ChooserSettings &) const = default;
 };
 
-/// What is known of one server, for dumps.
+/// The statistics of one server, for dumps.
 struct ChooserServerView {
   BackendServerId Server_;
   std::uint32_t Slots_ = 0;
@@ -74,31 +78,32 @@
 
   // Commands.
 
-  /// Replaces the granted servers. What is in flight on a server that is no
-  /// longer granted is still counted until it ends.
+  /// Replaces the granted servers. Requests in flight on a server that is no
+  /// longer granted are counted until they end.
   void setServers(const std::vector<GrantedServer> &Servers, TimePoint Now);
-  /// A request goes out to Server_.
+  /// Records that a request was sent to Server.
   void recordStart(const BackendServerId &Server);
-  /// A request that was noted as started ended.
+  /// Records the end of a started request.
   void recordEnd(const BackendServerId &Server, RequestResult Result,
                  Duration Latency, TimePoint Now);
-  /// A request that was noted as started ended in a way that says nothing of
-  /// the server: nothing is learned, only its slot is free again.
+  /// Frees the slot of a started request whose end says nothing about the
+  /// server. The statistics do not change.
   void releaseSlot(const BackendServerId &Server);
-  /// Picks a server with a free slot, other than Except (one that was tried
-  /// before); nullopt if there is none. Draws random numbers and ends
-  /// ejections whose time is over; takes no slot.
+  /// Returns a server with a free slot, other than Excluded (one that was tried
+  /// before); nullopt if there is none. Draws random numbers and ends expired
+  /// ejections, but takes no slot.
   std::optional<BackendServerId>
   choose(TimePoint Now,
          const std::optional<BackendServerId> &Excluded = std::nullopt);
 
   // Queries.
 
-  /// Free slots over the servers that may be chosen now, and granted ones
-  /// over all.
+  /// The free slots of the servers that may be chosen now, and the granted
+  /// slots of all servers.
   std::size_t freeSlots() const { return FreeSlots_; }
   std::size_t totalSlots() const { return TotalSlots_; }
-  /// Mean latency of served requests over all servers; 0 before the first.
+  /// Returns the mean latency of served requests over all servers; 0 before the
+  /// first one.
   Duration meanLatency() const;
   std::vector<ChooserServerView> listServers() const;
 
@@ -111,14 +116,15 @@
     std::uint32_t InFlight_ = 0;
     std::uint32_t FailuresInRow_ = 0;
     std::uint32_t Answers_ = 0;
-    double Latency_ = 0;     ///< Microseconds; 0 before the first answer.
-    double SuccessRate_ = 1; ///< Average part of requests served.
+    double Latency_ = 0; ///< Microseconds; 0 before the first answer.
+    /// Moving average of the ratio of served requests.
+    double SuccessRate_ = 1;
     Health Health_ = Health::Good;
     Duration EjectTime_{};
     TimePoint EjectedUntil_;
     TimePoint AnsweredAt_;
-    std::size_t AvailableIndex_ = NoIndex; ///< In Available_.
-    std::size_t CountedFreeSlots_ = 0;     ///< Its part of FreeSlots_.
+    std::size_t AvailableIndex_ = NoIndex; ///< Index in Available_.
+    std::size_t CountedFreeSlots_ = 0;     ///< The server's part of FreeSlots_.
   };
 
   static constexpr std::size_t NoIndex = ~std::size_t{0};
@@ -138,8 +144,10 @@
   std::mt19937_64 Random_;
   std::unordered_map<BackendServerId, std::size_t> Positions_;
   std::vector<ServerState> States_;
-  std::vector<std::size_t> Available_; ///< Those with a free slot.
-  std::vector<std::size_t> Ejected_;   ///< At most MaxEjectedRatio_ of all.
+  /// Indexes of the servers with a free slot.
+  std::vector<std::size_t> Available_;
+  /// At most MaxEjectedRatio_ of all servers.
+  std::vector<std::size_t> Ejected_;
   TimePoint NextProbe_ = TimePoint::max();
   std::size_t GrantedCount_ = 0;
   std::size_t TotalSlots_ = 0;
--- a/include/tulipweir/decide/TokenBucket.h
+++ b/include/tulipweir/decide/TokenBucket.h
@@ -1,7 +1,8 @@
 //===- TokenBucket.h - A rate limit with a burst ---------------*- C++ -*-===//
 //
-// Limits how often a caller may ask: tokens come in at a steady rate up to a
-// burst, and each request takes one. Time is an argument; nothing waits here.
+// Limits how often a caller may send requests: tokens are added at a steady
+// rate up to a burst, and each request takes one. The caller passes the time;
+// nothing blocks.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,17 +16,17 @@
 /// Not thread-safe: guarded by its owner's lock.
 class TokenBucket {
 public:
-  /// Starts full. PerSecond is the tokens that come in each second, Burst the
-  /// most that are kept; both 0 or more. A rate of 0 never refills.
+  /// The bucket starts full. PerSecond is the number of tokens added each
+  /// second, Burst the capacity; both are 0 or more. A rate of 0 never refills.
   TokenBucket(double PerSecond, double Burst, TimePoint Now);
 
-  /// Takes Amount tokens if that many are there; otherwise takes nothing.
+  /// Takes Amount tokens if there are that many; otherwise takes none.
   bool tryTake(TimePoint Now, double Amount = 1);
 
-  /// Changes the limits and keeps what was collected, up to the new burst.
+  /// Changes the limits and keeps the current tokens, up to the new burst.
   void setLimits(double PerSecond, double Burst, TimePoint Now);
 
-  /// How long until Amount tokens will be there; 0 if they are now, and
+  /// Returns the time until Amount tokens are available: 0 if they are now, and
   /// MaxWait if they never will be.
   Duration getTimeUntil(TimePoint Now, double Amount = 1) const;
 
--- a/src/decide/Admission.cpp
+++ b/src/decide/Admission.cpp
@@ -1,4 +1,4 @@
-//===- Admission.cpp - Whether a request may wait -----------------------===//
+//===- Admission.cpp - Admission control for one service -----------------===//
 
 #include "tulipweir/decide/Admission.h"
 
@@ -14,49 +14,50 @@
 }
 
 static Duration fromSeconds(double Seconds) {
-  constexpr double Longest = 3600;
+  constexpr double MaxSeconds = 3600;
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(std::min(Seconds, Longest)));
+      std::chrono::duration<double>(std::min(Seconds, MaxSeconds)));
 }
 
 Admission::Admission(const AdmissionSettings &Settings, TimePoint Now)
     : Settings_(Settings), DrainRateAt_(Now) {}
 
-/// The rate that the slots promise when each is busy all the time.
+/// Returns the requests per second that the slots serve when all are busy.
 static double computeNominalRate(const SlotStatus &Slots) {
   const double ServiceSeconds = toSeconds(Slots.ServiceTime_);
-  constexpr double Shortest = 1e-6;
-  return static_cast<double>(Slots.Total_) / std::max(ServiceSeconds, Shortest);
+  constexpr double MinSeconds = 1e-6;
+  return static_cast<double>(Slots.Total_) /
+         std::max(ServiceSeconds, MinSeconds);
 }
 
 AdmissionResult Admission::evaluate(TimePoint Now, TimePoint Deadline,
                                     const SlotStatus &Slots) const {
-  AdmissionResult Answer;
+  AdmissionResult Result;
   const bool StartsNow = Slots.Free_ > Waiting_;
   if (!StartsNow)
-    Answer.ExpectedWait_ = estimateWait(Now, Slots);
+    Result.ExpectedWait_ = estimateWait(Now, Slots);
   const Duration Remaining =
       std::chrono::duration_cast<Duration>(Deadline - Now);
-  if (Answer.ExpectedWait_ + Slots.ServiceTime_ > Remaining) {
-    Answer.Choice_ = AdmissionChoice::TooLate;
-    // It would make it once the queue is short enough for its deadline.
+  if (Result.ExpectedWait_ + Slots.ServiceTime_ > Remaining) {
+    Result.Choice_ = AdmissionChoice::TooLate;
+    // The request would meet its deadline once the queue is short enough.
     const Duration Slack =
         std::max(Duration::zero(), Remaining - Slots.ServiceTime_);
-    Answer.RetryAfter_ = clampRetryAfter(Answer.ExpectedWait_ - Slack);
-    return Answer;
+    Result.RetryAfter_ = clampRetryAfter(Result.ExpectedWait_ - Slack);
+    return Result;
   }
   if (StartsNow)
-    return Answer;
-  Answer.Choice_ = AdmissionChoice::Queue;
+    return Result;
+  Result.Choice_ = AdmissionChoice::Queue;
   if (Waiting_ >= Settings_.QueueLimit_) {
-    Answer.Choice_ = AdmissionChoice::QueueFull;
-    Answer.RetryAfter_ = clampRetryAfter(Answer.ExpectedWait_);
+    Result.Choice_ = AdmissionChoice::QueueFull;
+    Result.RetryAfter_ = clampRetryAfter(Result.ExpectedWait_);
   }
-  return Answer;
+  return Result;
 }
 
 void Admission::recordQueued(TimePoint Now, const SlotStatus &Slots) {
-  // An empty queue says nothing about how fast it would drain.
+  // There is no measured drain rate while the queue is empty.
   if (Waiting_ == 0) {
     DrainRate_ = computeNominalRate(Slots);
     DrainRateAt_ = Now;
@@ -65,14 +66,14 @@
 }
 
 void Admission::recordDequeued(TimePoint Now) {
-  assert(Waiting_ > 0 && "nobody waits");
+  assert(Waiting_ > 0 && "no request is waiting");
   DrainRate_ = drainRate(Now) + 1 / toSeconds(Settings_.RateWindow_);
   DrainRateAt_ = std::max(DrainRateAt_, Now);
   --Waiting_;
 }
 
 void Admission::recordAbandoned() {
-  assert(Waiting_ > 0 && "nobody waits");
+  assert(Waiting_ > 0 && "no request is waiting");
   --Waiting_;
 }
 
@@ -85,8 +86,8 @@
   const double Rate =
       Waiting_ == 0 ? computeNominalRate(Slots) : drainRate(Now);
   const auto Ahead = static_cast<double>(Waiting_ + 1 - Slots.Free_);
-  constexpr double Slowest = 1e-9;
-  return fromSeconds(Ahead / std::max(Rate, Slowest));
+  constexpr double MinRate = 1e-9;
+  return fromSeconds(Ahead / std::max(Rate, MinRate));
 }
 
 Duration Admission::clampRetryAfter(Duration Wait) const {
--- a/src/decide/AttemptDecision.h
+++ b/src/decide/AttemptDecision.h
@@ -1,6 +1,6 @@
 //===- AttemptDecision.h - Decisions about running attempts ----*- C++ -*-===//
 //
-// The common part of the decisions by which guards, preemption and emptying
+// The common part of the decisions by which guards, preemption and draining
 // change a running attempt.
 //
 //===----------------------------------------------------------------------===//
@@ -12,12 +12,13 @@
 
 namespace tulipweir::decide {
 
-/// A decision about the attempt as it stands, without a text.
+/// Returns a decision with the attempt's current values and without a text.
 Decision makeAttemptDecision(DecisionKind Kind, ReasonCode Reason,
                              const ServerEntry &Server,
                              const RunningTask &Task);
 
-/// "the p99 of booking is 60.0 ms, over its target of .. for 3 reports".
+/// Returns "the p99 of booking is 60.0 ms, over its target of .. for 3
+/// reports".
 std::string describeExcess(const ServiceId &Name, const ServiceState &Service,
                            double TargetMicros);
 
--- a/src/decide/Decision.cpp
+++ b/src/decide/Decision.cpp
@@ -1,4 +1,4 @@
-//===- Decision.cpp - Decisions as values -------------------------------===//
+//===- Decision.cpp - Decisions of the planner ---------------------------===//
 
 #include "tulipweir/decide/Decision.h"
 
--- a/src/decide/DecisionLog.h
+++ b/src/decide/DecisionLog.h
@@ -1,6 +1,6 @@
 //===- DecisionLog.h - The latest decision about each task -----*- C++ -*-===//
 //
-// A bounded memory for explain(): the oldest tasks are forgotten first.
+// A bounded log for explain(); the oldest tasks are dropped first.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
 public:
   static constexpr std::size_t MaxTasks = 4096;
 
-  /// Keeps a decision about a task; others are not kept.
+  /// Stores a decision about a task; ignores other decisions.
   void record(const Decision &D);
   const Decision *find(const TaskId &Task) const;
 
--- a/src/decide/Explainer.cpp
+++ b/src/decide/Explainer.cpp
@@ -1,4 +1,4 @@
-//===- Explainer.cpp - Why a task stands where it stands ----------------===//
+//===- Explainer.cpp - Explains the state of a task ----------------------===//
 
 #include "decide/Explainer.h"
 
@@ -12,21 +12,20 @@
                                   const Resources &Needed) {
   switch (Reason) {
   case ReasonCode::QuotaReached:
-    return "tasks of team " + Task.Team_.value() +
-           " that end, or a larger quota in the bundle";
+    return "the end of tasks of team " + Task.Team_.value() +
+           ", or a larger quota in the bundle";
   case ReasonCode::NeverFits:
-    return "a server that gives " + describe(Needed) +
-           ", or a smaller declared size";
+    return "a server with " + describe(Needed) + ", or a smaller declared size";
   case ReasonCode::AllQuarantined:
     return "the end of a quarantine, or another healthy server";
   case ReasonCode::TailAtRisk:
-    return "less load on the services, other batch tasks that end, or a "
-           "higher tail target in the bundle";
+    return "less load on the services, the end of other batch tasks, or a "
+           "higher p99 target in the bundle";
   case ReasonCode::BackingOff:
     return "another server with room, or the end of the time in which it "
-           "avoids the ones where it failed or was evicted";
+           "avoids the servers where it failed or was evicted";
   default:
-    return "other tasks that end, a further server, or a higher priority";
+    return "the end of other tasks, another server, or a higher priority";
   }
 }
 
@@ -38,11 +37,12 @@
   Result.Reservation_ = Running.Reservation_;
   if (Running.ThrottlePercent_ == 100)
     return;
-  Result.WhatWouldHelp_ =
-      "it runs at " + std::to_string(Running.ThrottlePercent_) +
-      "%; it gets full speed once the services on the server keep under " +
-      describe(100 * State.Policy_.GuardReleasePart_) +
-      "% of their tail targets and the prediction allows it";
+  Result.WhatWouldHelp_ = "it runs at " +
+                          std::to_string(Running.ThrottlePercent_) +
+                          "%; it returns to full speed once the services on "
+                          "the server stay below " +
+                          describe(100 * State.Policy_.GuardReleasePart_) +
+                          "% of their p99 targets and the prediction allows it";
 }
 
 static void explainQueuedTask(const PlannerState &State,
@@ -51,7 +51,7 @@
                               Explanation &Result) {
   const auto Parked = State.Queue_.findParkedState(Result.Task_);
   if (!Parked) {
-    Result.WhatWouldHelp_ = "nothing is in its way; it is tried in its turn, "
+    Result.WhatWouldHelp_ = "nothing blocks it; it is tried in queue order, "
                             "after more urgent and longer waiting tasks";
     return;
   }
@@ -62,7 +62,7 @@
       describeObstacle(State, Waiting.Info_, Needed, Parked->Reason_) +
       ". What would let it run: " +
       describeRemedy(Parked->Reason_, Waiting.Info_, Needed) +
-      ". It is tried again in " + describe(Remaining) + " or when that changes";
+      ". It is retried in " + describe(Remaining) + " or when that changes";
 }
 
 std::optional<Explanation> decide::explainTask(const PlannerState &State,
@@ -85,7 +85,7 @@
         Proposed->IsClaim_
             ? "room for it is being cleared on " + Result.Server_->value() +
                   "; it starts when tasks there have stopped"
-            : "its placement was decided and is being committed";
+            : "its placement is being committed";
     return Result;
   }
   if (const auto RetryAt = State.findRetryTime(Task)) {
--- a/src/decide/Explainer.h
+++ b/src/decide/Explainer.h
@@ -1,7 +1,7 @@
-//===- Explainer.h - Why a task stands where it stands ---------*- C++ -*-===//
+//===- Explainer.h - Explains the state of a task --------------*- C++ -*-===//
 //
-// Builds the answer to an operator's question about one task from the
-// planner's state; changes nothing.
+// Answers an operator's query about one task from the planner's state, which
+// it does not change.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,7 +13,7 @@
 
 namespace tulipweir::decide {
 
-/// Explains one task; nullopt if the planner does not know it.
+/// Explains one task; returns nullopt if the planner does not know it.
 std::optional<Explanation> explainTask(const PlannerState &State,
                                        const Placer &Placement,
                                        const TaskId &Task, TimePoint Now);
--- a/src/decide/InterferenceModel.cpp
+++ b/src/decide/InterferenceModel.cpp
@@ -1,5 +1,4 @@
-//===- InterferenceModel.cpp - How much batch work slows services
-//------------===//
+//===- InterferenceModel.cpp - Effect of tasks on services --------------===//
 
 #include "decide/InterferenceModel.h"
 
@@ -9,22 +8,23 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-/// Weight assumed for a pair that was never seen together: a server full of
-/// an unknown class is taken to double the service's p99.
+/// Weight of a service and a class without any sample: a server full of an
+/// unknown class is assumed to double the service's p99.
 static constexpr double DefaultWeight = 1.0;
 static constexpr double MaxWeight = 20;
-/// Part of the difference that one sample corrects.
+/// Part of the prediction error that one sample corrects.
 static constexpr double LearningRate = 0.3;
-/// First guess of the p99 alone, at most, as a part of the target.
+/// Upper bound of the first baseline estimate, as a part of the target.
 static constexpr double MaxFirstBaselineRatio = 0.7;
-/// Keeps small loads from taking the blame for everything.
+/// Keeps a small load from being blamed for the whole error.
 static constexpr double LoadRegularization = 0.02;
-/// Confidence gained by one sample, and the time in which half of it goes.
+/// Confidence gained by one sample, and its half-life in seconds.
 static constexpr double ConfidenceGain = 0.12;
 static constexpr double ConfidenceHalfLife = 600;
-/// Requests of a report from which its p99 counts in full.
+/// Requests in a report from which its p99 has full weight.
 static constexpr double FullWeightRequests = 100;
-/// Pairs kept; beyond, those with the least confidence are dropped.
+/// Maximum number of pairs. Beyond it, pairs with a lower confidence than
+/// MinKeptConfidence are dropped, and all pairs if that is not enough.
 static constexpr std::size_t MaxPairs = 1U << 16U;
 static constexpr float MinKeptConfidence = 0.5F;
 
@@ -59,7 +59,8 @@
   if (const Pair *Stored = findPair(Service, Class, Band))
     return {Stored->Weight_,
             decayConfidence(Stored->Confidence_, Stored->LearnedAt_, Now)};
-  // A neighbouring band is the better guess; higher loads slow more.
+  // A neighbouring band is a better estimate than the default weight, although
+  // higher loads slow services more.
   for (int Distance = 1; Distance < LoadBands; ++Distance) {
     for (const int Other : {Band - Distance, Band + Distance}) {
       if (Other < 0 || Other >= LoadBands)
@@ -88,11 +89,11 @@
 double InterferenceModel::predict(ServiceIndex Service, LoadBand Band,
                                   const ClassLoads &Loads,
                                   TimePoint Now) const {
-  double Added = 0;
+  double Growth = 0;
   for (const ClassLoad &Load : Loads)
-    Added +=
+    Growth +=
         Load.Load_ * estimateEffect(Service, Load.Class_, Band, Now).Weight_;
-  return Added;
+  return Growth;
 }
 
 double InterferenceModel::getBaselineMicros(ServiceIndex Service,
@@ -109,24 +110,25 @@
 }
 
 void InterferenceModel::updateBaseline(Baseline &Reference, double Micros,
-                                       double Predicted, bool IsAlone,
+                                       double Predicted, bool HasNoTasks,
                                        double TargetMicros) {
-  const double Observed = IsAlone ? Micros : Micros / (1 + Predicted);
+  const double Observed = HasNoTasks ? Micros : Micros / (1 + Predicted);
   ++Reference.Samples_;
   if (Reference.Samples_ == 1) {
-    // A target is set so that the service can keep it alone; a first sample
-    // taken in a crowd says little.
-    const bool IsBounded = !IsAlone && TargetMicros > 0;
+    // A target is set so that the service can meet it without tasks. A first
+    // sample that was taken beside tasks says little about the baseline.
+    const bool IsBounded = !HasNoTasks && TargetMicros > 0;
     Reference.Micros_ =
         IsBounded ? std::min(Observed, MaxFirstBaselineRatio * TargetMicros)
                   : Observed;
     return;
   }
-  // Without neighbours the p99 is the answer. With them it is a guess, and
-  // one that is too high would hide the neighbours' effect: rise slowly.
-  constexpr double Down = 0.1;
-  constexpr double Up = 0.01;
-  const double Gain = IsAlone || Observed < Reference.Micros_ ? Down : Up;
+  // Without tasks the p99 is the baseline. With tasks it is an estimate, and
+  // one that is too high would hide the tasks' effect, so it rises slowly.
+  constexpr double FallRate = 0.1;
+  constexpr double RiseRate = 0.01;
+  const double Gain =
+      HasNoTasks || Observed < Reference.Micros_ ? FallRate : RiseRate;
   Reference.Micros_ += Gain * (Observed - Reference.Micros_);
 }
 
@@ -154,7 +156,7 @@
     const double Updated =
         Estimate.Weight_ + LearningRate * Weight * Error * Share;
     Learned.Weight_ = static_cast<float>(std::clamp(Updated, 0.0, MaxWeight));
-    // A class that is hardly there teaches hardly anything about itself.
+    // A class with little load gains little confidence from the sample.
     const double Gain =
         ConfidenceGain * Weight * std::min(1.0, Load.Load_ * Share);
     Learned.Confidence_ = static_cast<float>(std::min(
--- a/src/decide/InterferenceModel.h
+++ b/src/decide/InterferenceModel.h
@@ -1,12 +1,11 @@
-//===- InterferenceModel.h - How much batch work slows services -----*- C++
-//-*-===//
+//===- InterferenceModel.h - Effect of tasks on services -------*- C++ -*-===//
 //
-// For each service, job class and band of load one weight is learned: by how
-// much a server full of that class would lengthen the service's p99, as a part
-// of its p99 alone. A prediction is the sum of weight x load over the classes
-// on the server. Each late sample is compared with the prediction for what ran
-// when it was taken, and the difference is shared out over those classes
-// (normalised least mean squares). Confidence in a weight halves with time.
+// Learns one weight for each service, job class and load band: the relative
+// growth of the service's p99 on a server full of that class. The prediction
+// is the sum of weight x load over the classes on the server. Each sample is
+// compared with the prediction for the loads at the time when it was taken,
+// and the error is distributed over those classes (normalised least mean
+// squares). The confidence in a weight decays with a half-life.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,35 +21,38 @@
 
 namespace tulipweir::decide {
 
-/// Position of a service in the planner's tables.
+/// Index of a service in the planner's tables.
 using ServiceIndex = std::uint32_t;
 
-/// A part of a service's range of load, lowest first.
+/// A range of a service's load; 0 is the lowest.
 using LoadBand = std::uint8_t;
 constexpr LoadBand LoadBands = 4;
 LoadBand getLoadBand(std::uint32_t LoadPercent);
 
-/// How strongly a class slows a service.
+/// The estimated effect of a job class on a service.
 struct ClassEffect {
-  double Weight_ = 0;     ///< Slowdown, as a part, of a server full of it.
-  double Confidence_ = 0; ///< 0 (a guess) to 1.
+  double Weight_ = 0;     ///< Relative slowdown when the class fills a server.
+  double Confidence_ = 0; ///< 0 (default value) to 1.
 };
 
 class InterferenceModel {
 public:
-  /// Learns from one sample. Loads is what ran when it was taken.
-  /// TargetMicros bounds the first guess of the p99 alone; 0 without one.
+  /// Learns from one sample. Loads holds the class loads at the time of the
+  /// sample. TargetMicros bounds the first baseline estimate; 0 if there is no
+  /// target.
   void learn(ServiceIndex Service, LoadBand Band, const ServiceSample &Sample,
              const ClassLoads &Loads, double TargetMicros);
 
   ClassEffect estimateEffect(ServiceIndex Service, ClassIndex Class,
                              LoadBand Band, TimePoint Now) const;
-  /// The pair's largest learned weight over all bands; 0 if none is known.
+  /// Returns the pair's largest learned weight over all bands; 0 if there is
+  /// none.
   double getMaxWeight(ServiceIndex Service, ClassIndex Class) const;
-  /// Added part of the service's p99 alone: 0.3 means 1.3 times as long.
+  /// Returns the predicted growth of the service's p99 relative to its
+  /// baseline: 0.3 means 1.3 times as long.
   double predict(ServiceIndex Service, LoadBand Band, const ClassLoads &Loads,
                  TimePoint Now) const;
-  /// The service's p99 alone on a server, in microseconds; 0 if unknown.
+  /// Returns the service's p99 without tasks in microseconds; 0 if unknown.
   double getBaselineMicros(ServiceIndex Service, LoadBand Band) const;
 
 private:
@@ -67,7 +69,7 @@
   const Pair *findPair(ServiceIndex Service, ClassIndex Class,
                        LoadBand Band) const;
   void updateBaseline(Baseline &Reference, double Micros, double Predicted,
-                      bool IsAlone, double TargetMicros);
+                      bool HasNoTasks, double TargetMicros);
   void dropLeastConfident();
 
   std::unordered_map<std::uint64_t, Pair> Pairs_;
--- a/src/decide/Interner.h
+++ b/src/decide/Interner.h
@@ -1,8 +1,8 @@
-//===- Interner.h - Dense positions for identifiers ------------*- C++ -*-===//
+//===- Interner.h - Dense indexes for identifiers --------------*- C++ -*-===//
 //
-// Gives each identifier a small number, so that tables are plain vectors. At
-// most MaxNames are told apart; later ones share the last position, which
-// bounds the memory however many job classes come by.
+// Assigns each identifier a small index, so that tables can be plain vectors.
+// At most MaxNames identifiers are distinguished. Later ones share the last
+// index, which bounds the memory for any number of job classes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -40,7 +40,7 @@
   std::uint32_t size() const {
     return static_cast<std::uint32_t>(Names_.size());
   }
-  const Name &nameOf(std::uint32_t Position) const { return Names_[Position]; }
+  const Name &getName(std::uint32_t Position) const { return Names_[Position]; }
 
 private:
   std::unordered_map<Name, std::uint32_t> Positions_;
--- a/src/decide/JobSpread.cpp
+++ b/src/decide/JobSpread.cpp
@@ -1,4 +1,4 @@
-//===- JobSpread.cpp - How a job's tasks stand over racks ---------------===//
+//===- JobSpread.cpp - Distribution of jobs over racks -------------------===//
 
 #include "decide/JobSpread.h"
 
--- a/src/decide/JobSpread.h
+++ b/src/decide/JobSpread.h
@@ -1,6 +1,7 @@
-//===- JobSpread.h - How a job's tasks stand over racks --------*- C++ -*-===//
+//===- JobSpread.h - Distribution of jobs over racks -----------*- C++ -*-===//
 //
-// Counts each job's running tasks per rack, for the score that spreads them.
+// Counts each job's running tasks per rack, for the score term that spreads
+// them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,9 +24,10 @@
 class JobSpread {
 public:
   void add(const JobId &Job, std::uint32_t Rack);
-  /// Takes back one task; of any rack if the server told another one since.
+  /// Removes one task. If the server's rack has changed since the task was
+  /// added, the task is removed from any rack.
   void remove(const JobId &Job, std::uint32_t Rack);
-  /// How many of the job's tasks run, and how many of them in the rack.
+  /// Returns the number of the job's running tasks, in total and in the rack.
   std::pair<std::uint32_t, std::uint32_t> countInRack(const JobId &Job,
                                                       std::uint32_t Rack) const;
 
--- a/src/decide/PlacementHistory.cpp
+++ b/src/decide/PlacementHistory.cpp
@@ -1,4 +1,4 @@
-//===- PlacementHistory.cpp - What ran on a server earlier --------------===//
+//===- PlacementHistory.cpp - Past load of a server ----------------------===//
 
 #include "decide/PlacementHistory.h"
 
@@ -7,7 +7,7 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-/// Loads smaller than this are rounding errors of a sum that is zero.
+/// Smaller loads are rounding errors of a sum that is zero.
 static constexpr double LoadEpsilon = 1e-9;
 
 static void addLoad(ClassLoads &Loads, ClassIndex Class, double Delta) {
--- a/src/decide/PlacementHistory.h
+++ b/src/decide/PlacementHistory.h
@@ -1,10 +1,9 @@
-//===- PlacementHistory.h - What ran on a server at an earlier time -*- C++
-//-*-//
+//===- PlacementHistory.h - Past load of a server --------------*- C++ -*-===//
 //
-// Samples arrive late. To learn from one, it must be held against what ran
-// when it was taken. A server keeps its present load per job class and a
-// bounded list of changes; an earlier load is the present one with the later
-// changes undone.
+// Samples arrive late, so each must be compared with the tasks that ran when
+// it was taken. The history of a server holds its current load per job class
+// and a bounded list of changes; an earlier load is the current one with the
+// later changes undone.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,11 +19,11 @@
 
 namespace tulipweir::decide {
 
-/// Position of a job class in the planner's tables.
+/// Index of a job class in the planner's tables.
 using ClassIndex = std::uint32_t;
 
-/// How much of a server the tasks of one class may use: their reserved
-/// processors, times their throttle, as a part of the server's.
+/// The load of one job class on a server: the reserved processors of its tasks,
+/// times their throttle, relative to the server's processors.
 struct ClassLoad {
   ClassIndex Class_ = 0;
   double Load_ = 0;
@@ -37,11 +36,12 @@
 public:
   static constexpr std::size_t MaxChanges = 256;
 
-  /// The load of Class changed by Delta at At. Changes that are told out of
-  /// order count from the latest time told so far.
+  /// Records that the load of Class changed by Delta at At. A change that
+  /// arrives out of order counts from the latest time recorded so far.
   void recordChange(ClassIndex Class, double Delta, TimePoint At);
 
-  /// What ran at When; nullopt if the kept changes do not reach back so far.
+  /// Returns the loads at When; nullopt if the kept changes do not reach back
+  /// to it.
   std::optional<ClassLoads> getLoadsAt(TimePoint When) const;
   const ClassLoads &currentLoads() const { return CurrentLoads_; }
 
--- a/src/decide/PlacementRound.cpp
+++ b/src/decide/PlacementRound.cpp
@@ -1,4 +1,4 @@
-//===- PlacementRound.cpp - From the queue to placements ----------------===//
+//===- PlacementRound.cpp - Placement of waiting tasks -------------------===//
 
 #include "decide/PlacementRound.h"
 
@@ -10,19 +10,21 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-/// How long the effect of a placement, and of the evictions that make room for
-/// one, is awaited before it is decided again.
+/// Time to wait for the effect of a placement, or of the evictions that make
+/// room for one, before it is decided again.
 static constexpr Duration PlacementTimeout = std::chrono::seconds(5);
 static constexpr Duration EvictionTimeout = std::chrono::seconds(10);
 static constexpr Duration PreemptionClaimTimeout = std::chrono::seconds(20);
-/// How long a server stays set aside for a task without evictions.
+/// How long a server stays claimed for a task without evictions.
 static constexpr Duration ClaimTimeout = std::chrono::minutes(10);
-/// A task that found no room for this many ageing steps gets one set aside.
+/// A server is claimed for a task that found no room for this many ageing
+/// steps.
 static constexpr int AgeingStepsBeforeClaim = 2;
-/// Servers set aside at a time: these, and one more per so many servers.
+/// At most MinClaims servers are claimed at a time, plus one per
+/// ServersPerClaim servers.
 static constexpr std::size_t MinClaims = 2;
 static constexpr std::size_t ServersPerClaim = 32;
-/// Servers compared when one is set aside.
+/// Servers that are compared to claim one.
 static constexpr std::size_t ClaimSamples = 8;
 
 PlacementRound::PlacementRound(PlannerState &State, std::uint64_t Seed)
@@ -47,7 +49,8 @@
                                   std::size_t Budget,
                                   std::vector<Decision> &Decisions) {
   const std::size_t End = Decisions.size() + Budget;
-  // A group that is parked again for the same reason makes no decision.
+  // A group that is parked again for the same reason adds no decision, so the
+  // number of tries is bounded too.
   std::size_t RemainingTries = Budget * 2;
   while (Decisions.size() < End && RemainingTries-- > 0) {
     const WaitingTask *Waiting = State_.Queue_.first();
@@ -142,16 +145,16 @@
   return true;
 }
 
-/// The smallest part of Needed, over the dimensions, that Room has.
+/// Returns the smallest ratio of Room to Needed over the dimensions.
 static double computeFitRatio(const Resources &Needed, const Resources &Room) {
-  const auto PartOf = [](std::int64_t Wanted, std::int64_t Free) {
+  const auto ComputeRatio = [](std::int64_t Wanted, std::int64_t Free) {
     if (Wanted <= 0)
       return 1.0;
     return static_cast<double>(Free) / static_cast<double>(Wanted);
   };
-  return std::min({PartOf(Needed.MilliCpus_, Room.MilliCpus_),
-                   PartOf(Needed.MemoryMib_, Room.MemoryMib_),
-                   PartOf(Needed.Accelerators_, Room.Accelerators_)});
+  return std::min({ComputeRatio(Needed.MilliCpus_, Room.MilliCpus_),
+                   ComputeRatio(Needed.MemoryMib_, Room.MemoryMib_),
+                   ComputeRatio(Needed.Accelerators_, Room.Accelerators_)});
 }
 
 bool PlacementRound::tryClaimServer(const WaitingTask &Waiting,
@@ -163,19 +166,19 @@
   if (Now - Waiting.Since_ < MinWait || State_.countClaims() >= Limit)
     return false;
   std::optional<ServerIndex> Best;
-  double BestPart = -std::numeric_limits<double>::infinity();
+  double BestRatio = -std::numeric_limits<double>::infinity();
   for (std::size_t I = 0; I < ClaimSamples; ++I) {
     const auto From =
         static_cast<ServerIndex>(Random_() % State_.Servers_.size());
     const auto Server = State_.Servers_.limits().findFrom(From, Needed);
     if (!Server || State_.Servers_.at(*Server).ProbeOnly_)
       continue;
-    const double Part =
+    const double Ratio =
         computeFitRatio(Needed, State_.Servers_.at(*Server).room());
-    if (Part <= BestPart)
+    if (Ratio <= BestRatio)
       continue;
     Best = Server;
-    BestPart = Part;
+    BestRatio = Ratio;
   }
   if (!Best)
     return false;
@@ -186,7 +189,7 @@
   Result.Text_ = "task " + Task.Task_.toString() + " has waited " +
                  describe(Duration(Now - Waiting.Since_)) + " for " +
                  describe(Needed) + "; " + Result.Server_->value() +
-                 " is set aside for it and takes nothing else until it fits";
+                 " is reserved for it and accepts no other task until it fits";
   State_.propose(Task.Task_, *Best, Needed, Now + ClaimTimeout, true);
   Decisions.push_back(std::move(Result));
   return true;
@@ -202,15 +205,15 @@
            describe(State.findQuota(Task.Team_).value_or(Resources())) +
            ", and the task needs " + describe(Needed);
   if (Reason == ReasonCode::NeverFits)
-    return "no server known could hold it even when empty; the most that any "
-           "gives is " +
+    return "no known server could hold it even when empty; the largest "
+           "capacity per dimension is " +
            describe(State.Servers_.allLimits().maximum()) + ", lacking " +
            describeShortage(Needed, State.Servers_.allLimits().maximum());
   if (Reason == ReasonCode::AllQuarantined)
     return "every server that could hold it is quarantined";
   if (Reason == ReasonCode::TailAtRisk)
-    return "on every server with room that was looked at, a service would get "
-           "over its tail target";
+    return "on every server with room that was considered, a service would "
+           "exceed its p99 target";
   if (Reason == ReasonCode::BackingOff)
     return "it failed or was evicted on the servers with room, and avoids "
            "them for a while";
@@ -241,8 +244,8 @@
     const ServerEntry &Server = State_.Servers_.at(Index);
     if (!Server.acceptsTasks())
       continue;
-    // The claim itself is among what is held, so the room it needs is free
-    // once nothing is missing any more.
+    // The held resources include those of the claim itself, so the task fits
+    // once the free room plus the claim's reservation is large enough.
     const auto Claims = Server.Claims_;
     for (const TaskId &Id : Claims) {
       const Proposal Claim = *State_.findProposal(Id);
@@ -254,11 +257,11 @@
                                      Claim.Task_.Info_, Claim.Reservation_);
       Result.Server_ = Server.Info_.Server_;
       Result.Candidates_ = {
-          Candidate{Server.Info_.Server_, true, 1, "was cleared for it"}};
+          Candidate{Server.Info_.Server_, true, 1, "room was cleared for it"}};
       Result.Text_ = "task " + Id.toString() + " starts on " +
                      Server.Info_.Server_.value() + " with " +
                      describe(Claim.Reservation_) +
-                     " reserved, which was cleared for it";
+                     " reserved, the room cleared for it";
       Decisions.push_back(std::move(Result));
     }
   }
@@ -286,8 +289,8 @@
       Result.Attempt_ = Task->Attempt_;
       Result.Server_ = Server.Info_.Server_;
       Result.Text_ = "task " + Task->Info_.Task_.toString() +
-                     " is moved away from " + Server.Info_.Server_.value() +
-                     ", which is leaving";
+                     " is evicted from " + Server.Info_.Server_.value() +
+                     ", which is draining";
       Task->PendingUntil_ = Now + EvictionTimeout;
       Decisions.push_back(std::move(Result));
     }
--- a/src/decide/PlacementRound.h
+++ b/src/decide/PlacementRound.h
@@ -1,8 +1,8 @@
-//===- PlacementRound.h - From the queue to placements ---------*- C++ -*-===//
+//===- PlacementRound.h - Placement of waiting tasks -----------*- C++ -*-===//
 //
-// Takes waiting tasks in their order and decides on each: place it, make room
-// for it (evictions for urgent work; a server set aside for a task that could
-// not get in for long), or hold it with a reason and park its group.
+// Takes waiting tasks in queue order and decides for each: place it; make room
+// for it, by evictions for an urgent task or by claiming a server for a task
+// that found no room for long; or hold it with a reason and park its group.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,15 +19,15 @@
 public:
   PlacementRound(PlannerState &State, std::uint64_t Seed);
 
-  /// Appends at most Budget decisions for urgent tasks, or for all.
+  /// Appends at most Budget decisions for urgent tasks, or for all tasks.
   void placeUrgent(TimePoint Now, std::size_t Budget,
                    std::vector<Decision> &Decisions);
   void placeAll(TimePoint Now, std::size_t Budget,
                 std::vector<Decision> &Decisions);
-  /// Appends placements of tasks whose claimed room came free.
+  /// Appends placements of tasks whose claimed room is free now.
   void placeClaimedTasks(TimePoint Now, std::size_t Budget,
                          std::vector<Decision> &Decisions);
-  /// Appends evictions from servers that leave.
+  /// Appends evictions from servers that are draining.
   void evictFromDraining(TimePoint Now, std::size_t Budget,
                          std::vector<Decision> &Decisions);
 
@@ -35,7 +35,7 @@
   bool isUrgent(const TaskInfo &Task) const;
   void placeWaiting(bool UrgentOnly, TimePoint Now, std::size_t Budget,
                     std::vector<Decision> &Decisions);
-  /// Returns false when the budget is too small to go on.
+  /// Returns false if the budget is too small to continue.
   bool tryPlace(const WaitingTask &Waiting, TimePoint Now, std::size_t Budget,
                 std::vector<Decision> &Decisions);
   void place(const TaskInfo &Task, PlacementChoice Choice, TimePoint Now,
@@ -53,7 +53,7 @@
   std::mt19937_64 Random_;
 };
 
-/// What keeps a task of this team and size waiting, with figures.
+/// Describes why a task of this team and size waits, with figures.
 std::string describeObstacle(const PlannerState &State, const TaskInfo &Task,
                              const Resources &Needed, ReasonCode Reason);
 
--- a/src/decide/Placer.cpp
+++ b/src/decide/Placer.cpp
@@ -1,4 +1,4 @@
-//===- Placer.cpp - Filter, score and pick ------------------------------===//
+//===- Placer.cpp - Filters and scores servers ---------------------------===//
 
 #include "decide/Placer.h"
 
@@ -9,23 +9,23 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-/// Servers drawn for one task, and shown in its decision.
+/// Servers sampled for one task, and candidates shown in its decision.
 static constexpr std::size_t MaxSampledServers = 8;
 static constexpr std::size_t MaxShownCandidates = 5;
 /// Tasks of unknown size that may run at a time beside a service: declared
-/// sizes are off by several times, and samples come late.
+/// sizes are off by several times, and samples arrive late.
 static constexpr std::uint32_t MaxUnmeasured = 2;
-/// How long a server counts as strained after its guard acted.
+/// How long the score of a server is reduced after its guard acted.
 static constexpr Duration GuardActionMemory = std::chrono::seconds(30);
 
 const Placer::Filter Placer::Filters[] = {
     {"the task failed or was evicted here", ReasonCode::BackingOff,
      &Placer::isAvoided},
-    {"it waits for measured sizes of the tasks that started here",
+    {"tasks that started here have no measured size yet",
      ReasonCode::TailAtRisk, &Placer::hasTooManyUnmeasured},
-    {"a service's tail is over its target", ReasonCode::TailAtRisk,
+    {"a service's p99 is over its target", ReasonCode::TailAtRisk,
      &Placer::isTailOver},
-    {"the tail would get over its target", ReasonCode::TailAtRisk,
+    {"a service's p99 would exceed its target", ReasonCode::TailAtRisk,
      &Placer::isTailAtRisk},
 };
 
@@ -40,7 +40,7 @@
     : State_(State), TailModel_(State), Random_(Seed) {}
 
 Resources Placer::computeReservation(const TaskInfo &Task) const {
-  // Interning is a command; a class that is not known yet has no samples.
+  // Only commands intern a class; a class without an index has no samples.
   const auto Class = State_.Classes_.find(Task.Class_);
   if (!Class)
     return Task.Declared_;
@@ -69,7 +69,8 @@
     if (std::find(Servers.begin(), Servers.end(), *Server) == Servers.end())
       Servers.push_back(*Server);
   }
-  // Near a full house the draws meet the same few; walk on for the others.
+  // When few servers have room, the random samples repeat, so the scan
+  // continues in index order.
   const ServerIndex Start = Servers.back();
   ServerIndex Next = Start;
   for (std::size_t I = 0;
@@ -96,13 +97,13 @@
   }
   Result.Allowed_ = true;
   double Weights = 0;
-  for (const ScoreTerm &Part : ScoreTerms) {
-    const double Weight = State_.Policy_.*Part.Weight_;
-    const double Rate = (this->*Part.Compute_)(Context);
+  for (const ScoreTerm &Term : ScoreTerms) {
+    const double Weight = State_.Policy_.*Term.Weight_;
+    const double Rate = (this->*Term.Compute_)(Context);
     Result.Score_ += Weight * Rate;
     Weights += Weight;
     Result.Note_ += Result.Note_.empty() ? "" : ", ";
-    Result.Note_ += Part.Name_;
+    Result.Note_ += Term.Name_;
     Result.Note_ += ' ';
     Result.Note_ += describe(Rate);
   }
@@ -173,7 +174,7 @@
       Context.Task_.Priority_ >= State_.Policy_.UrgentPriority_;
   if (!Serves || IsUrgent || State_.Sizes_.isKnown(Context.Load_.Class_))
     return false;
-  return Server.Unmeasured_ + Server.HoldCount_ >= MaxUnmeasured;
+  return Server.UnmeasuredCount_ + Server.HoldCount_ >= MaxUnmeasured;
 }
 
 bool Placer::isTailOver(const PlacementContext &Context) const {
@@ -183,8 +184,8 @@
 }
 
 bool Placer::isTailAtRisk(const PlacementContext &Context) const {
-  // Urgent work is not kept waiting by a prediction; the guard answers for
-  // what it does to the services, at the cost of less urgent tasks.
+  // A prediction does not keep urgent tasks waiting. The guard protects the
+  // services by throttling or evicting less urgent tasks.
   return Context.Task_.Priority_ < State_.Policy_.UrgentPriority_ &&
          Context.Pressure_.HasService_ &&
          Context.Pressure_.Value_ >
@@ -203,7 +204,8 @@
   };
   const double Processors = FreePart(Remaining.MilliCpus_, Limit.MilliCpus_);
   const double Memory = FreePart(Remaining.MemoryMib_, Limit.MemoryMib_);
-  // Full is good; full in one dimension with the other left over is not.
+  // A full server scores high, unless one dimension is full and the other
+  // unused.
   double Rate = 1 - (Processors + Memory) / 2;
   Rate -= std::abs(Processors - Memory) / 2;
   const bool WastesAccelerators =
@@ -220,7 +222,7 @@
     Rate -= 0.2;
   constexpr double PerFailure = 0.2;
   Rate -= PerFailure * State_.Health_.countFailedJobs(Server.Info_.Server_);
-  // Tasks of a class whose size is not known yet are spread out.
+  // Spreads tasks of a class whose size is not known yet.
   const bool SameClassHere = std::any_of(
       Server.History_.currentLoads().begin(),
       Server.History_.currentLoads().end(),
--- a/src/decide/Placer.h
+++ b/src/decide/Placer.h
@@ -1,9 +1,9 @@
-//===- Placer.h - Filter, score and pick -----------------------*- C++ -*-===//
+//===- Placer.h - Filters and scores servers -------------------*- C++ -*-===//
 //
-// Chooses a server for one task: draws a handful of random servers that have
-// room from the index, rules out by a table of filters, scores by a table of
-// weighted parts, picks the best. Looks at a bounded number of servers however
-// many there are.
+// Chooses a server for one task: samples random servers with room from the
+// index, excludes some by a table of filters, scores the others by a table of
+// weighted terms, and picks the best. The number of servers considered is
+// bounded.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,8 +20,9 @@
 struct PlacementChoice {
   std::optional<ServerIndex> Server_;
   Resources Reservation_;
-  ReasonCode Reason_ = ReasonCode::BestScore; ///< Or why there is none.
-  std::vector<Candidate> Candidates_;         ///< Best first.
+  /// BestScore, or why no server was chosen.
+  ReasonCode Reason_ = ReasonCode::BestScore;
+  std::vector<Candidate> Candidates_; ///< Best first.
 };
 
 class Placer {
@@ -29,13 +30,13 @@
   Placer(const PlannerState &State, std::uint64_t Seed);
 
   PlacementChoice choose(const TaskInfo &Task, TimePoint Now);
-  /// What would be set aside for the task now.
+  /// Returns the resources that would be reserved for the task now.
   Resources computeReservation(const TaskInfo &Task) const;
-  /// Why nothing can take an amount, by what the indexes say.
+  /// Returns why no server has Needed free, according to the indexes.
   ReasonCode findRejectionReason(const Resources &Needed) const;
 
 private:
-  /// One task against one server.
+  /// One task and a server that is evaluated for it.
   struct PlacementContext {
     const TaskInfo &Task_;
     const Resources &Needed_;
@@ -52,7 +53,8 @@
   struct ScoreTerm {
     const char *Name_;
     double Policy::*Weight_;
-    double (Placer::*Compute_)(const PlacementContext &) const; ///< 0 to 1.
+    /// Returns 0 to 1.
+    double (Placer::*Compute_)(const PlacementContext &) const;
   };
   static const Filter Filters[];
   static const ScoreTerm ScoreTerms[];
--- a/src/decide/Planner.cpp
+++ b/src/decide/Planner.cpp
@@ -1,4 +1,4 @@
-//===- Planner.cpp - Where tasks run, and what gives way ----------------===//
+//===- Planner.cpp - Placement, throttling and eviction of tasks ---------===//
 
 #include "tulipweir/decide/Planner.h"
 
@@ -14,7 +14,7 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-/// Timers that one call looks at, beside a few per decision.
+/// Expired entries that one call handles, beside a few per decision.
 static constexpr std::size_t MinExpiriesPerCall = 64;
 
 class Planner::Impl {
@@ -23,12 +23,14 @@
       : State_(Settings), ReservationPlacer_(State_, Seed),
         Round_(State_, Seed), TailGuard_(State_), UsageGuard_(State_) {}
 
-  /// Applies changes of servers' health and reports those worth a decision.
+  /// Applies changes of server health and hands out the decisions for
+  /// quarantines and readmissions.
   void applyHealthChanges(std::vector<Decision> &Decisions);
   std::vector<Decision> decide(TimePoint Now, std::size_t Budget);
 
   PlannerState State_;
-  Placer ReservationPlacer_; ///< Only asked for sizes; draws nothing.
+  /// Only computes reservations; draws no random numbers.
+  Placer ReservationPlacer_;
   PlacementRound Round_;
   TailGuard TailGuard_;
   UsageGuard UsageGuard_;
@@ -44,16 +46,16 @@
     Result.Text_ = Change.Server_.value() + " is quarantined for " +
                    describe(Change.Length_) + ": " +
                    std::to_string(Change.Jobs_.size()) +
-                   " jobs that do well elsewhere failed there (";
+                   " jobs that succeed elsewhere failed there (";
     for (const JobId &Job : Change.Jobs_)
       Result.Text_ += (&Job == &Change.Jobs_.front() ? "" : ", ") + Job.value();
-    Result.Text_ += ") and nothing did well since";
+    Result.Text_ += ") and no task has succeeded since";
     return Result;
   }
   Result.Kind_ = DecisionKind::Readmit;
   Result.Reason_ = ReasonCode::ProbationPassed;
   Result.Text_ = Change.Server_.value() +
-                 " takes tasks as before: a task did well there on probation";
+                 " accepts tasks again: a task succeeded there on probation";
   return Result;
 }
 
@@ -88,7 +90,8 @@
                             Decisions.end());
     Decisions.resize(Budget);
   }
-  // The guards may take half, so that waiting work always gets on.
+  // Each guard gets at most half of the budget, so that waiting tasks always
+  // make progress.
   const std::size_t Half = std::max<std::size_t>(1, Budget / 2);
   const auto LimitBudget = [&](std::size_t Limit) {
     return std::min(Limit, Budget - Decisions.size());
--- a/src/decide/PlannerState.cpp
+++ b/src/decide/PlannerState.cpp
@@ -1,4 +1,4 @@
-//===- PlannerState.cpp - All that the planner knows --------------------===//
+//===- PlannerState.cpp - State of the planner ---------------------------===//
 
 #include "decide/PlannerState.h"
 
@@ -9,16 +9,17 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-/// Tasks remembered between attempts, beyond those that wait or run.
+/// Maximum number of task records, beside waiting and running tasks.
 static constexpr std::size_t MaxRecords = 32768;
-/// Back-off of a task that failed: doubles from the first to the longest.
+/// Back-off after a failure: doubles from the initial to the maximum value.
 static constexpr Duration InitialBackoff = std::chrono::seconds(1);
 static constexpr Duration MaxBackoff = std::chrono::seconds(60);
-/// How long a task that was evicted or failed on a server avoids it.
+/// How long a task avoids the server on which it failed or from which it was
+/// evicted.
 static constexpr Duration AvoidanceTime = std::chrono::seconds(60);
 
-/// Effects between which a class is put off, none to in full: a server full
-/// of it lengthens a service's p99 by 5% or by 300%.
+/// The order penalty of a class grows from none to full between these weights:
+/// a server full of the class lengthens a service's p99 by 5% or by 300%.
 static constexpr double NoPenaltyWeight = 0.05;
 static constexpr double FullPenaltyWeight = 3;
 
@@ -170,10 +171,10 @@
   if (!Running || Running->Attempt_ != Attempt)
     return;
   releaseGrowth(Task);
-  auto &Held = TeamUsage_[Running->Info_.Team_];
-  Held = Held - Running->Reservation_ + Reservation;
+  auto &Usage = TeamUsage_[Running->Info_.Team_];
+  Usage = Usage - Running->Reservation_ + Reservation;
   const bool Shrinks = Reservation.fitsIn(Running->Reservation_);
-  // The change counts from the last thing that happened on the server.
+  // The time of the change is that of the latest event on the server.
   Servers_.resizeTask(*Running, Reservation, Running->PlacedAt_);
   Running->PendingUntil_ = TimePoint();
   Running->OverReports_ = 0;
@@ -186,7 +187,7 @@
     return;
   Task.GuardPending_ = false;
   ServerEntry &Entry = Servers_.at(Task.Server_);
-  if (--Entry.GuardPending_ == 0)
+  if (--Entry.PendingGuardTasks_ == 0)
     Entry.GuardPendingUntil_ = TimePoint();
 }
 
@@ -264,7 +265,7 @@
 
 void PlannerState::convertClaim(const TaskId &Task, TimePoint ExpiresAt) {
   Proposal &Claim = Proposals_.at(Task);
-  assert(Claim.IsClaim_ && "only a claim can be settled");
+  assert(Claim.IsClaim_ && "only a claim can be converted");
   eraseClaim(Servers_.at(Claim.Server_), Task);
   --ClaimCount_;
   Claim.IsClaim_ = false;
@@ -284,8 +285,8 @@
     eraseClaim(Servers_.at(Dropped.Server_), Task);
     --ClaimCount_;
   }
-  auto &Held = TeamUsage_[Dropped.Task_.Info_.Team_];
-  Held = Held - Dropped.Reservation_;
+  auto &Usage = TeamUsage_[Dropped.Task_.Info_.Team_];
+  Usage = Usage - Dropped.Reservation_;
   Servers_.release(Dropped.Server_, Dropped.Reservation_);
   wakeTasksForRoom(Dropped.Server_);
   return Dropped.Task_;
@@ -382,7 +383,7 @@
   const auto Class = Classes_.find(Task.Class_);
   if (!Class || Task.Priority_ >= Policy_.UrgentPriority_)
     return Duration::zero();
-  // A guess counts like a harmless class, so that it is tried and learned.
+  // A class without samples gets no penalty, so that it is placed and learned.
   double MaxWeight = 0;
   for (ServiceIndex Service = 0; Service < Services_.size(); ++Service)
     if (getTargetMicros(Service) > 0)
@@ -398,6 +399,6 @@
 }
 
 double PlannerState::getTargetMicros(ServiceIndex Service) const {
-  const auto It = Targets_.find(Services_.nameOf(Service));
+  const auto It = Targets_.find(Services_.getName(Service));
   return It == Targets_.end() ? 0 : It->second;
 }
--- a/src/decide/PlannerState.h
+++ b/src/decide/PlannerState.h
@@ -1,13 +1,15 @@
-//===- PlannerState.h - All that the planner knows -------------*- C++ -*-===//
+//===- PlannerState.h - State of the planner -------------------*- C++ -*-===//
 //
-// Servers, running, waiting and proposed tasks, teams and jobs, with what was
-// learned. Its commands keep these in step with each other; the strategies
-// (Placer, Preemptor, TailGuard, UsageGuard) read it and answer decisions.
+// Servers, running, waiting and proposed tasks, teams and jobs, and what was
+// learned from samples. The commands keep these consistent with each other;
+// the strategies (Placer, Preemptor, TailGuard, UsageGuard) read the state and
+// return decisions.
 //
-// A task is in exactly one of: waiting (in the queue), proposed (a decision
-// was handed out, or a server is being emptied for it; the room is held until
-// it expires), running (committed). A task may run while its next attempt is
-// already known; that one waits in NextAttempts_.
+// A task is in exactly one of three states: waiting (in the queue), proposed
+// (a decision was returned, or a server is being cleared for it; the room is
+// held until the proposal expires) or running (committed). A task may run
+// while its next attempt is already known; that attempt waits in
+// NextAttempts_.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,7 +30,7 @@
 
 namespace tulipweir::decide {
 
-/// Room that is held for a task that does not run yet.
+/// Resources held for a task that does not run yet.
 struct Proposal {
   WaitingTask Task_;
   ServerIndex Server_ = 0;
@@ -37,12 +39,13 @@
   bool IsClaim_ = false; ///< The room is not free yet.
 };
 
-/// What is remembered of a task between its attempts.
+/// The state of a task that is kept between its attempts.
 struct TaskRecord {
-  AttemptNumber LastEndedAttempt_; ///< Latest attempt known to have ended.
+  AttemptNumber LastEndedAttempt_; ///< The latest attempt known to have ended.
   std::uint32_t Failures_ = 0;
   TimePoint RetryAt_;
-  TimePoint WaitingSince_; ///< When it first waited, for ageing.
+  /// Start of the waiting time that counts for ageing.
+  TimePoint WaitingSince_;
   std::optional<BackendServerId> AvoidedServer_;
   TimePoint AvoidUntil_;
 };
@@ -51,7 +54,7 @@
 public:
   explicit PlannerState(const Policy &Settings);
 
-  // Commands. Each ignores what is stale (older attempts, unknown tasks).
+  // Commands. Each ignores stale events (older attempts, unknown tasks).
   void setPolicy(const Policy &Settings);
   void upsertServer(const ServerInfo &Info);
   void removeServer(const BackendServerId &Server);
@@ -66,16 +69,16 @@
                       std::uint32_t Percent, TimePoint Now);
   void recordEnd(const TaskId &Task, AttemptNumber Attempt, EndReason Reason,
                  TimePoint Now);
-  /// Moves a waiting task to proposed and holds the room.
+  /// Moves a waiting task to the proposed state and holds its resources.
   void propose(const TaskId &Task, ServerIndex Server,
                const Resources &Reservation, TimePoint ExpiresAt, bool IsClaim);
-  /// Turns a claim whose room came free into a proposal.
+  /// Turns a claim whose room is free now into a plain proposal.
   void convertClaim(const TaskId &Task, TimePoint ExpiresAt);
-  /// Holds the room by which a running task's reservation is to grow.
+  /// Holds the resources by which a running task's reservation will grow.
   void holdGrowth(const TaskId &Task, const Resources &Amount,
                   TimePoint ExpiresAt);
-  /// Puts tasks whose proposals expired back to waiting, and due retries into
-  /// the queue; Most at most.
+  /// Moves tasks with expired proposals back to the queue, adds due retries to
+  /// it and releases expired growths; handles at most Limit of each.
   void expire(TimePoint Now, std::size_t Limit);
 
   // Queries.
@@ -83,14 +86,14 @@
   const RunningTask *findRunning(const TaskId &Task) const;
   const Proposal *findProposal(const TaskId &Task) const;
   const TaskRecord *findRecord(const TaskId &Task) const;
-  /// What the team holds, proposals included.
+  /// Returns the resources of the team's running and proposed tasks.
   Resources getTeamUsage(const TeamId &Team) const;
   std::optional<Resources> findQuota(const TeamId &Team) const;
   std::optional<TimePoint> findRetryTime(const TaskId &Task) const;
-  /// The target of a service in microseconds, 0 without one.
+  /// Returns the p99 target of a service in microseconds; 0 if there is none.
   double getTargetMicros(ServiceIndex Service) const;
   std::size_t countClaims() const { return ClaimCount_; }
-  /// By how much tasks of a class that slows services are put off.
+  /// Returns the delay in queue order of tasks of a class that slows services.
   Duration computeOrderPenalty(const TaskInfo &Task) const;
 
   Policy Policy_;
@@ -104,12 +107,12 @@
   JobSpread Spread_;
   DecisionLog Decisions_;
   Quarantine Health_;
-  /// Part of all services' reports that stood over their target of late, over
-  /// about a hundred seconds.
+  /// Recent part of all services' reports that exceeded their target, averaged
+  /// over about a hundred seconds.
   double OverTargetShare_ = 0;
-  /// Servers on which room came free and that have claims.
+  /// Servers with claims on which room became free.
   std::set<ServerIndex> ClaimsToCheck_;
-  /// Servers that may have tasks to move because they leave.
+  /// Draining servers that may still have tasks to evict.
   std::set<ServerIndex> DrainingServers_;
 
 private:
--- a/src/decide/Preemptor.cpp
+++ b/src/decide/Preemptor.cpp
@@ -1,4 +1,4 @@
-//===- Preemptor.cpp - Room for urgent work -----------------------------===//
+//===- Preemptor.cpp - Evictions that make room for urgent tasks ---------===//
 
 #include "decide/Preemptor.h"
 
@@ -7,7 +7,7 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-/// Servers, and tasks on each, that one search looks at.
+/// Servers that one search considers, and tasks on each.
 static constexpr std::size_t MaxServers = 32;
 static constexpr std::size_t MaxTasks = 128;
 
@@ -17,7 +17,7 @@
   return Task.WorkAtRisk_ + Elapsed * Task.ThrottlePercent_ / 100;
 }
 
-/// Whether the task holds any of what Room lacks for Needed.
+/// Returns whether the task holds any resource that Room lacks for Needed.
 static bool freesNeeded(const RunningTask &Task, const Resources &Needed,
                         const Resources &Room) {
   const Resources &Held = Task.Reservation_;
@@ -26,7 +26,7 @@
          (Needed.Accelerators_ > Room.Accelerators_ && Held.Accelerators_ > 0);
 }
 
-/// Takes back victims that turn out not to be needed, dearest first.
+/// Removes victims that turn out to be unnecessary, the most expensive first.
 static void removeUnneededVictims(std::vector<RunningTask *> &Victims,
                                   Resources Room, const Resources &Needed) {
   for (std::size_t I = Victims.size(); I-- > 0;) {
--- a/src/decide/Preemptor.h
+++ b/src/decide/Preemptor.h
@@ -1,9 +1,9 @@
-//===- Preemptor.h - Room for urgent work ----------------------*- C++ -*-===//
+//===- Preemptor.h - Evictions that make room for urgent tasks --*- C++ -*-===//
 //
-// Looks for the server on which the fewest and cheapest evictions of less
-// urgent tasks make room for an urgent one. Each call looks at a bounded
-// number of servers, from where the last one ended, so that repeated calls see
-// all of them.
+// Finds the server on which the fewest and cheapest evictions of less urgent
+// tasks make room for an urgent one. Each call considers a bounded number of
+// servers and starts where the previous call ended, so that repeated calls
+// cover all servers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,16 +20,16 @@
   Duration WorkLost_{};
 };
 
-/// Work that would be lost if the task was evicted now: what was reported at
-/// its last sample and what it did since, as far as it can be known.
+/// Returns the work that an eviction now would lose: the work reported in the
+/// latest sample plus an estimate of the work done since.
 Duration estimateWorkLost(const RunningTask &Task, TimePoint Now);
 
 class Preemptor {
 public:
   explicit Preemptor(PlannerState &State) : State_(State) {}
 
-  /// The cheapest preemption for a task of this size and priority among the
-  /// servers looked at, or nullopt.
+  /// Returns the cheapest preemption for a task of this size and priority among
+  /// the servers considered, or nullopt.
   std::optional<Preemption> findCheapest(const Resources &Needed,
                                          std::uint32_t Priority, TimePoint Now);
 
--- a/src/decide/Quarantine.cpp
+++ b/src/decide/Quarantine.cpp
@@ -1,4 +1,4 @@
-//===- Quarantine.cpp - Servers that fail every task --------------------===//
+//===- Quarantine.cpp - Servers on which every task fails ----------------===//
 
 #include "decide/Quarantine.h"
 
@@ -8,16 +8,17 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-/// Jobs and servers remembered as evidence.
+/// Bounds on the kept evidence: jobs in total, jobs per server and servers per
+/// job.
 static constexpr std::size_t MaxJobs = 8192;
 static constexpr std::size_t MaxJobsPerServer = 16;
 static constexpr std::size_t MaxServersPerJob = 8;
-/// A job that failed on so many servers, and did well nowhere, is at fault
-/// itself.
+/// A job that failed on this many servers and succeeded on none is itself at
+/// fault.
 static constexpr std::size_t MinServersOfFailingJob = 3;
 /// Different failing jobs that make a server a suspect.
 static constexpr std::size_t MinJobsOfSuspect = 2;
-/// How long a suspect stays one without a new failure.
+/// How long a server stays a suspect without a new failure.
 static constexpr Duration SuspectTime = std::chrono::seconds(60);
 static constexpr int MaxLengthFactor = 16;
 
@@ -111,7 +112,8 @@
   auto &Record = Servers_[Server];
   Record.FailedAt_ = Now;
   addUnique(Record.FailedJobs_, Job, MaxJobsPerServer);
-  // A further failure of the job may clear the servers it failed on before.
+  // A further failure of the job may clear the servers on which it failed
+  // before.
   const auto ServersToCheck = FailedOn;
   for (const BackendServerId &Id : ServersToCheck)
     updateHealth(Id, Now, Settings);
--- a/src/decide/Quarantine.h
+++ b/src/decide/Quarantine.h
@@ -1,11 +1,11 @@
-//===- Quarantine.h - Servers that fail every task -------------*- C++ -*-===//
+//===- Quarantine.h - Servers on which every task fails --------*- C++ -*-===//
 //
-// A server is quarantined on evidence: several different jobs failed there
-// since anything last went well, and each of them did well on another server.
-// A job that fails everywhere is no evidence. Before the evidence is complete
-// a server on which two jobs failed in a row gets one task at a time. After the
-// quarantine it is on probation: one task at a time until one does well; if one
-// fails again, the quarantine lasts twice as long.
+// A server is quarantined when several different jobs failed there since the
+// last success and each of them succeeded on another server. A job that fails
+// everywhere does not count. Before the evidence is complete, a server on
+// which two jobs failed in a row gets one task at a time. After the quarantine
+// the server is on probation: it gets one task at a time until one succeeds;
+// if one fails again, the next quarantine lasts twice as long.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,7 @@
 
 enum class ServerHealth : std::uint8_t {
   Good,
-  Suspect, ///< One task at a time: several jobs failed there.
+  Suspect, ///< One task at a time, because several jobs failed there.
   Quarantined,
   Probation, ///< One task at a time after a quarantine.
 };
@@ -35,7 +35,7 @@
   BackendServerId Server_;
   ServerHealth From_ = ServerHealth::Good;
   ServerHealth To_ = ServerHealth::Good;
-  std::vector<JobId> Jobs_; ///< The evidence.
+  std::vector<JobId> Jobs_; ///< The failed jobs, or the job that succeeded.
   Duration Length_{};
   bool operator==(const HealthChange &) const = default;
 };
@@ -44,12 +44,12 @@
 public:
   void recordFailure(const JobId &Job, const BackendServerId &Server,
                      TimePoint Now, const Policy &Settings);
-  /// A task finished there, or ran there for long.
+  /// Records that a task finished on the server or ran there for long.
   void recordSuccess(const JobId &Job, const BackendServerId &Server,
                      TimePoint Now, const Policy &Settings);
-  /// Ends quarantines whose time is over.
+  /// Ends quarantines and suspicions whose time is over.
   void advance(TimePoint Now);
-  /// Hands out the changes since the last call, in order.
+  /// Returns the changes since the last call, in order.
   std::vector<HealthChange> takeChanges();
 
   ServerHealth getHealth(const BackendServerId &Server) const;
@@ -58,7 +58,8 @@
 private:
   struct ServerRecord {
     ServerHealth Health_ = ServerHealth::Good;
-    std::vector<JobId> FailedJobs_; ///< Different ones since it did well.
+    /// Different jobs that failed since the last success.
+    std::vector<JobId> FailedJobs_;
     TimePoint Until_;
     Duration QuarantineLength_{};
     TimePoint FailedAt_;
--- a/src/decide/ResourceTree.cpp
+++ b/src/decide/ResourceTree.cpp
@@ -1,5 +1,4 @@
-//===- ResourceTree.cpp - Finds a server with enough room
-//-------------------===//
+//===- ResourceTree.cpp - Finds a server with room ----------------------===//
 
 #include "decide/ResourceTree.h"
 
--- a/src/decide/ResourceTree.h
+++ b/src/decide/ResourceTree.h
@@ -1,11 +1,10 @@
-//===- ResourceTree.h - Finds a server with enough room ------------*- C++
-//-*-===//
+//===- ResourceTree.h - Finds a server with room ---------------*- C++ -*-===//
 //
-// A binary tree over all servers in which each node holds the most room of any
-// server below it, per dimension. A search goes down only where the maxima
-// allow, so that finding a server, or knowing that there is none, visits about
-// log2(servers) nodes. At worst (one server has the processors and another the
-// memory, over and over) it visits all nodes once.
+// A binary tree over all servers in which each node holds the maximum of the
+// servers below it, per dimension. A search descends only where the maxima
+// allow it, so that it visits about log2(servers) nodes to find a server or to
+// see that there is none. In the worst case (one server has free processors
+// and the next free memory, repeatedly) it visits all nodes once.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,20 +20,21 @@
 
 namespace tulipweir::decide {
 
-/// Position of a server in the planner's tables.
+/// Index of a server in the planner's tables.
 using ServerIndex = std::uint32_t;
 
 class ResourceTree {
 public:
-  /// Room of a server that may not be chosen at all.
+  /// Value for a server that must not be chosen.
   static constexpr Resources Unavailable{-1, -1, -1};
 
   void set(ServerIndex Server, const Resources &Room);
 
-  /// The first server at or after From, going round, that holds Needed.
+  /// Returns the first server at or after From, wrapping around, that has
+  /// Needed.
   std::optional<ServerIndex> findFrom(ServerIndex From,
                                       const Resources &Needed) const;
-  /// The most room of any server, per dimension.
+  /// Returns the maximum over all servers, per dimension.
   const Resources &maximum() const { return Nodes_[1]; }
   ServerIndex size() const { return Leaves_; }
 
--- a/src/decide/RetryBudget.cpp
+++ b/src/decide/RetryBudget.cpp
@@ -1,4 +1,4 @@
-//===- RetryBudget.cpp - How many retries are affordable ----------------===//
+//===- RetryBudget.cpp - Limits retries and hedges -----------------------===//
 
 #include "tulipweir/decide/RetryBudget.h"
 
@@ -6,7 +6,8 @@
 
 using namespace tulipweir::decide;
 
-/// Lets ten times a tenth count as a whole one despite rounding.
+/// Balance needed for one retry. It is slightly under 1, so that ten times a
+/// tenth suffices despite rounding.
 static constexpr double RetryCost = 1 - 1e-9;
 
 RetryBudget::RetryBudget(double RetryRatio, double MaxBalance)
--- a/src/decide/ServerChooser.cpp
+++ b/src/decide/ServerChooser.cpp
@@ -1,4 +1,4 @@
-//===- ServerChooser.cpp - Which backend server gets a request ----------===//
+//===- ServerChooser.cpp - Load balancing over backend servers -----------===//
 
 #include "tulipweir/decide/ServerChooser.h"
 
@@ -9,13 +9,13 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-/// Part of one answer in the mean over all servers.
+/// Weight of one answer in the mean latency over all servers.
 static constexpr double MeanLatencySmoothing = 0.02;
-/// Part of one answer in a server's share of successes.
+/// Weight of one answer in a server's success rate.
 static constexpr double SuccessSmoothing = 0.1;
-/// Keeps the cost of a server that only fails finite.
+/// Keeps the cost of a server that always fails finite.
 static constexpr double MinSuccessRate = 0.02;
-/// Below this share of successes a server is ejected.
+/// A server with a lower success rate is ejected.
 static constexpr double EjectionSuccessRate = 0.3;
 /// How much "busy, not run" counts as a success.
 static constexpr double BusySuccess = 0.5;
@@ -111,12 +111,13 @@
                       const std::optional<BackendServerId> &Excluded) {
   if (Now >= NextProbe_)
     startProbes(Now);
-  const auto Skipped = Excluded ? Positions_.find(*Excluded) : Positions_.end();
+  const auto ExcludedIt =
+      Excluded ? Positions_.find(*Excluded) : Positions_.end();
   std::size_t Count = Available_.size();
-  // The excepted one is moved last, and the draw stops short of it.
-  if (Skipped != Positions_.end() &&
-      States_[Skipped->second].AvailableIndex_ != NoIndex) {
-    const std::size_t From = States_[Skipped->second].AvailableIndex_;
+  // Moves the excluded server to the end, outside the range of the draw.
+  if (ExcludedIt != Positions_.end() &&
+      States_[ExcludedIt->second].AvailableIndex_ != NoIndex) {
+    const std::size_t From = States_[ExcludedIt->second].AvailableIndex_;
     std::swap(Available_[From], Available_.back());
     States_[Available_[From]].AvailableIndex_ = From;
     States_[Available_.back()].AvailableIndex_ = Count - 1;
@@ -127,7 +128,7 @@
   const std::size_t First = Random_() % Count;
   if (Count == 1)
     return States_[Available_[First]].Server_;
-  // Two different ones: the second draw skips the first.
+  // Draws two different servers: the second draw skips the first.
   const std::size_t Second = (First + 1 + Random_() % (Count - 1)) % Count;
   const ServerState &A = States_[Available_[First]];
   const ServerState &B = States_[Available_[Second]];
@@ -164,7 +165,7 @@
   const double Mean = std::max(MeanLatency_, 1.0);
   if (State.Answers_ == 0)
     return Fill * Mean;
-  // What was measured long ago fades towards what is usual.
+  // Old measurements decay towards the mean of all servers.
   const double Age =
       toMicros(std::max(Now, State.AnsweredAt_) - State.AnsweredAt_);
   const double Weight = std::exp2(-Age / toMicros(Settings_.LatencyHalfLife_));
@@ -200,7 +201,7 @@
   if (Result == RequestResult::Busy)
     return;
   const double Before = State.Latency_ > 0 ? State.Latency_ : Micros;
-  // A failure that comes fast is no sign of speed.
+  // A fast failure does not count as a low latency.
   if (Result == RequestResult::Failed && Micros < Before)
     return;
   State.Latency_ = Before + Settings_.LatencySmoothing_ * (Micros - Before);
@@ -247,7 +248,7 @@
       StillEjected.push_back(Position);
       continue;
     }
-    // What it did before the ejection says nothing about how it is now.
+    // Statistics from before the ejection say nothing about the current state.
     State.Health_ = Health::Probing;
     State.FailuresInRow_ = 0;
     State.Answers_ = 0;
@@ -265,11 +266,11 @@
       Limit > State.InFlight_ ? Limit - State.InFlight_ : 0;
   FreeSlots_ = FreeSlots_ - State.CountedFreeSlots_ + Free;
   State.CountedFreeSlots_ = Free;
-  const bool IsOpen = State.AvailableIndex_ != NoIndex;
-  if (Free > 0 && !IsOpen) {
+  const bool IsListed = State.AvailableIndex_ != NoIndex;
+  if (Free > 0 && !IsListed) {
     State.AvailableIndex_ = Available_.size();
     Available_.push_back(Position);
-  } else if (Free == 0 && IsOpen) {
+  } else if (Free == 0 && IsListed) {
     Available_[State.AvailableIndex_] = Available_.back();
     States_[Available_.back()].AvailableIndex_ = State.AvailableIndex_;
     Available_.pop_back();
--- a/src/decide/ServerTable.cpp
+++ b/src/decide/ServerTable.cpp
@@ -1,4 +1,4 @@
-//===- ServerTable.cpp - Backend servers and what they hold -------------===//
+//===- ServerTable.cpp - Backend servers and their resources -------------===//
 
 #include "decide/ServerTable.h"
 
@@ -80,7 +80,7 @@
   Entry.Reserved_ = Entry.Reserved_ - Task.Reservation_;
   Entry.MeasuredUsage_ = Entry.MeasuredUsage_ - Task.Usage_;
   Entry.ThrottledCount_ -= Task.ThrottlePercent_ < 100 ? 1 : 0;
-  Entry.Unmeasured_ -= Task.Unmeasured_ ? 1 : 0;
+  Entry.UnmeasuredCount_ -= Task.Unmeasured_ ? 1 : 0;
   Entry.History_.recordChange(
       Task.Class_,
       -computeLoad(Task.Server_, Task.Reservation_, Task.ThrottlePercent_),
@@ -122,8 +122,8 @@
 
 void ServerTable::setUnmeasured(RunningTask &Task, bool IsUnmeasured) {
   ServerEntry &Entry = at(Task.Server_);
-  Entry.Unmeasured_ -= Task.Unmeasured_ ? 1 : 0;
-  Entry.Unmeasured_ += IsUnmeasured ? 1 : 0;
+  Entry.UnmeasuredCount_ -= Task.Unmeasured_ ? 1 : 0;
+  Entry.UnmeasuredCount_ += IsUnmeasured ? 1 : 0;
   Task.Unmeasured_ = IsUnmeasured;
 }
 
@@ -163,12 +163,12 @@
   const ServerEntry &Entry = at(Server);
   const bool IsStaying = Entry.Present_ && !Entry.Info_.Draining_;
   const bool AcceptsTasks = IsStaying && !Entry.Quarantined_;
-  const bool Busy = !Entry.Tasks_.empty() || Entry.HoldCount_ > 0;
-  const bool Open = AcceptsTasks && !(Entry.ProbeOnly_ && Busy);
-  Room_.set(Server, Open ? Entry.room() : ResourceTree::Unavailable);
+  const bool IsBusy = !Entry.Tasks_.empty() || Entry.HoldCount_ > 0;
+  const bool IsAvailable = AcceptsTasks && !(Entry.ProbeOnly_ && IsBusy);
+  Room_.set(Server, IsAvailable ? Entry.room() : ResourceTree::Unavailable);
   Limits_.set(Server, AcceptsTasks ? Entry.limit() : ResourceTree::Unavailable);
   AllLimits_.set(Server, IsStaying ? Entry.limit() : ResourceTree::Unavailable);
-  if (Entry.Present_ || Busy)
+  if (Entry.Present_ || IsBusy)
     return;
   Positions_.erase(Entry.Info_.Server_);
   FreeIndexes_.push_back(Server);
--- a/src/decide/ServerTable.h
+++ b/src/decide/ServerTable.h
@@ -1,8 +1,8 @@
-//===- ServerTable.h - Backend servers and what they hold ------*- C++ -*-===//
+//===- ServerTable.h - Backend servers and their resources -----*- C++ -*-===//
 //
-// What is committed on each server (reserved), what is merely proposed or
-// claimed (held), and the indexes that find room. All amounts change only
-// through here, so that the sums and the indexes always agree.
+// The committed (reserved) and the proposed or claimed (held) resources of
+// each server, and the indexes that find room. All amounts change only through
+// this class, so that the sums and the indexes stay consistent.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,11 +20,11 @@
 
 namespace tulipweir::decide {
 
-/// Stands for "never" where an age is asked for: a monotonic clock may have
+/// Stands for "never" where an age is computed: a monotonic clock may have
 /// started only seconds ago.
 inline constexpr TimePoint DistantPast{-std::chrono::hours(24 * 365)};
 
-/// A committed attempt. Owned by PlannerState; servers point to it.
+/// A committed attempt. PlannerState owns it; servers point to it.
 struct RunningTask {
   TaskInfo Info_;
   AttemptNumber Attempt_;
@@ -33,33 +33,34 @@
   Resources Reservation_;
   std::uint32_t ThrottlePercent_ = 100;
   TimePoint PlacedAt_;
-  TimePoint ThrottledAt_; ///< When the last change of throttle took effect.
-  Resources Usage_;       ///< The latest measured one.
+  TimePoint ThrottledAt_; ///< When the last throttle change took effect.
+  Resources Usage_;       ///< The latest measured usage.
   double SustainedMilliCpus_ = 0; ///< Smoothed over a few samples.
   TimePoint UsageAt_;
-  Duration WorkAtRisk_{};         ///< Since its checkpoint, at UsageAt_.
-  std::uint32_t OverReports_ = 0; ///< In a row over its reservation.
-  TimePoint IgnoreUsageUntil_;    ///< Samples taken before say nothing new.
-  TimePoint PendingUntil_;        ///< A decision about it awaits its effect.
-  std::uint32_t Relapses_ = 0;    ///< Releases after which the tail rose.
-  bool GuardPending_ = false;     ///< That decision was the tail guard's.
-  bool Unmeasured_ =
-      false; ///< Its class's size is a guess, and no sample came.
+  Duration WorkAtRisk_{}; ///< Work since the last checkpoint, as of UsageAt_.
+  std::uint32_t OverReports_ = 0; ///< Consecutive samples over the reservation.
+  TimePoint IgnoreUsageUntil_; ///< Samples taken before this time do not count.
+  TimePoint PendingUntil_;     ///< Until then a decision awaits its effect.
+  std::uint32_t Relapses_ = 0; ///< Releases after which the p99 rose again.
+  bool GuardPending_ = false;  ///< The pending decision is the tail guard's.
+  /// Its size is not known and no sample arrived yet.
+  bool Unmeasured_ = false;
   bool HealthRecorded_ = false;
   bool ResizeQueued_ = false;
   std::size_t IndexInServer_ = 0;
 };
 
-/// One service's late reports from one server.
+/// The recent reports of one service on one server.
 struct ServiceState {
   ServiceIndex Service_ = 0;
   LoadBand Band_ = 0;
-  LoadBand PeakBand_ = 0; ///< Highest of late, so that waves are expected.
+  /// Highest recent band, so that load waves are expected.
+  LoadBand PeakBand_ = 0;
   TimePoint PeakAt_ = DistantPast;
   TimePoint SampledAt_;
   double P99Micros_ = 0; ///< Smoothed over a few reports.
   std::uint32_t OverReports_ = 0;
-  /// By how much those stood over the target, added up as parts of it.
+  /// Sum of the relative excess over the target of the counted reports.
   double ExcessSum_ = 0;
   std::uint32_t UnderReports_ = 0;
 };
@@ -68,27 +69,29 @@
   ServerInfo Info_;
   bool Present_ = false;
   bool Quarantined_ = false;
-  bool ProbeOnly_ = false; ///< One task at a time, until one does well.
+  bool ProbeOnly_ = false; ///< One task at a time until one succeeds.
   Resources Reserved_;
   Resources Held_;
-  Resources MeasuredUsage_; ///< Sum of the latest usages.
+  Resources MeasuredUsage_; ///< Sum of the tasks' latest usages.
   std::uint32_t Rack_ = 0;
   std::uint32_t HoldCount_ = 0;
   std::vector<RunningTask *> Tasks_;
-  std::vector<TaskId> Claims_; ///< Tasks for which it is being emptied.
+  std::vector<TaskId> Claims_; ///< Tasks for which the server is being cleared.
   PlacementHistory History_;
   std::vector<ServiceState> Services_;
-  TimePoint IgnoreReportsUntil_;   ///< Reports taken before are older than the
-                                   ///< effect of the guard's last action.
-  TimePoint GuardPendingUntil_;    ///< An action's effect was not told yet.
-  std::uint32_t GuardPending_ = 0; ///< Tasks whose effect is awaited.
-  TimePoint GuardActedAt_ = DistantPast; ///< Of the guard's last action.
+  /// Reports taken before this time precede the effect of the guard's last
+  /// action.
+  TimePoint IgnoreReportsUntil_;
+  /// Until then the effect of an action is awaited.
+  TimePoint GuardPendingUntil_;
+  std::uint32_t PendingGuardTasks_ = 0;  ///< Tasks with an awaited effect.
+  TimePoint GuardActedAt_ = DistantPast; ///< Time of the guard's last action.
   std::uint32_t ReleaseFactor_ = 1;      ///< Grows with each relapse.
   TimePoint ReleasedAt_ = DistantPast;
   std::uint32_t ThrottledCount_ = 0;
-  std::uint32_t Unmeasured_ = 0; ///< Tasks whose size is a guess.
+  std::uint32_t UnmeasuredCount_ = 0; ///< Tasks whose size is not known.
 
-  /// The state of a service; made on its first report.
+  /// Returns the state of a service; creates it on its first report.
   ServiceState &getOrCreateService(ServiceIndex Service);
   Resources limit() const { return Info_.Capacity_ - Info_.ServiceShare_; }
   Resources room() const { return limit() - Reserved_ - Held_; }
@@ -119,13 +122,13 @@
   const ServerEntry &at(ServerIndex Server) const { return *Entries_[Server]; }
   std::optional<ServerIndex> find(const BackendServerId &Server) const;
   ServerIndex size() const { return static_cast<ServerIndex>(Entries_.size()); }
-  /// Room that is free now, on servers that take work.
+  /// Free resources of the servers that accept tasks.
   const ResourceTree &room() const { return Room_; }
-  /// What servers that take work hold when empty.
+  /// Total resources for tasks on the servers that accept tasks.
   const ResourceTree &limits() const { return Limits_; }
-  /// The same, quarantined servers included.
+  /// Total resources for tasks, quarantined servers included.
   const ResourceTree &allLimits() const { return AllLimits_; }
-  /// The load of a task of this size on the server.
+  /// Returns the load of a task of this size on the server.
   double computeLoad(ServerIndex Server, const Resources &Reservation,
                      std::uint32_t ThrottlePercent) const;
 
--- a/src/decide/SizeLearner.cpp
+++ b/src/decide/SizeLearner.cpp
@@ -1,4 +1,4 @@
-//===- SizeLearner.cpp - What tasks of a class really use ---------------===//
+//===- SizeLearner.cpp - Learns task sizes from usage --------------------===//
 
 #include "decide/SizeLearner.h"
 
@@ -9,11 +9,11 @@
 using namespace tulipweir::decide;
 
 static constexpr double BucketGrowth = 1.03;
-/// Upper edge of the first bucket, in thousandths of a processor or MiB.
+/// Upper bound of the first bucket, in thousandths of a processor or MiB.
 static constexpr double FirstEdge = 10;
-/// Samples that count in full; beyond, all weights are halved.
+/// When the total weight reaches this value, all weights are halved.
 static constexpr float MaxTotalWeight = 512;
-/// Memory that runs out ends a task, so nearly its peak is reserved.
+/// A task that runs out of memory ends, so nearly its peak usage is reserved.
 static constexpr double MemoryQuantile = 0.995;
 static constexpr double MinMemoryMargin = 0.15;
 
--- a/src/decide/SizeLearner.h
+++ b/src/decide/SizeLearner.h
@@ -1,10 +1,11 @@
-//===- SizeLearner.h - What tasks of a class really use --------*- C++ -*-===//
+//===- SizeLearner.h - Learns task sizes from usage ------------*- C++ -*-===//
 //
-// Declared sizes are far off. For each job class two histograms of measured
-// usage (processors, memory) are kept; the reservation is their high quantile
-// with a margin, never below a part of what was declared. Until enough
-// samples came, what was declared is reserved. Accelerators are always
-// reserved as declared: usage of them is not divisible.
+// Declared sizes are often wrong by a large factor. For each job class, two
+// histograms of measured usage (processors, memory) are kept. The reservation
+// is a high quantile plus a margin, but never less than a part of the declared
+// size. The declared size is reserved until there are enough samples.
+// Accelerators are always reserved as declared, because their usage is not
+// divisible.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,12 +21,12 @@
 
 namespace tulipweir::decide {
 
-/// A histogram with buckets that grow by 3% each, whose old samples
-/// count ever less.
+/// A histogram with buckets that grow by 3% each. The weight of old samples
+/// decays.
 class UsageHistogram {
 public:
   void add(std::int64_t Amount);
-  /// Middle of the bucket in which the quantile lies; 0 when empty.
+  /// Returns the middle of the bucket that holds the quantile; 0 when empty.
   std::int64_t getQuantile(double Fraction) const;
 
 private:
@@ -38,10 +39,10 @@
 public:
   static constexpr std::uint32_t MinSamples = 8;
 
-  /// CountProcessors is false when the task was throttled: what it used then
-  /// says nothing about what it needs.
+  /// CountProcessors is false for a throttled task, because its usage does not
+  /// show how much it needs.
   void learn(ClassIndex Class, const Resources &Usage, bool CountProcessors);
-  /// What to set aside for a task of the class.
+  /// Returns the resources to reserve for a task of the class.
   Resources computeReservation(ClassIndex Class, const Resources &Declared,
                                const Policy &Settings) const;
   bool isKnown(ClassIndex Class) const;
--- a/src/decide/TailGuard.cpp
+++ b/src/decide/TailGuard.cpp
@@ -1,4 +1,4 @@
-//===- TailGuard.cpp - Services first, when batch work hurts ------------===//
+//===- TailGuard.cpp - Keeps services within their targets ---------------===//
 
 #include "decide/TailGuard.h"
 
@@ -14,32 +14,34 @@
 
 /// Reports with fewer requests have no meaningful p99.
 static constexpr std::uint32_t MinRequests = 20;
-/// Part of a report's p99 in the smoothed one.
+/// Weight of a report's p99 in the moving average.
 static constexpr double P99Smoothing = 0.5;
-/// Reports that stand over a target by less than this part on average are taken
-/// for noise until there are more of them.
+/// Reports whose mean excess over the target is smaller are treated as noise
+/// until there are more of them.
 static constexpr double MinMeanExcess = 0.05;
-/// Reports of each server over which the share of those over is averaged.
+/// Reports per server over which the part of reports over the target is
+/// averaged.
 static constexpr double OverTargetShareWindow = 60;
-/// How long an action's effect is awaited before the guard may act again.
+/// How long the effect of an action is awaited before the guard may act again.
 static constexpr Duration EffectTimeout = std::chrono::seconds(10);
-/// Tasks that one action touches at most.
+/// Maximum number of tasks that one action changes.
 static constexpr std::size_t MaxThrottled = 8;
 static constexpr std::size_t MaxEvicted = 2;
 static constexpr std::size_t MaxReleased = 8;
-/// A relapse within this time of a release makes the next one slower.
+/// A relapse within this time of a release delays the next release.
 static constexpr Duration RelapseWindow = std::chrono::minutes(2);
 static constexpr std::uint32_t MaxReleaseFactor = 4;
-/// A task after whose release the tail rose stays throttled this long, and
-/// twice as long each further time.
+/// A task after whose release the p99 rose again stays throttled this long, and
+/// twice as long after each further relapse.
 static constexpr Duration RelapsePause = std::chrono::minutes(1);
 static constexpr std::uint32_t MaxRelapses = 6;
-/// Batch work that causes less than this part of an excess is not to blame.
+/// The guard does nothing when all tasks together cause less than this part of
+/// an excess, provided that each estimate has this confidence.
 static constexpr double MinBatchContribution = 0.15;
 static constexpr double MinContributionConfidence = 0.5;
-/// The p99 aimed at, as a part of the target.
+/// The p99 that an action aims at, as a part of the target.
 static constexpr double AimRatio = 0.95;
-/// Eviction's fixed price in seconds of work, beside the work lost.
+/// Fixed cost of an eviction in seconds of work, added to the work lost.
 static constexpr double EvictionCostSeconds = 5;
 
 static double toSeconds(Duration Time) {
@@ -157,11 +159,11 @@
   for (RunningTask *Task : Server.Tasks_) {
     if (Now < Task->PendingUntil_)
       continue;
-    const auto Pair = State_.Interference_.estimateEffect(
+    const auto Effect = State_.Interference_.estimateEffect(
         Service.Service_, Task->Class_, Service.Band_, Now);
     const double Load = State_.Servers_.computeLoad(
         Task->Server_, Task->Reservation_, Task->ThrottlePercent_);
-    Antagonists.push_back({Task, Pair.Weight_, Pair.Weight_ * Load,
+    Antagonists.push_back({Task, Effect.Weight_, Effect.Weight_ * Load,
                            estimateWorkLost(*Task, Now)});
   }
   return Antagonists;
@@ -172,9 +174,9 @@
                                      TimePoint Now) const {
   double Caused = 0;
   for (const Antagonist &A : Antagonists) {
-    const auto Pair = State_.Interference_.estimateEffect(
+    const auto Effect = State_.Interference_.estimateEffect(
         Over.Service_->Service_, A.Task_->Class_, Over.Service_->Band_, Now);
-    if (Pair.Confidence_ < MinContributionConfidence)
+    if (Effect.Confidence_ < MinContributionConfidence)
       return false;
     Caused += A.Effect_;
   }
@@ -184,8 +186,8 @@
 void TailGuard::appendDecisions(TimePoint Now, std::size_t Budget,
                                 std::vector<Decision> &Decisions) {
   const std::size_t End = Decisions.size() + Budget;
-  // Each server is taken out once, so that the work is bounded by the budget
-  // and by the servers of which news came.
+  // Each server is removed once, so that the work is bounded by the budget and
+  // by the number of servers with new reports.
   while (!ServersToCheck_.empty() && Decisions.size() < End) {
     ServerEntry &Server = State_.Servers_.at(*ServersToCheck_.begin());
     ServersToCheck_.erase(ServersToCheck_.begin());
@@ -245,15 +247,15 @@
 void TailGuard::markPending(ServerEntry &Server, RunningTask &Task,
                             TimePoint Now) {
   Task.PendingUntil_ = Now + EffectTimeout;
-  Server.GuardPending_ += Task.GuardPending_ ? 0 : 1;
+  Server.PendingGuardTasks_ += Task.GuardPending_ ? 0 : 1;
   Task.GuardPending_ = true;
   Server.GuardPendingUntil_ = Now + EffectTimeout;
-  // Until the effect is told nothing that was measured counts.
+  // Reports taken before the effect is known do not count.
   Server.IgnoreReportsUntil_ = std::max(Server.IgnoreReportsUntil_, Now);
 }
 
 std::string TailGuard::describeReason(const Excess &Over) const {
-  return describeExcess(State_.Services_.nameOf(Over.Service_->Service_),
+  return describeExcess(State_.Services_.getName(Over.Service_->Service_),
                         *Over.Service_, Over.Target_);
 }
 
@@ -263,8 +265,8 @@
   std::erase_if(Antagonists, [](const Antagonist &A) {
     return A.Task_->ThrottlePercent_ < 100;
   });
-  // Less urgent ones first, then those that slow the service most for the
-  // work that they get done.
+  // Orders by priority, lowest first, then by the effect on the service,
+  // largest first.
   std::sort(Antagonists.begin(), Antagonists.end(),
             [](const Antagonist &A, const Antagonist &B) {
               return std::tuple(A.Task_->Info_.Priority_, -A.Weight_,
@@ -286,7 +288,7 @@
     Result.Text_ = "task " + A.Task_->Info_.Task_.toString() + " on " +
                    Server.Info_.Server_.value() + " is throttled to " +
                    std::to_string(Percent) + "%: " + Reason +
-                   "; the task is taken to lengthen it by " +
+                   "; the task is estimated to lengthen it by " +
                    describe(100 * A.Effect_) + "%";
     markPending(Server, *A.Task_, Now);
     Decisions.push_back(std::move(Result));
@@ -298,7 +300,7 @@
 void TailGuard::evict(ServerEntry &Server, const Excess &Over,
                       std::vector<Antagonist> Antagonists, TimePoint Now,
                       std::size_t Budget, std::vector<Decision> &Decisions) {
-  // The gain per price: what is far from its checkpoint stays if it can.
+  // Effect per cost: tasks that would lose much work are evicted last.
   const auto ComputeBenefit = [](const Antagonist &A) {
     return A.Effect_ / (EvictionCostSeconds + toSeconds(A.WorkLost_));
   };
@@ -321,7 +323,7 @@
     Result.Text_ = "task " + A.Task_->Info_.Task_.toString() +
                    " is evicted from " + Server.Info_.Server_.value() + ": " +
                    Reason +
-                   " although its tasks are throttled; this eviction "
+                   " although its tasks are throttled; the eviction "
                    "loses " +
                    describe(A.WorkLost_) + " of work and shortens it by " +
                    describe(100 * A.Effect_) + "%";
@@ -348,7 +350,7 @@
                                .Weight_);
     Weighted.emplace_back(Weight, Task);
   }
-  // Those that slow the services least come back first.
+  // Tasks that slow the services least are released first.
   std::sort(Weighted.begin(), Weighted.end(), [](const auto &A, const auto &B) {
     return std::pair(A.first, A.second->Info_.Task_) <
            std::pair(B.first, B.second->Info_.Task_);
@@ -363,7 +365,7 @@
 void TailGuard::releaseThrottled(ServerEntry &Server, TimePoint Now,
                                  std::size_t Budget,
                                  std::vector<Decision> &Decisions) {
-  // A release that held makes the next one quicker again.
+  // A release without a relapse shortens the wait for the next one.
   if (Now - Server.ReleasedAt_ > RelapseWindow)
     Server.ReleaseFactor_ = std::max(1U, Server.ReleaseFactor_ / 2);
   const double Before =
@@ -380,7 +382,7 @@
     const ClassLoad Added{Task->Class_, MissingLoad};
     TailPressure After = TailModel_.predictPressure(
         Server, &Added, LoadExpectation::Current, Now);
-    // The predictions are sums, so what each release adds can be added up.
+    // The predictions are sums, so the increases of several releases add up.
     const double Increase = After.Value_ - Before;
     After.Value_ += Released;
     if (After.Value_ > TailModel_.getPressureLimit(After.Confidence_))
@@ -391,8 +393,8 @@
     Result.ThrottlePercent_ = 100;
     Result.Text_ = "task " + Task->Info_.Task_.toString() + " on " +
                    Server.Info_.Server_.value() +
-                   " runs at full speed again: every service there has kept "
-                   "well under its target, and the predicted pressure is " +
+                   " runs at full speed again: every service there stayed "
+                   "well below its target, and the predicted pressure is " +
                    describe(After.Value_) + " of what the target allows";
     markPending(Server, *Task, Now);
     Server.ReleasedAt_ = Now;
--- a/src/decide/TailGuard.h
+++ b/src/decide/TailGuard.h
@@ -1,14 +1,14 @@
-//===- TailGuard.h - Services first, when batch work hurts -----*- C++ -*-===//
+//===- TailGuard.h - Keeps services within their targets -------*- C++ -*-===//
 //
-// Watches the late reports of each backend server. When a service's p99 stood
-// over its target for several reports in a row, the tasks that slow it most
-// are throttled, as many as the learned effects say are needed; if newer
-// reports still stand over it, the tasks whose eviction helps most per work
-// lost are evicted. Reports taken before the last action took effect, or while
-// its effect is awaited, are not counted, so that a lag longer than the
-// guard's period cannot make it act twice on the same evidence. On the way
-// back tasks are released while the prediction stays under the target; after a
-// relapse twice as many good reports are needed.
+// Monitors the reports of each backend server, which may arrive late. When a
+// service's p99 exceeds its target in several consecutive reports, the tasks
+// that slow it most are throttled, as many as the learned effects require. If
+// newer reports still exceed the target, the tasks whose eviction helps most
+// per work lost are evicted. Reports taken before the last action took effect,
+// or while its effect is awaited, are not counted, so that a lag longer than
+// the guard's period cannot make it act twice on the same evidence. Throttled
+// tasks are released while the predicted p99 stays under the target; after a
+// relapse, twice as many good reports are needed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,28 +26,29 @@
 public:
   explicit TailGuard(PlannerState &State) : State_(State), TailModel_(State) {}
 
-  /// Counts and learns from one report.
+  /// Updates the learned effects and the counts of reports from one sample.
   void addServiceSample(const ServiceSample &Sample);
-  /// Appends at most Budget decisions for servers on which reports crossed a
+  /// Appends at most Budget decisions for servers whose report counts crossed a
   /// threshold, and marks their tasks as awaiting the effect.
   void appendDecisions(TimePoint Now, std::size_t Budget,
                        std::vector<Decision> &Decisions);
 
 private:
-  /// A running task and by how much it slows the service.
+  /// A running task and its effect on the service.
   struct Antagonist {
     RunningTask *Task_ = nullptr;
     double Weight_ = 0; ///< Learned effect of a server full of its class.
-    double Effect_ = 0; ///< Its own, as a part of the service's p99 alone.
+    /// Effect of the task, relative to the service's p99 without tasks.
+    double Effect_ = 0;
     Duration WorkLost_{};
   };
-  /// One server's service that stood over its target.
+  /// A service on one server whose p99 exceeds its target.
   struct Excess {
     const ServiceState *Service_ = nullptr;
     double BaselineMicros_ = 0;
     double Target_ = 0;
-    double Needed_ =
-        0; ///< By what part of BaselineMicros_ it must get shorter.
+    /// Reduction of the p99 that is needed, relative to BaselineMicros_.
+    double Needed_ = 0;
   };
 
   void updateReportCounts(ServiceState &Service, bool IsCounted,
@@ -64,7 +65,7 @@
                             TimePoint Now) const;
   void reduceExcess(ServerEntry &Server, const Excess &Over, TimePoint Now,
                     std::size_t Budget, std::vector<Decision> &Decisions);
-  /// After a relapse only the tasks released before it are to blame.
+  /// Keeps only the tasks that were released before a relapse, which caused it.
   static void keepReleasedTasks(const ServerEntry &Server,
                                 std::vector<Antagonist> &Antagonists);
   void throttle(ServerEntry &Server, const Excess &Over,
--- a/src/decide/TailModel.cpp
+++ b/src/decide/TailModel.cpp
@@ -1,4 +1,4 @@
-//===- TailModel.cpp - How near services are to their targets -----------===//
+//===- TailModel.cpp - Predicted p99 relative to the targets -------------===//
 
 #include "decide/TailModel.h"
 
@@ -7,22 +7,23 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-/// A peak of load is expected again for this long: tasks run for minutes, and
-/// the next wave comes while they do.
+/// A load peak is expected to recur within this time: tasks run for minutes,
+/// and the next wave may come while they do.
 static constexpr Duration PeakWindow = std::chrono::minutes(10);
-/// Headroom of a service that meets its target barely or not even alone.
+/// Headroom of a service that barely meets its target, or does not meet it,
+/// without tasks.
 static constexpr double MinHeadroom = 0.05;
-/// Headroom while the service's p99 alone is not known.
+/// Headroom while the service's p99 without tasks is not known.
 static constexpr double DefaultHeadroom = 0.5;
-/// Confidence from which a learned effect is taken at its word.
+/// Confidence from which a learned effect is used.
 static constexpr double MinConfidence = 0.3;
-/// Pressure allowed while the effect is a guess: most classes are harmless,
-/// and what is never placed is never learned.
+/// Pressure limit for a class whose effect is not known: most classes are
+/// harmless, and the effect of a class that is never placed is never learned.
 static constexpr double UnknownPressureLimit = 1.6;
 static constexpr double MaxPressureLimit = 1.1;
 static constexpr double LimitPerTailWeight = 0.4;
-/// The ceiling gives way while more reports than this stand over a target:
-/// the predictions are then too hopeful, or come too late for the lag.
+/// The limit decreases while a larger part of the reports exceeds the targets:
+/// the predictions are then too optimistic, or the reports too late.
 static constexpr double ToleratedOverTargetShare = 0.08;
 static constexpr double LimitPerOverTarget = 4;
 static constexpr double MinPressureLimit = 0.4;
@@ -81,8 +82,8 @@
   const double Share = Sum > 0 ? Settings.TailWeight_ / Sum : 0;
   const double ExcessShare =
       std::max(0.0, State_.OverTargetShare_ - ToleratedOverTargetShare);
-  const double Ceiling =
+  const double Limit =
       MaxPressureLimit -
       Share * (LimitPerTailWeight + LimitPerOverTarget * ExcessShare);
-  return std::max(MinPressureLimit, Ceiling);
+  return std::max(MinPressureLimit, Limit);
 }
--- a/src/decide/TailModel.h
+++ b/src/decide/TailModel.h
@@ -1,9 +1,9 @@
-//===- TailModel.h - How near services are to their targets ----*- C++ -*-===//
+//===- TailModel.h - Predicted p99 relative to the targets -----*- C++ -*-===//
 //
-// Turns the learned interference into one figure per server. Headroom is by
-// what part a service's p99 alone may grow until it meets its target; the
-// pressure is the predicted growth as a part of that headroom. At 1 the target
-// is expected to be met just so.
+// Turns the learned interference into one figure per server. The headroom is
+// the part by which a service's p99 without tasks may grow until it reaches
+// its target. The pressure is the predicted growth relative to that headroom:
+// at 1 the service is expected to just meet its target.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,32 +16,34 @@
 
 struct TailPressure {
   double Value_ = 0;
-  double Confidence_ = 0;    ///< In the added class's effect; 1 without one.
-  ServiceIndex Service_ = 0; ///< The one nearest to its target.
+  /// Confidence in the effect of the added class; 1 without one.
+  double Confidence_ = 0;
+  ServiceIndex Service_ = 0; ///< The service with the highest pressure.
   bool HasService_ = false;
 };
 
-/// Which load of the services a prediction is made for.
+/// The load of the services for which a prediction is made.
 enum class LoadExpectation : std::uint8_t {
-  Current, ///< As last reported: for what can be taken back soon.
-  Peak,    ///< The highest of late: for tasks that are to stay.
+  Current, ///< The last reported load, for changes that can soon be undone.
+  Peak,    ///< The highest recent load, for tasks that stay.
 };
 
 class TailModel {
 public:
   explicit TailModel(const PlannerState &State) : State_(State) {}
 
-  /// The pressure on a server as it is, or with a load added to it.
+  /// Returns the pressure on a server, with Added to its load unless it is
+  /// null.
   TailPressure predictPressure(const ServerEntry &Server,
                                const ClassLoad *Added, LoadExpectation Expected,
                                TimePoint Now) const;
-  /// The band to plan for: the highest one of the last ten minutes.
+  /// Returns the band to plan for: the highest one of the last ten minutes.
   static LoadBand getPlanningBand(const ServiceState &Service, TimePoint Now);
-  /// By what part the service's p99 alone may grow.
+  /// Returns the part by which the service's p99 without tasks may grow.
   double computeHeadroom(const ServiceState &Service, LoadBand Band) const;
-  /// The pressure up to which tasks are placed. The heavier the weight of
-  /// the tail among all weights, and the more reports stand over their
-  /// targets, the lower.
+  /// Returns the pressure up to which tasks are placed. It decreases with the
+  /// weight of the tail among all weights and with the part of reports over
+  /// their targets.
   double getPressureLimit(double Confidence) const;
 
 private:
--- a/src/decide/Text.cpp
+++ b/src/decide/Text.cpp
@@ -1,4 +1,4 @@
-//===- Text.cpp - Figures in sentences for people -----------------------===//
+//===- Text.cpp - Formats figures for operators --------------------------===//
 
 #include "decide/Text.h"
 
--- a/src/decide/Text.h
+++ b/src/decide/Text.h
@@ -1,6 +1,6 @@
-//===- Text.h - Figures in sentences for people ----------------*- C++ -*-===//
+//===- Text.h - Formats figures for operators ------------------*- C++ -*-===//
 //
-// How the decisions' texts write amounts, times and parts.
+// Formats amounts, times and ratios for the texts of decisions.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,15 +14,16 @@
 
 namespace tulipweir::decide {
 
-/// "2.5 processors, 1024 MiB" and the accelerators if there are any.
+/// Returns "2.5 processors, 1024 MiB", and the accelerators if there are any.
 std::string describe(const Resources &Amount);
-/// "1.5 s".
+/// Returns "1.5 s".
 std::string describe(Duration Time);
-/// Two digits after the point.
+/// Returns the value with two decimal places.
 std::string describe(double Value);
-/// "12.5 ms" of microseconds.
+/// Returns "12.5 ms" for 12500 microseconds.
 std::string describeMicros(double Micros);
-/// Which dimensions of Needed are not in Room: "memory (needs .., free ..)".
+/// Returns the dimensions of Needed that exceed Room: "MiB of memory (needs ..,
+/// free ..)".
 std::string describeShortage(const Resources &Needed, const Resources &Room);
 
 } // namespace tulipweir::decide
--- a/src/decide/TokenBucket.cpp
+++ b/src/decide/TokenBucket.cpp
@@ -33,7 +33,7 @@
   if (PerSecond_ <= 0 || Amount > Burst_)
     return MaxWait;
   const std::chrono::duration<double> Wait(Missing / PerSecond_);
-  // Rounded up by one tick, so that asking again then finds the token.
+  // The wait is rounded up by one tick, so that the token is there after it.
   return std::min(std::chrono::duration_cast<Duration>(Wait) + Duration(1),
                   MaxWait);
 }
--- a/src/decide/UsageGuard.cpp
+++ b/src/decide/UsageGuard.cpp
@@ -1,4 +1,4 @@
-//===- UsageGuard.cpp - Reservations that follow measured usage ---------===//
+//===- UsageGuard.cpp - Adjusts reservations to usage --------------------===//
 
 #include "decide/UsageGuard.h"
 
@@ -10,22 +10,24 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-/// Samples in a row over the reservation before anything is done about it.
+/// Consecutive samples over the reservation before the guard acts.
 static constexpr std::uint32_t MinOverReports = 2;
-/// A reservation is changed when it is off by more than these parts.
+/// A reservation changes when it is too small or too large by more than these
+/// parts.
 static constexpr double GrowThreshold = 0.1;
 static constexpr double ShrinkThreshold = 0.25;
-/// Part of a sample in a task's sustained use.
+/// Weight of a sample in a task's sustained usage.
 static constexpr double UsageSmoothing = 0.25;
-/// A server counts as full from this part of its limit.
+/// A server counts as full when the measured usage exceeds this part of its
+/// limit.
 static constexpr double FullRatio = 0.95;
-/// How long a decision's effect is awaited.
+/// How long the effect of a decision is awaited.
 static constexpr Duration EffectTimeout = std::chrono::seconds(10);
 /// A task that ran this long without failing shows that its server works.
 static constexpr Duration HealthyRunTime = std::chrono::seconds(20);
 
-static std::int64_t scale(std::int64_t Amount, double Part) {
-  return static_cast<std::int64_t>(static_cast<double>(Amount) * Part);
+static std::int64_t scale(std::int64_t Amount, double Ratio) {
+  return static_cast<std::int64_t>(static_cast<double>(Amount) * Ratio);
 }
 
 static bool isOver(const Resources &Usage, const Resources &Reservation) {
@@ -59,8 +61,9 @@
       Task->ThrottlePercent_ == 100 && Sample.SampledAt_ > Task->ThrottledAt_;
   if (Unthrottled)
     updateSustainedUsage(*Task);
-  // Short peaks of different tasks rarely meet, and processors can be shared:
-  // what is learned and reserved is the sustained use. Memory counts in full.
+  // Short peaks of different tasks rarely coincide, and processors can be
+  // shared, so the sustained processor usage is learned and reserved. Memory
+  // counts in full.
   const Resources Sustained = getSustainedUsage(*Task);
   State_.Sizes_.learn(Task->Class_, Sustained, Unthrottled);
   if (!Task->HealthRecorded_ &&
@@ -82,7 +85,7 @@
 Resources UsageGuard::computeWantedReservation(const RunningTask &Task) const {
   const Resources Learned = State_.Sizes_.computeReservation(
       Task.Class_, Task.Info_.Declared_, State_.Policy_);
-  // Never below what the task itself was measured to use.
+  // The reservation is never less than the task's own measured usage.
   return Learned.maxWith(getSustainedUsage(Task));
 }
 
@@ -109,7 +112,7 @@
 void UsageGuard::appendDecisions(TimePoint Now, std::size_t Budget,
                                  std::vector<Decision> &Decisions) {
   const std::size_t End = Decisions.size() + Budget;
-  // What leads to no decision is cheap, but is bounded too.
+  // Tasks without a decision are cheap, but their number is bounded too.
   std::size_t RemainingTries = Budget * 4;
   while (!TasksToCheck_.empty() && Decisions.size() < End &&
          RemainingTries-- > 0) {
@@ -144,8 +147,8 @@
   const bool Over = Task.OverReports_ >= MinOverReports;
   if (!Over && !isWorthResizing(Task, Wanted))
     return std::nullopt;
-  // Growth is capped by the room; a dimension that cannot grow may still
-  // shrink, so each is taken for itself.
+  // Growth is limited by the free room. Each dimension is handled separately,
+  // because one that cannot grow does not keep the other from shrinking.
   const Resources MaxReservation = Task.Reservation_ + Server.room();
   Resources Reserved = Wanted;
   Reserved.Accelerators_ = Task.Reservation_.Accelerators_;
@@ -170,8 +173,8 @@
                  Server.Info_.Server_.value() + " now reserves " +
                  describe(Reserved) + " instead of " +
                  describe(Task.Reservation_) +
-                 ": that is what tasks of class " + Task.Info_.Class_.value() +
-                 " were measured to need, with a margin";
+                 ": the measured need of tasks of class " +
+                 Task.Info_.Class_.value() + ", with a margin";
   return Result;
 }
 
@@ -198,7 +201,7 @@
                  (Throttled ? " is evicted" : " is throttled") + ": it used " +
                  describe(Task.Usage_) + ", reserved were " +
                  describe(Task.Reservation_) +
-                 ", and the server is full by measure (" +
+                 ", and the measured usage fills the server (" +
                  describe(Server.MeasuredUsage_) + " of " + describe(Limit) +
                  ")" + (Throttled ? "; throttling it did not help" : "");
   Task.OverReports_ = 0;
--- a/src/decide/UsageGuard.h
+++ b/src/decide/UsageGuard.h
@@ -1,11 +1,12 @@
-//===- UsageGuard.h - Reservations that follow measured usage --*- C++ -*-===//
+//===- UsageGuard.h - Adjusts reservations to usage ------------*- C++ -*-===//
 //
-// Learns sizes from late usage and adjusts reservations to them. A task that
-// uses more than is reserved for it gets a larger reservation while there is
-// room. Where there is none and the server as a whole is measured full, the
-// offender is throttled, and evicted if newer samples still show the excess;
-// its neighbours are left alone. An excess on a server that is not full hurts
-// nobody and is left.
+// Learns sizes from usage samples, which may arrive late, and adjusts
+// reservations to them. A task that uses more than its reservation gets a
+// larger one while there is room. If there is none and the measured usage of
+// the whole server is at its limit, the task is throttled, and evicted if
+// newer samples still show the excess; other tasks on the server are not
+// affected. An excess on a server that is not full harms nobody and is
+// ignored.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/decide/WaitQueue.cpp
+++ b/src/decide/WaitQueue.cpp
@@ -1,4 +1,4 @@
-//===- WaitQueue.cpp - Tasks that wait, in the order to be tried --------===//
+//===- WaitQueue.cpp - Order of waiting tasks ----------------------------===//
 
 #include "decide/WaitQueue.h"
 
@@ -8,11 +8,11 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-/// Parked groups looked at, and woken, when room comes free.
+/// Parked groups that are scanned, and woken, when room becomes free.
 static constexpr std::size_t MaxScanned = 64;
 static constexpr std::size_t MaxWoken = 8;
 
-/// Urgent work is tried again soon: each try looks at further servers.
+/// Urgent tasks are retried soon, because each try considers further servers.
 static constexpr Duration UrgentBackoff = std::chrono::milliseconds(250);
 
 static Duration getInitialBackoff(ReasonCode Reason) {
@@ -46,12 +46,12 @@
                                          const Group &Entry) const {
   QueuePosition Position;
   Position.Tier_ = Key.Priority_ >= UrgentPriority_ ? 0 : 1;
-  // Far more steps than an hour each would leave the range of the clock.
-  constexpr std::uint32_t MostSteps = 100000;
+  // Many more steps of up to one hour each would exceed the range of the clock.
+  constexpr std::uint32_t MaxSteps = 100000;
   const auto &[Since, Index] = *Entry.Tasks_.begin();
   const WaitingTask *First = find(TaskId{Key.Job_, Index});
   Position.VirtualStart_ = Since + ComputePenalty_(First->Info_) -
-                           AgeingStep_ * std::min(Key.Priority_, MostSteps);
+                           AgeingStep_ * std::min(Key.Priority_, MaxSteps);
   Position.Group_ = Key;
   return Position;
 }
@@ -162,7 +162,7 @@
   for (const QueuePosition &Position : ParkedOrder_) {
     if (++Scanned > MaxScanned || Woken.size() >= MaxWoken)
       break;
-    // A learned reservation may be smaller than what was declared.
+    // A learned reservation may be smaller than the declared size.
     constexpr std::int64_t MaxLearnedShrink = 5;
     const Resources &Declared = Position.Group_.Declared_;
     const Resources Least{Declared.MilliCpus_ / MaxLearnedShrink,
--- a/src/decide/WaitQueue.h
+++ b/src/decide/WaitQueue.h
@@ -1,13 +1,13 @@
-//===- WaitQueue.h - Tasks that wait, in the order to be tried -*- C++ -*-===//
+//===- WaitQueue.h - Order of waiting tasks --------------------*- C++ -*-===//
 //
-// Tasks of one job that want the same amount form a group; a group that cannot
-// be placed is parked as a whole until its retry time, or until room came free
-// that may help, and holds up nobody else. Urgent groups come first. The others
-// are ordered by (waiting since - priority x ageing step), which never needs to
-// be sorted again while time passes: a task overtakes one of higher priority
-// exactly when it has waited one ageing step longer per step of priority. Tasks
-// of classes that slow services much start with a bounded handicap, so that
-// the room under the tail targets goes to those that get most done in it.
+// Tasks of one job with the same priority and declared size form a group. A
+// group that cannot be placed is parked as a whole until its retry time, or
+// until free room may help, and does not block other groups. Urgent groups
+// come first. The others are ordered by (waiting since - priority x ageing
+// step), which does not change over time: a task overtakes one of higher
+// priority exactly when it has waited one ageing step longer per step of
+// priority. Tasks of classes that slow services start with a bounded penalty,
+// so that the room under the p99 targets goes to tasks that use it best.
 //
 //===----------------------------------------------------------------------===//
 
@@ -37,9 +37,9 @@
   bool operator<(const GroupKey &Other) const;
 };
 
-/// Where a group stands in the order; smaller goes first.
+/// The position of a group in the queue order; smaller goes first.
 struct QueuePosition {
-  std::uint32_t Tier_ = 1; ///< 0: urgent.
+  std::uint32_t Tier_ = 1; ///< 0 for urgent groups.
   TimePoint VirtualStart_;
   GroupKey Group_;
   bool operator==(const QueuePosition &) const = default;
@@ -57,27 +57,27 @@
 
 class WaitQueue {
 public:
-  /// By how much a task's start in the order is put off; bounded.
+  /// Returns the bounded delay of a task in the queue order.
   using OrderPenalty = std::function<Duration(const TaskInfo &)>;
 
   WaitQueue(const Policy &Settings, OrderPenalty ComputePenalty);
 
   // Commands.
   void setPolicy(const Policy &Settings);
-  /// Adds a task, or changes what is known of one; it keeps its old Since.
+  /// Adds a task, or replaces a known one, which keeps its old Since.
   void add(const TaskInfo &Task, TimePoint Since);
   void remove(const TaskId &Task);
-  /// Parks the group of the task; returns whether its reason is a new one.
+  /// Parks the group of the task; returns whether the reason is new.
   bool park(const TaskId &Task, ReasonCode Reason, TimePoint Now);
-  /// Makes groups whose retry time came ready again, Most at most.
+  /// Wakes at most Limit groups whose retry time has come.
   void wakeDue(TimePoint Now, std::size_t Limit);
-  /// Makes parked groups that fit in Room ready, first ones first.
+  /// Wakes parked groups that fit in Room, in queue order; a bounded number.
   void wakeFitting(const Resources &Room);
-  /// Makes groups that are parked for Reason ready, a bounded number.
+  /// Wakes groups that are parked for Reason; a bounded number.
   void wakeReason(ReasonCode Reason);
 
   // Queries.
-  /// The task to try next, or nullptr.
+  /// Returns the task to try next, or nullptr.
   const WaitingTask *first() const;
   const WaitingTask *find(const TaskId &Task) const;
   std::optional<ParkedState> findParkedState(const TaskId &Task) const;
--- a/tests/decide/AdmissionTest.cpp
+++ b/tests/decide/AdmissionTest.cpp
@@ -37,7 +37,8 @@
 TEST(TokenBucketTest, AClockThatGoesBackAddsNoTokens) {
   TokenBucket Bucket(1000, 2, Start);
   EXPECT_TRUE(Bucket.tryTake(Start));
-  EXPECT_TRUE(Bucket.tryTake(Start - 1s)); // Nor does it take any.
+  // The earlier time does not remove tokens either.
+  EXPECT_TRUE(Bucket.tryTake(Start - 1s));
   EXPECT_FALSE(Bucket.tryTake(Start));
 }
 
@@ -90,7 +91,7 @@
   TimePoint Now = Start;
   for (int I = 0; I < 200; ++I)
     Queue.recordQueued(Now, Busy);
-  // The slots promised 100 per second, but only 10 leave.
+  // The nominal rate is 100 per second, but only 10 leave.
   for (int I = 0; I < 100; ++I)
     Queue.recordDequeued(Now += 100ms);
   EXPECT_NEAR(Queue.drainRate(Now), 10, 1);
--- a/tests/decide/NaiveLedger.h
+++ b/tests/decide/NaiveLedger.h
@@ -1,7 +1,7 @@
-//===- NaiveLedger.h - Checks placements by scanning -----------*- C++ -*-===//
+//===- NaiveLedger.h - Reference model of placements -----------*- C++ -*-===//
 //
-// The naive counterpart of the planner's sums and indexes: a list of what was
-// committed, and sums made anew by scanning all of it on each question.
+// A list of the committed placements, whose sums are recomputed on each query.
+// Tests compare the planner's sums and indexes with it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,8 @@
   Resources Reservation_;
 };
 
-/// Stands for the state machine of the log: refuses what would overfill.
+/// Stands in for the replicated state machine, which refuses placements that
+/// would overfill a server.
 class NaiveLedger {
 public:
   Resources sumReservedOn(const BackendServerId &Server) const {
@@ -87,7 +88,7 @@
   return Info;
 }
 
-/// The decisions of one kind.
+/// Returns the decisions of one kind.
 inline std::vector<Decision> filterByKind(const std::vector<Decision> &All,
                                           DecisionKind Kind) {
   std::vector<Decision> Matching;
--- a/tests/decide/PlannerPropertyTest.cpp
+++ b/tests/decide/PlannerPropertyTest.cpp
@@ -1,7 +1,7 @@
 //===- PlannerPropertyTest.cpp ------------------------------------------===//
 //
-// Random events from seeds, told late and in any order, against a ledger that
-// checks everything by scanning.
+// Sends seeded random events to the planner, late and in any order, and
+// compares its sums with a ledger that recomputes them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-/// A planner, the ledger, and a channel between them that delays.
+/// A planner, the reference ledger, and a channel that delays and reorders the
+/// events between them.
 class PlannerFuzzer {
 public:
   explicit PlannerFuzzer(std::uint64_t Seed)
@@ -49,9 +50,9 @@
     checkSums();
   }
 
-  /// Ends all, delivers all, and checks that nothing is held any more.
+  /// Ends all tasks, delivers all events, and checks that nothing is reserved.
   void finish() {
-    // Placements that are on their way are committed, then ended too.
+    // Placements in flight are committed first, then ended too.
     while (!Events_.empty() || !Ledger_.Placed_.empty()) {
       while (!Ledger_.Placed_.empty())
         end(Ledger_.Placed_.begin()->first, EndReason::Cancelled);
@@ -85,7 +86,7 @@
     Events_.push_back({Now_ + Lag, std::move(Deliver)});
   }
 
-  /// Tells what is due, in any order.
+  /// Delivers the due events in random order.
   void deliver() {
     std::shuffle(Events_.begin(), Events_.end(), Random_);
     auto Due = std::move(Events_);
@@ -141,7 +142,8 @@
     Planner_.removeServer(Server);
   }
 
-  // By value: the caller may pass a key of the map that is erased from.
+  // Task is passed by value, because the caller may pass a key of the map from
+  // which it is erased.
   void end(TaskId Task, EndReason Reason) {
     const auto Attempt = Ledger_.Placed_.at(Task).Attempt_;
     Ledger_.Placed_.erase(Task);
@@ -166,7 +168,7 @@
     const auto Job = JobId("job-" + std::to_string(draw(40)));
     for (std::uint32_t I = 0; I < 8; ++I) {
       Planner_.removeWaiting({Job, I});
-      // The log refuses a placement that comes after the cancellation.
+      // The log refuses a placement that follows the cancellation.
       Outstanding_.erase({Job, I});
       if (!Ledger_.Placed_.contains({Job, I}))
         ++Attempts_[{Job, I}];
@@ -204,7 +206,8 @@
     }
   }
 
-  /// What was handed out and may still be committed, per server.
+  /// Returns the resources of decisions that may still be committed on a
+  /// server.
   Resources sumOutstanding(const BackendServerId &Server) const {
     Resources Sum;
     for (const auto &[Task, Pending] : Outstanding_)
@@ -214,7 +217,8 @@
   }
 
   void checkFits(const BackendServerId &Server) {
-    // The planner hears of ends late, so it never counts less than we do.
+    // The planner learns of ended tasks late, so it never counts less than the
+    // ledger.
     EXPECT_TRUE(Ledger_.fits(Server, sumOutstanding(Server)))
         << Server.value() << " would be overfilled";
   }
@@ -240,18 +244,19 @@
     if (!Ledger_.Servers_.contains(*D.Server_))
       return;
     EXPECT_FALSE(Ledger_.Servers_.at(*D.Server_).Draining_);
-    // Not decided twice before the first one's effect could be told.
-    const auto Before = PlacedAt_.find({Task, D.Attempt_});
-    EXPECT_TRUE(Before == PlacedAt_.end() || Now_ - Before->second >= 5s);
+    // A placement is not repeated before the effect of the first could arrive.
+    const auto Before = DecidedAt_.find({Task, D.Attempt_});
+    EXPECT_TRUE(Before == DecidedAt_.end() || Now_ - Before->second >= 5s);
     EXPECT_FALSE(Ledger_.Placed_.contains(Task)) << Task.toString();
-    PlacedAt_[{Task, D.Attempt_}] = Now_;
+    DecidedAt_[{Task, D.Attempt_}] = Now_;
     Outstanding_[Task] = {*D.Server_, D.Reservation_, Now_ + 5s};
     checkFits(*D.Server_);
     const auto Info = TaskInfos_[Task];
     scheduleEvent([=, this] { commitPlace(Info, D); });
   }
 
-  /// The state machine's rules: next attempt only, never overfull.
+  /// Applies the rules of the state machine: only the next attempt is placed,
+  /// and no server is overfilled.
   void commitPlace(const TaskInfo &Info, const Decision &D) {
     const TaskId Task = *D.Task_;
     Outstanding_.erase(Task);
@@ -264,7 +269,7 @@
     }
     Attempts_[Task] = D.Attempt_.value();
     Ledger_.Placed_[Task] = {Info, D.Attempt_, *D.Server_, D.Reservation_};
-    // The leader is told of a commit when it is applied.
+    // The leader learns of a commit when it is applied.
     Planner_.recordPlacement(Info, D.Attempt_, *D.Server_, D.Reservation_,
                              Now_);
   }
@@ -304,7 +309,7 @@
   std::map<TaskId, std::uint64_t> Attempts_;
   std::map<TaskId, TaskInfo> TaskInfos_;
   std::set<TaskId> Tasks_;
-  std::map<std::pair<TaskId, AttemptNumber>, TimePoint> PlacedAt_;
+  std::map<std::pair<TaskId, AttemptNumber>, TimePoint> DecidedAt_;
 };
 } // namespace
 
--- a/tests/decide/PlannerTest.cpp
+++ b/tests/decide/PlannerTest.cpp
@@ -12,12 +12,12 @@
 
 static constexpr std::size_t Budget = 64;
 static constexpr Resources Small{1000, 1000, 0};
-static constexpr Resources Machine{8000, 8000, 0};
+static constexpr Resources FullServer{8000, 8000, 0};
 
 namespace {
 class PlannerTest : public testing::Test {
 protected:
-  void addServers(int Count, const Resources &Capacity = Machine) {
+  void addServers(int Count, const Resources &Capacity = FullServer) {
     for (int I = 0; I < Count; ++I)
       Planner_.upsertServer(makeServer(I, Capacity));
   }
@@ -31,7 +31,7 @@
     Planner_.addWaiting(Task, Now_);
   }
   std::vector<Decision> decide() { return Planner_.decide(Now_, Budget); }
-  /// Decides and tells every effect back at once; ends what is evicted.
+  /// Decides, reports every effect at once, and ends evicted tasks.
   std::vector<Decision> decideAndCommit() {
     auto Decisions = decide();
     for (const Decision &D : Decisions)
@@ -47,7 +47,8 @@
       end(*D.Task_, EndReason::Evicted);
     }
   }
-  // By value: the caller may pass a key of the map that is erased from.
+  // Task is passed by value, because the caller may pass a key of the map from
+  // which it is erased.
   void end(TaskId Task, EndReason Reason) {
     const auto Attempt = Placed_.at(Task).Attempt_;
     Placed_.erase(Task);
@@ -95,7 +96,7 @@
 
 TEST_F(PlannerTest, FindsTheOnlyServerWithRoom) {
   addServers(200, {500, 500, 0});
-  Planner_.upsertServer(makeServer(777, Machine));
+  Planner_.upsertServer(makeServer(777, FullServer));
   addJob("a", 8);
   for (const Decision &D : decideAndCommit())
     EXPECT_EQ(D.Server_, makeServerId(777));
@@ -113,7 +114,7 @@
   ASSERT_TRUE(Explained && Explained->Last_);
   EXPECT_EQ(Explained->Last_->Reason_, ReasonCode::NeverFits);
   EXPECT_NE(Explained->WhatWouldHelp_.find("9 processors"), std::string::npos);
-  // Told once, not on each call.
+  // The reason is reported once, not on each call.
   Now_ += 1h;
   EXPECT_TRUE(decide().empty());
   Planner_.upsertServer(makeServer(9, {16000, 8000, 1}));
@@ -152,7 +153,7 @@
   addJob("batch", 24);
   decideAndCommit();
   ASSERT_EQ(Placed_.size(), 24U);
-  // All but one are far from their checkpoint.
+  // All tasks but one have much work since their last checkpoint.
   const TaskId Cheap{JobId("batch"), 11};
   Now_ += 10s;
   for (const auto &[Id, D] : Placed_)
@@ -164,11 +165,11 @@
   ASSERT_EQ(Evictions.size(), 1U);
   EXPECT_EQ(Evictions[0].Task_, Cheap);
   EXPECT_EQ(Evictions[0].Reason_, ReasonCode::UrgentWork);
-  // While the eviction's effect is awaited, nobody else is evicted.
+  // No other task is evicted while the effect of the eviction is awaited.
   Now_ += 2s;
   EXPECT_TRUE(decide().empty());
   commit(Evictions[0]);
-  // The room is kept for the urgent task, though others wait as well.
+  // The room stays reserved for the urgent task, although others wait too.
   addJob("more", 3);
   Now_ += 100ms;
   decideAndCommit();
@@ -210,8 +211,8 @@
   addServers(4);
   addJob("filler", 32);
   decideAndCommit();
-  addJob("large", 1, Machine, 5);
-  // Each second one of the longest running ends and a new one comes.
+  addJob("large", 1, FullServer, 5);
+  // Each second one running task ends and a new small one arrives.
   std::uint32_t Next = 0;
   int Seconds = 0;
   while (!Placed_.contains({JobId("large"), 0}) && ++Seconds < 300) {
@@ -220,8 +221,8 @@
     end(Placed_.begin()->first, EndReason::Finished);
     decideAndCommit();
   }
-  // Two ageing steps, the longest back-off, then every task on the server
-  // that is set aside ends.
+  // The bound is two ageing steps, the longest back-off, and the end of every
+  // task on the claimed server.
   EXPECT_LE(Seconds, 20 + 8 + 32);
 }
 
@@ -231,7 +232,7 @@
   addJob("drop", 60);
   while (Placed_.size() < 70)
     decideAndCommit();
-  decide(); // The rest is proposed and not committed.
+  decide(); // The remaining tasks are proposed and not committed.
   for (std::uint32_t I = 0; I < 60; ++I) {
     const TaskId Task{JobId("drop"), I};
     Planner_.removeWaiting(Task);
@@ -239,7 +240,7 @@
       end(Task, EndReason::Cancelled);
   }
   EXPECT_EQ(sumReserved(), Resources::makeFor(20000, 20000));
-  // What is free again can be placed again, to the last processor.
+  // The freed resources can be placed again completely.
   addJob("next", 60);
   decideAndCommit();
   EXPECT_EQ(Placed_.size(), 80U);
@@ -253,11 +254,11 @@
   const Decision First = Placed_.at(Task);
   end(Task, EndReason::Evicted);
   Planner_.addWaiting(TaskInfos_[Task], Now_);
-  Planner_.addWaiting(TaskInfos_[Task], Now_); // Told twice.
+  Planner_.addWaiting(TaskInfos_[Task], Now_); // The event is repeated.
   const auto Again = filterByKind(decideAndCommit(), DecisionKind::Place);
   ASSERT_EQ(Again.size(), 1U);
   EXPECT_EQ(Again[0].Attempt_, AttemptNumber(2));
-  // Late repeats of the first attempt's events change nothing.
+  // Late repetitions of the first attempt's events change nothing.
   Planner_.recordPlacement(TaskInfos_[Task], First.Attempt_, *First.Server_,
                            Small, Now_);
   Planner_.recordEnd(Task, First.Attempt_, EndReason::Evicted, Now_);
@@ -273,7 +274,7 @@
   addServers(2);
   addJob("a", 8);
   decideAndCommit();
-  auto Leaving = makeServer(0, Machine);
+  auto Leaving = makeServer(0, FullServer);
   Leaving.Draining_ = true;
   Planner_.upsertServer(Leaving);
   addJob("b", 4);
@@ -291,7 +292,7 @@
   Settings_.SpreadWeight_ = 100;
   Planner_.setPolicy(Settings_);
   for (int I = 0; I < 8; ++I)
-    Planner_.upsertServer(makeServer(I, Machine, 2));
+    Planner_.upsertServer(makeServer(I, FullServer, 2));
   for (std::uint32_t I = 0; I < 4; ++I) {
     add(makeTask("a", I, Small));
     decideAndCommit();
@@ -302,7 +303,7 @@
   EXPECT_EQ(Counts.size(), 4U);
 }
 
-TEST_F(PlannerTest, ReservationsIgnoreTheUsageOfThrottledTasks) {
+TEST_F(PlannerTest, ReservationsFollowTheUsageOfUnthrottledTasks) {
   addServers(4);
   addJob("a", 8, {1000, 2000, 0});
   decideAndCommit();
@@ -320,7 +321,7 @@
   ASSERT_EQ(Resized.size(), 8U);
   EXPECT_NEAR(Resized[0].Reservation_.MilliCpus_, 400, 25);
   EXPECT_GE(Resized[0].Reservation_.MemoryMib_, 1000);
-  // What a throttled task uses says nothing about what it needs.
+  // The usage of a throttled task does not show how much it needs.
   for (int I = 0; I < 80; ++I) {
     Now_ += 2s;
     for (const auto &[Id, D] : Placed_) {
@@ -330,7 +331,7 @@
     }
     EXPECT_TRUE(filterByKind(decide(), DecisionKind::Reserve).empty());
   }
-  // The next task of the class starts with what was learned.
+  // The next task of the class starts with the learned reservation.
   add(makeTask("a", 99, {1000, 2000, 0}));
   EXPECT_NEAR(
       filterByKind(decide(), DecisionKind::Place)[0].Reservation_.MilliCpus_,
--- a/tests/decide/QuarantineTest.cpp
+++ b/tests/decide/QuarantineTest.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-/// Ten servers that are all needed; whether a task fails is up to the test.
+/// Ten servers that are all in use. Each test defines which tasks fail.
 class QuarantineTest : public testing::Test {
 protected:
   using FailurePredicate =
@@ -24,8 +24,8 @@
       Planner_.upsertServer(makeServer(I, Resources::makeFor(8000, 8000)));
   }
 
-  /// Runs jobs of four tasks for a time; failing tasks end after 1 s, others
-  /// after 5 s.
+  /// Submits jobs of four tasks for some seconds; failing tasks end after 1 s,
+  /// others after 5 s.
   void run(int Seconds, const FailurePredicate &DoesFail) {
     for (int Second = 0; Second < Seconds; ++Second) {
       Now_ += 1s;
@@ -121,7 +121,7 @@
   run(900, [](const JobId &, const BackendServerId &Server) {
     return Server == makeServerId(3);
   });
-  // 60, 120, 240, 480 s: at most five in fifteen minutes.
+  // Quarantines of 60, 120, 240 and 480 s: at most five in fifteen minutes.
   EXPECT_GE(Quarantined_.size(), 2U);
   EXPECT_LE(Quarantined_.size(), 5U);
   EXPECT_TRUE(Readmitted_.empty());
--- a/tests/decide/ServerChooserTest.cpp
+++ b/tests/decide/ServerChooserTest.cpp
@@ -31,7 +31,7 @@
 };
 } // namespace
 
-/// Sends Count requests one after another; returns how many each server got.
+/// Sends Count requests one after another; returns the number per server.
 static std::map<BackendServerId, int>
 sendRequests(ServerChooser &Chooser,
              std::map<BackendServerId, Behaviour> Servers, int Count,
@@ -90,7 +90,8 @@
   TimePoint Now = Start;
   auto Sent = sendRequests(
       Chooser, {{makeServerId(0), {RequestResult::Failed, 10us}}}, 20000, Now);
-  // 20 s: five failures to eject it, then a probe after 5, 10, 20 s.
+  // In 20 s: five failures eject the server, then probes follow after 5, 10 and
+  // 20 s.
   EXPECT_LE(Sent[makeServerId(0)], 10);
 }
 
--- a/tests/decide/TailGuardTest.cpp
+++ b/tests/decide/TailGuardTest.cpp
@@ -14,8 +14,8 @@
 static const ServiceId Booking("booking");
 
 namespace {
-/// One server whose service's p99 follows from its tasks: 20 ms alone, and for
-/// each loud task 20 ms more at full speed. Reports come late.
+/// A server whose service's p99 depends on its tasks: 20 ms without tasks, and
+/// 20 ms more for each "loud" task at full speed. Reports may arrive late.
 class TailGuardTest : public testing::Test {
 protected:
   TailGuardTest() {
@@ -41,7 +41,7 @@
         std::chrono::duration<double, std::milli>(Millis));
   }
 
-  /// One second: report, deliver what is due, decide, apply.
+  /// Simulates one second: reports, delivers due reports, decides and applies.
   void tick(Duration Lag) {
     Now_ += 1s;
     Reports_.push_back({makeServerId(0), Booking, 500, p99(), 50, Now_});
@@ -96,14 +96,15 @@
 
 TEST_F(TailGuardTest, IgnoresReportsOlderThanItsLastAction) {
   place("loud", 4);
-  // All reports up to twelve seconds old still show the state before.
+  // Reports that are up to twelve seconds old show the state before the action.
   TimePoint First{};
   for (int I = 0; I < 40; ++I) {
     tick(12s);
     if (First == TimePoint() && !Decisions_.empty())
       First = Now_;
     if (First != TimePoint() && Now_ <= First + 12s) {
-      EXPECT_EQ(Decisions_.back().first, First) << "acted on old evidence";
+      EXPECT_EQ(Decisions_.back().first, First)
+          << "acted on reports that precede the last action";
     }
   }
   EXPECT_NE(First, TimePoint());
@@ -114,8 +115,9 @@
   place("quiet", 3);
   for (int I = 0; I < 600; ++I)
     tick(10s);
-  // A task whose release fails pauses for 1, 2, 4 minutes: at most four
-  // releases, each taken back, in ten minutes. The second half is calm.
+  // A task whose release fails stays throttled for 1, 2, then 4 minutes: at
+  // most four releases, each followed by a throttle, in ten minutes. The second
+  // half has few changes.
   std::map<TaskId, int> Changes;
   int Late = 0;
   for (const auto &[At, D] : Decisions_) {
@@ -163,5 +165,6 @@
   EXPECT_EQ(History.getLoadsAt(Start + 5s), (ClassLoads{{2, 0.25}}));
   for (std::size_t I = 0; I < PlacementHistory::MaxChanges; ++I)
     History.recordChange(3, 0.1, Start + 10s);
-  EXPECT_FALSE(History.getLoadsAt(Start + 1s)) << "forgotten, not guessed";
+  EXPECT_FALSE(History.getLoadsAt(Start + 1s))
+      << "the changes at that time were dropped";
 }
