--- a/include/tulipweir/decide/Decision.h
+++ b/include/tulipweir/decide/Decision.h
@@ -61,8 +61,8 @@
   BackendServerId Server_;
   bool Allowed_ = false;
   double Score_ = 0; ///< Higher is better; 0 when excluded.
-  std::string
-      Note_; ///< The terms of the score, or the rule that excluded the server.
+  /// The terms of the score, or the rule that excluded the server.
+  std::string Note_;
   bool operator==(const Candidate &) const = default;
 };
 
