--- a/src/decide/Admission.cpp
+++ b/src/decide/Admission.cpp
@@ -1,4 +1,4 @@
-//===- Admission.cpp - Whether a request may wait -----------------------===//
+//===- Admission.cpp - Admission control for one service -----------------===//
 
 #include "tulipweir/decide/Admission.h"
 
@@ -9,84 +9,87 @@
 using namespace tulipweir;
 using namespace tulipweir::decide;
 
-static double toSeconds(Duration Value) {
-  return std::chrono::duration<double>(Value).count();
+static double toSeconds(Duration Time) {
+  return std::chrono::duration<double>(Time).count();
 }
 
 static Duration fromSeconds(double Seconds) {
-  constexpr double Longest = 3600;
+  constexpr double MaxSeconds = 3600;
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(std::min(Seconds, Longest)));
+      std::chrono::duration<double>(std::min(Seconds, MaxSeconds)));
 }
 
 Admission::Admission(const AdmissionSettings &Settings, TimePoint Now)
-    : Settings_(Settings), RateAt_(Now) {}
+    : Settings_(Settings), DrainRateAt_(Now) {}
 
-/// The rate that the slots promise when each is busy all the time.
-static double promisedRate(const SlotView &Slots) {
-  const double Each = toSeconds(Slots.ServiceTime_);
-  constexpr double Shortest = 1e-6;
-  return static_cast<double>(Slots.Total_) / std::max(Each, Shortest);
+/// Returns the requests per second that the slots serve when all are busy.
+static double computeNominalRate(const SlotStatus &Slots) {
+  const double ServiceSeconds = toSeconds(Slots.ServiceTime_);
+  constexpr double MinSeconds = 1e-6;
+  return static_cast<double>(Slots.Total_) /
+         std::max(ServiceSeconds, MinSeconds);
 }
 
-AdmissionAnswer Admission::ask(TimePoint Now, TimePoint Deadline,
-                               const SlotView &Slots) const {
-  AdmissionAnswer Answer;
+AdmissionResult Admission::evaluate(TimePoint Now, TimePoint Deadline,
+                                    const SlotStatus &Slots) const {
+  AdmissionResult Result;
   const bool StartsNow = Slots.Free_ > Waiting_;
   if (!StartsNow)
-    Answer.ExpectedWait_ = expectWait(Now, Slots);
-  const Duration Left = std::chrono::duration_cast<Duration>(Deadline - Now);
-  if (Answer.ExpectedWait_ + Slots.ServiceTime_ > Left) {
-    Answer.Choice_ = AdmissionChoice::TooLate;
-    // It would make it once the queue is short enough for its deadline.
-    const Duration Spare =
-        std::max(Duration::zero(), Left - Slots.ServiceTime_);
-    Answer.RetryAfter_ = clampRetry(Answer.ExpectedWait_ - Spare);
-    return Answer;
+    Result.ExpectedWait_ = estimateWait(Now, Slots);
+  const Duration Remaining =
+      std::chrono::duration_cast<Duration>(Deadline - Now);
+  if (Result.ExpectedWait_ + Slots.ServiceTime_ > Remaining) {
+    Result.Choice_ = AdmissionChoice::TooLate;
+    // The request would meet its deadline once the queue is short enough.
+    const Duration Slack =
+        std::max(Duration::zero(), Remaining - Slots.ServiceTime_);
+    Result.RetryAfter_ = clampRetryAfter(Result.ExpectedWait_ - Slack);
+    return Result;
   }
   if (StartsNow)
-    return Answer;
-  Answer.Choice_ = AdmissionChoice::Queue;
+    return Result;
+  Result.Choice_ = AdmissionChoice::Queue;
   if (Waiting_ >= Settings_.QueueLimit_) {
-    Answer.Choice_ = AdmissionChoice::QueueFull;
-    Answer.RetryAfter_ = clampRetry(Answer.ExpectedWait_);
+    Result.Choice_ = AdmissionChoice::QueueFull;
+    Result.RetryAfter_ = clampRetryAfter(Result.ExpectedWait_);
   }
-  return Answer;
+  return Result;
 }
 
-void Admission::noteQueued(TimePoint Now, const SlotView &Slots) {
-  // An empty queue says nothing about how fast it would drain.
+void Admission::recordQueued(TimePoint Now, const SlotStatus &Slots) {
+  // There is no measured drain rate while the queue is empty.
   if (Waiting_ == 0) {
-    Rate_ = promisedRate(Slots);
-    RateAt_ = Now;
+    DrainRate_ = computeNominalRate(Slots);
+    DrainRateAt_ = Now;
   }
   ++Waiting_;
 }
 
-void Admission::noteDrained(TimePoint Now) {
-  assert(Waiting_ > 0 && "nobody waits");
-  Rate_ = drainRate(Now) + 1 / toSeconds(Settings_.RateWindow_);
-  RateAt_ = std::max(RateAt_, Now);
+void Admission::recordDequeued(TimePoint Now) {
+  assert(Waiting_ > 0 && "no request is waiting");
+  DrainRate_ = drainRate(Now) + 1 / toSeconds(Settings_.RateWindow_);
+  DrainRateAt_ = std::max(DrainRateAt_, Now);
   --Waiting_;
 }
 
-void Admission::noteGivenUp() {
-  assert(Waiting_ > 0 && "nobody waits");
+void Admission::recordAbandoned() {
+  assert(Waiting_ > 0 && "no request is waiting");
   --Waiting_;
 }
 
 double Admission::drainRate(TimePoint Now) const {
-  const double Passed = std::max(0.0, toSeconds(Now - RateAt_));
-  return Rate_ * std::exp(-Passed / toSeconds(Settings_.RateWindow_));
+  const double Elapsed = std::max(0.0, toSeconds(Now - DrainRateAt_));
+  return DrainRate_ * std::exp(-Elapsed / toSeconds(Settings_.RateWindow_));
 }
 
-Duration Admission::expectWait(TimePoint Now, const SlotView &Slots) const {
-  const double Rate = Waiting_ == 0 ? promisedRate(Slots) : drainRate(Now);
+Duration Admission::estimateWait(TimePoint Now, const SlotStatus &Slots) const {
+  const double Rate =
+      Waiting_ == 0 ? computeNominalRate(Slots) : drainRate(Now);
   const auto Ahead = static_cast<double>(Waiting_ + 1 - Slots.Free_);
-  constexpr double Slowest = 1e-9;
-  return fromSeconds(Ahead / std::max(Rate, Slowest));
+  constexpr double MinRate = 1e-9;
+  return fromSeconds(Ahead / std::max(Rate, MinRate));
 }
 
-Duration Admission::clampRetry(Duration Wait) const {
+Duration Admission::clampRetryAfter(Duration Wait) const {
   return std::clamp(Wait, Settings_.MinRetryAfter_, Settings_.MaxRetryAfter_);
 }
--- a/src/decide/Placer.h
+++ b/src/decide/Placer.h
@@ -1,9 +1,9 @@
-//===- Placer.h - Filter, score and pick -----------------------*- C++ -*-===//
+//===- Placer.h - Filters and scores servers -------------------*- C++ -*-===//
 //
-// Chooses a server for one task: draws a handful of random servers that have
-// room from the index, rules out by a table of filters, scores by a table of
-// weighted parts, picks the best. Looks at a bounded number of servers however
-// many there are.
+// Chooses a server for one task: samples random servers with room from the
+// index, excludes some by a table of filters, scores the others by a table of
+// weighted terms, and picks the best. The number of servers considered is
+// bounded.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,8 +20,9 @@
 struct PlacementChoice {
   std::optional<ServerIndex> Server_;
   Resources Reservation_;
-  ReasonCode Reason_ = ReasonCode::BestScore; ///< Or why there is none.
-  std::vector<Candidate> Candidates_;         ///< Best first.
+  /// BestScore, or why no server was chosen.
+  ReasonCode Reason_ = ReasonCode::BestScore;
+  std::vector<Candidate> Candidates_; ///< Best first.
 };
 
 class Placer {
@@ -29,48 +30,50 @@
   Placer(const PlannerState &State, std::uint64_t Seed);
 
   PlacementChoice choose(const TaskInfo &Task, TimePoint Now);
-  /// What would be set aside for the task now.
-  Resources reserveFor(const TaskInfo &Task) const;
-  /// Why nothing can take an amount, by what the indexes say.
-  ReasonCode whyNoRoom(const Resources &Needed) const;
+  /// Returns the resources that would be reserved for the task now.
+  Resources computeReservation(const TaskInfo &Task) const;
+  /// Returns why no server has Needed free, according to the indexes.
+  ReasonCode findRejectionReason(const Resources &Needed) const;
 
 private:
-  /// One task against one server.
-  struct Match {
+  /// One task and a server that is evaluated for it.
+  struct PlacementContext {
     const TaskInfo &Task_;
     const Resources &Needed_;
     const ServerEntry &Server_;
     ClassLoad Load_;
-    Pressure Pressure_;
+    TailPressure Pressure_;
     TimePoint Now_;
   };
   struct Filter {
     const char *Name_;
     ReasonCode Reason_;
-    bool (Placer::*Forbids_)(const Match &) const;
+    bool (Placer::*Rejects_)(const PlacementContext &) const;
   };
-  struct ScorePart {
+  struct ScoreTerm {
     const char *Name_;
     double Policy::*Weight_;
-    double (Placer::*Rate_)(const Match &) const; ///< 0 to 1.
+    /// Returns 0 to 1.
+    double (Placer::*Compute_)(const PlacementContext &) const;
   };
   static const Filter Filters[];
-  static const ScorePart ScoreParts[];
+  static const ScoreTerm ScoreTerms[];
 
-  bool isAvoided(const Match &Value) const;
-  bool isUnproven(const Match &Value) const;
-  bool isTailOver(const Match &Value) const;
-  bool isTailAtRisk(const Match &Value) const;
-  double rateTail(const Match &Value) const;
-  double ratePacking(const Match &Value) const;
-  double rateSafety(const Match &Value) const;
-  double rateSpread(const Match &Value) const;
+  bool isAvoided(const PlacementContext &Context) const;
+  bool hasTooManyUnmeasured(const PlacementContext &Context) const;
+  bool isTailOver(const PlacementContext &Context) const;
+  bool isTailAtRisk(const PlacementContext &Context) const;
+  double scoreTail(const PlacementContext &Context) const;
+  double scorePacking(const PlacementContext &Context) const;
+  double scoreSafety(const PlacementContext &Context) const;
+  double scoreSpread(const PlacementContext &Context) const;
 
-  std::vector<ServerIndex> drawCandidates(const Resources &Needed);
-  Candidate judge(const Match &Value, ReasonCode &Reason) const;
+  std::vector<ServerIndex> sampleServers(const Resources &Needed);
+  Candidate evaluateCandidate(const PlacementContext &Context,
+                              ReasonCode &Reason) const;
 
   const PlannerState &State_;
-  TailModel Tail_;
+  TailModel TailModel_;
   std::mt19937_64 Random_;
 };
 
--- a/src/decide/Quarantine.h
+++ b/src/decide/Quarantine.h
@@ -1,11 +1,11 @@
-//===- Quarantine.h - Servers that fail every task -------------*- C++ -*-===//
+//===- Quarantine.h - Servers on which every task fails --------*- C++ -*-===//
 //
-// A server is quarantined on evidence: several different jobs failed there
-// since anything last went well, and each of them did well on another server.
-// A job that fails everywhere is no evidence. Before the evidence is complete
-// a server on which two jobs failed in a row gets one task at a time. After the
-// quarantine it is on probation: one task at a time until one does well; if one
-// fails again, the quarantine lasts twice as long.
+// A server is quarantined when several different jobs failed there since the
+// last success and each of them succeeded on another server. A job that fails
+// everywhere does not count. Before the evidence is complete, a server on
+// which two jobs failed in a row gets one task at a time. After the quarantine
+// the server is on probation: it gets one task at a time until one succeeds;
+// if one fails again, the next quarantine lasts twice as long.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,7 @@
 
 enum class ServerHealth : std::uint8_t {
   Good,
-  Suspect, ///< One task at a time: several jobs failed there.
+  Suspect, ///< One task at a time, because several jobs failed there.
   Quarantined,
   Probation, ///< One task at a time after a quarantine.
 };
@@ -35,32 +35,33 @@
   BackendServerId Server_;
   ServerHealth From_ = ServerHealth::Good;
   ServerHealth To_ = ServerHealth::Good;
-  std::vector<JobId> Jobs_; ///< The evidence.
-  Duration For_{};
+  std::vector<JobId> Jobs_; ///< The failed jobs, or the job that succeeded.
+  Duration Length_{};
   bool operator==(const HealthChange &) const = default;
 };
 
 class Quarantine {
 public:
-  void noteFailed(const JobId &Job, const BackendServerId &Server,
-                  TimePoint Now, const Policy &Settings);
-  /// A task finished there, or ran there for long.
-  void noteHealthy(const JobId &Job, const BackendServerId &Server,
-                   TimePoint Now, const Policy &Settings);
-  /// Ends quarantines whose time is over.
+  void recordFailure(const JobId &Job, const BackendServerId &Server,
+                     TimePoint Now, const Policy &Settings);
+  /// Records that a task finished on the server or ran there for long.
+  void recordSuccess(const JobId &Job, const BackendServerId &Server,
+                     TimePoint Now, const Policy &Settings);
+  /// Ends quarantines and suspicions whose time is over.
   void advance(TimePoint Now);
-  /// Hands out the changes since the last call, in order.
+  /// Returns the changes since the last call, in order.
   std::vector<HealthChange> takeChanges();
 
-  ServerHealth healthOf(const BackendServerId &Server) const;
-  std::uint32_t failuresOn(const BackendServerId &Server) const;
+  ServerHealth getHealth(const BackendServerId &Server) const;
+  std::uint32_t countFailedJobs(const BackendServerId &Server) const;
 
 private:
-  struct Server {
+  struct ServerRecord {
     ServerHealth Health_ = ServerHealth::Good;
-    std::vector<JobId> FailedJobs_; ///< Different ones since it did well.
+    /// Different jobs that failed since the last success.
+    std::vector<JobId> FailedJobs_;
     TimePoint Until_;
-    Duration Time_{};
+    Duration QuarantineLength_{};
     TimePoint FailedAt_;
   };
   struct Job {
@@ -68,14 +69,15 @@
     std::vector<BackendServerId> HealthyOn_;
   };
 
-  Job &jobOf(const JobId &Id);
+  Job &getOrCreateJob(const JobId &Id);
   bool isEvidence(const JobId &Id, const BackendServerId &Server) const;
   bool failsEverywhere(const JobId &Id) const;
-  void judge(const BackendServerId &Id, TimePoint Now, const Policy &Settings);
-  void change(const BackendServerId &Id, Server &Value, ServerHealth To,
-              std::vector<JobId> Jobs);
+  void updateHealth(const BackendServerId &Id, TimePoint Now,
+                    const Policy &Settings);
+  void setHealth(const BackendServerId &Id, ServerRecord &Record,
+                 ServerHealth To, std::vector<JobId> Jobs);
 
-  std::unordered_map<BackendServerId, Server> Servers_;
+  std::unordered_map<BackendServerId, ServerRecord> Servers_;
   std::unordered_map<JobId, Job> Jobs_;
   std::deque<JobId> JobOrder_;
   std::set<std::pair<TimePoint, BackendServerId>> Timers_;
--- a/tests/decide/NaiveLedger.h
+++ b/tests/decide/NaiveLedger.h
@@ -1,7 +1,7 @@
-//===- NaiveLedger.h - Checks placements by scanning -----------*- C++ -*-===//
+//===- NaiveLedger.h - Reference model of placements -----------*- C++ -*-===//
 //
-// The naive counterpart of the planner's sums and indexes: a list of what was
-// committed, and sums made anew by scanning all of it on each question.
+// A list of the committed placements, whose sums are recomputed on each query.
+// Tests compare the planner's sums and indexes with it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,17 +22,18 @@
   Resources Reservation_;
 };
 
-/// Stands for the state machine of the log: refuses what would overfill.
+/// Stands in for the replicated state machine, which refuses placements that
+/// would overfill a server.
 class NaiveLedger {
 public:
-  Resources usedOn(const BackendServerId &Server) const {
+  Resources sumReservedOn(const BackendServerId &Server) const {
     Resources Sum;
     for (const auto &[Id, Entry] : Placed_)
       if (Entry.Server_ == Server)
         Sum = Sum + Entry.Reservation_;
     return Sum;
   }
-  Resources usedBy(const TeamId &Team) const {
+  Resources sumReservedBy(const TeamId &Team) const {
     Resources Sum;
     for (const auto &[Id, Entry] : Placed_)
       if (Entry.Info_.Team_ == Team)
@@ -46,10 +47,10 @@
         }));
   }
   bool fits(const BackendServerId &Server, const Resources &Added) const {
-    const auto Found = Servers_.find(Server);
-    return Found != Servers_.end() &&
-           (usedOn(Server) + Added)
-               .fitsIn(Found->second.Capacity_ - Found->second.ServiceShare_);
+    const auto It = Servers_.find(Server);
+    return It != Servers_.end() &&
+           (sumReservedOn(Server) + Added)
+               .fitsIn(It->second.Capacity_ - It->second.ServiceShare_);
   }
   bool anyFits(const Resources &Added) const {
     return std::any_of(Servers_.begin(), Servers_.end(), [&](const auto &Pair) {
@@ -61,14 +62,14 @@
   std::map<TaskId, LedgerEntry> Placed_;
 };
 
-inline BackendServerId serverNamed(int I) {
+inline BackendServerId makeServerId(int I) {
   return BackendServerId("vm-" + std::to_string(I));
 }
 
 inline ServerInfo makeServer(int I, const Resources &Capacity,
                              int PerRack = 8) {
   ServerInfo Info;
-  Info.Server_ = serverNamed(I);
+  Info.Server_ = makeServerId(I);
   Info.Rack_ = RackId("rack-" + std::to_string(I / PerRack));
   Info.Capacity_ = Capacity;
   return Info;
@@ -87,13 +88,13 @@
   return Info;
 }
 
-/// The decisions of one kind.
-inline std::vector<Decision> only(const std::vector<Decision> &All,
-                                  DecisionKind Kind) {
-  std::vector<Decision> Some;
-  std::copy_if(All.begin(), All.end(), std::back_inserter(Some),
-               [&](const Decision &Value) { return Value.Kind_ == Kind; });
-  return Some;
+/// Returns the decisions of one kind.
+inline std::vector<Decision> filterByKind(const std::vector<Decision> &All,
+                                          DecisionKind Kind) {
+  std::vector<Decision> Matching;
+  std::copy_if(All.begin(), All.end(), std::back_inserter(Matching),
+               [&](const Decision &D) { return D.Kind_ == Kind; });
+  return Matching;
 }
 
 } // namespace tulipweir::decide
