--- a/bench/jobs/JobsBench.cpp
+++ b/bench/jobs/JobsBench.cpp
@@ -142,7 +142,7 @@
       Book.apply(Command(AddServer{makeServer(I, 32'000)}));
     for (std::uint64_t I = 0; I < Waiting / TasksPerJob; ++I)
       Book.apply(Command(makeJob(I, TasksPerJob)));
-    ServerBoard Board;
+    LiveServerTable Board;
     Board.reset(Book, now(), std::chrono::hours(1));
     TailEffects Effects;
     ServingLoads Loads;
--- a/include/tulipweir/jobs/JobLeader.h
+++ b/include/tulipweir/jobs/JobLeader.h
@@ -67,13 +67,13 @@
   void report(ServerReport Report, Done<ServerOrders> Reply);
   /// A report that was not delivered in time: the ends in it count, but it is
   /// no sign of life. Reply gets no lease and no orders.
-  void noteLateEnds(const ServerReport &Report, Done<ServerOrders> Reply);
+  void recordLateEnds(const ServerReport &Report, Done<ServerOrders> Reply);
   /// Learns from a report that another member decides, so that it knows what
   /// disturbs what by the time it leads itself.
   void observe(const ServerReport &Report);
   /// Relays defer reports, as the leader is behind. For some time the relays
   /// are asked twice before a server whose lease expired is removed.
-  void noteBehind();
+  void markOverloaded();
   /// The server has left for good.
   void leave(const std::string &ServerId, Done<void> Reply);
   /// Reply tells whether it is in force or was overtaken; Conflict if another
--- a/include/tulipweir/jobs/JobMeter.h
+++ b/include/tulipweir/jobs/JobMeter.h
@@ -15,7 +15,7 @@
 
 namespace tulipweir::jobs {
 
-enum class Timed : std::uint8_t {
+enum class JobTimer : std::uint8_t {
   Acknowledge,  ///< From a submission's arrival to its commit.
   FirstStart,   ///< From the acceptance to the first start.
   Finish,       ///< From the acceptance to the end.
@@ -24,7 +24,7 @@
   Heartbeat,    ///< From a report's arrival to its answer.
 };
 
-enum class Counted : std::uint8_t {
+enum class JobCounter : std::uint8_t {
   JobsAccepted,
   JobsRefused,
   JobsCompleted,
@@ -37,32 +37,34 @@
   ServersGone,
   EvacuationsBegun,
   EvacuationsEnded,
-  LapsesHeard, ///< Leases that ran out while another member heard the server.
+  ExpiredServersKept,   ///< Leases that ran out while another member heard the
+                        ///< server.
   ReportsAnsweredEarly, ///< Before what came of them was committed.
   CrashesSuspected,     ///< Of servers, that some task may have caused.
   TasksSuspected,       ///< To be isolated after such a crash.
   JobsGivenUp,          ///< Since a task crashed its servers.
   // Reports answered without a lease.
-  ReportsLate,      ///< A later report of the server was answered before.
-  ReportsOvertaken, ///< A later one came while this one was handled.
-  ReportsOfTakenAddresses,    ///< Another incarnation holds its address.
+  ReportsLate,       ///< A later report of the server was answered before.
+  ReportsSuperseded, ///< A later one came while this one was handled.
+  ReportsWithAddressConflict, ///< Another incarnation holds its address.
   ReportsRelayedWithoutLease, ///< By a relay, for whatever reason.
   ReportsExpired,             ///< Not handled, as they waited too long here.
-  HandOvers, ///< Of leadership, as this VM was slow and another was not.
+  LeadershipTransfers, ///< Of leadership, as this VM was slow and another was
+                       ///< not.
 };
 
 /// Thread-safe and never blocking.
 class JobMeter {
 public:
   virtual ~JobMeter() = default;
-  virtual void add(Counted What, std::uint64_t By) = 0;
-  virtual void record(Timed What, Duration Took) = 0;
+  virtual void add(JobCounter What, std::uint64_t By) = 0;
+  virtual void record(JobTimer What, Duration Took) = 0;
 };
 
 class NoJobMeter final : public JobMeter {
 public:
-  void add(Counted, std::uint64_t) override {}
-  void record(Timed, Duration) override {}
+  void add(JobCounter, std::uint64_t) override {}
+  void record(JobTimer, Duration) override {}
 };
 
 } // namespace tulipweir::jobs
--- a/include/tulipweir/jobs/ReportBatch.h
+++ b/include/tulipweir/jobs/ReportBatch.h
@@ -23,7 +23,7 @@
   std::vector<std::string> Heard_ = {};
   std::string From_ = {}; ///< The member that passes them on.
   /// How long a set piece of work takes there; 0 as long as it cannot tell.
-  std::uint64_t WorkTimeNs_ = 0;
+  std::uint64_t ProbeTimeNs_ = 0;
   /// The number of leading reports that are late, as they were deferred or lost
   /// before. Only the ends in them count; they extend no lease.
   std::uint64_t LateReports_ = 0;
@@ -61,7 +61,7 @@
   static ReportAnswer make(const Outcome<ServerOrders> &From);
   /// What make was given; other errors than NotLeader and InvalidArgument
   /// become Unavailable.
-  Outcome<ServerOrders> takeOutcome() &&;
+  Outcome<ServerOrders> toOutcome() &&;
 };
 
 /// A server with a run that a stop order waits for.
--- a/include/tulipweir/jobs/ServerIncarnations.h
+++ b/include/tulipweir/jobs/ServerIncarnations.h
@@ -30,15 +30,16 @@
 public:
   /// The incarnation has registered; an earlier one at its address is over.
   /// Returns that one; empty if there was none.
-  std::string begin(const std::string &Id, const std::string &Address);
+  std::string registerIncarnation(const std::string &Id,
+                                  const std::string &Address);
   /// The incarnation has left for good. One that only fell silent may come back
   /// and is not ended.
-  void end(const std::string &Id);
+  void endIncarnation(const std::string &Id);
 
   /// The incarnation at the address went without notice.
-  void noteCrash(const std::string &Address);
+  void recordCrash(const std::string &Address);
   /// A task that was given up had crashed the server of that id there.
-  void explainCrash(const std::string &Address, const std::string &Id);
+  void attributeCrash(const std::string &Address, const std::string &Id);
 
   /// Whether the incarnation before the one at the address crashed,
   /// unexplained.
--- a/src/jobs/CrashHistory.cpp
+++ b/src/jobs/CrashHistory.cpp
@@ -29,9 +29,9 @@
     LastHeard_.pop_front();
 }
 
-bool CrashHistory::isAmongMany(const ServerBoard &Board,
+bool CrashHistory::isAmongMany(const LiveServerTable &Board,
                                const std::string &Server, TimePoint Now) const {
-  const ServerLive *Own = Board.find(Server);
+  const LiveServer *Own = Board.find(Server);
   if (!Own)
     return false;
   const auto IsTogether = [Own](TimePoint Each) {
--- a/src/jobs/CrashHistory.h
+++ b/src/jobs/CrashHistory.h
@@ -8,7 +8,7 @@
 #ifndef TULIPWEIR_SRC_JOBS_CRASHHISTORY_H
 #define TULIPWEIR_SRC_JOBS_CRASHHISTORY_H
 
-#include "jobs/ServerBoard.h"
+#include "jobs/LiveServerTable.h"
 #include "tulipweir/core/Time.h"
 
 #include <cstddef>
@@ -29,7 +29,7 @@
   // Queries.
 
   /// Whether the server fell silent together with many others.
-  bool isAmongMany(const ServerBoard &Board, const std::string &Server,
+  bool isAmongMany(const LiveServerTable &Board, const std::string &Server,
                    TimePoint Now) const;
 
 private:
--- a/src/jobs/Dispatcher.cpp
+++ b/src/jobs/Dispatcher.cpp
@@ -142,7 +142,7 @@
   return *Own.Tails_;
 }
 
-void Dispatcher::survey(const JobBook &Book, const ServerBoard &Board,
+void Dispatcher::survey(const JobBook &Book, const LiveServerTable &Board,
                         TimePoint Now) {
   Stragglers_.survey(Book, Board, Now);
   Survey_.take(Book, Board, Waits_, Now);
@@ -159,19 +159,19 @@
 }
 
 std::vector<TaskStart> Dispatcher::plan(const JobBook &Book,
-                                        const ServerBoard &Board,
+                                        const LiveServerTable &Board,
                                         const std::string &ServerId,
                                         TimePoint Now, WallTime Wall) {
   const ServerRecord *Server = Book.findServer(ServerId);
-  const ServerLive *Live = Board.find(ServerId);
-  const bool MayStart =
-      Server && Board.takesStarts(Book, *Server) && Live->NoStartsUntil_ <= Now;
-  const Fitness Fit = Health_.getFitness(ServerId, Now);
-  if (!MayStart || Fit == Fitness::Quarantined)
+  const LiveServer *Live = Board.find(ServerId);
+  const bool MayStart = Server && Board.acceptsStarts(Book, *Server) &&
+                        Live->NoStartsUntil_ <= Now;
+  const HealthState Fit = Health_.getHealthState(ServerId, Now);
+  if (!MayStart || Fit == HealthState::Quarantined)
     return {};
-  if (Fit == Fitness::Probation && !isIdleBut(Book, *Server))
+  if (Fit == HealthState::Probation && !isIdleBut(Book, *Server))
     return {};
-  if (Fit == Fitness::Sound)
+  if (Fit == HealthState::Healthy)
     if (const auto Start = planIsolated(Book, Board, *Server, Now)) {
       Taken_.insert(Start->Task_);
       return {*Start};
@@ -186,8 +186,8 @@
            std::nullopt,
            {},
            {}};
-  Own.Left_.Free_ = Own.Left_.Free_ - Board.measureUnplaced(Book, *Server);
-  if (Fit == Fitness::Probation)
+  Own.Left_.Free_ = Own.Left_.Free_ - Board.sumUnplacedUsage(Book, *Server);
+  if (Fit == HealthState::Probation)
     Own.MostStarts_ = 1;
   Order_.update(Book, Waits_, Now, Wall);
   const std::size_t Images = Order_.countFillingImages();
@@ -212,11 +212,11 @@
 
 /// A suspected task that the server starts by itself.
 std::optional<TaskStart> Dispatcher::planIsolated(const JobBook &Book,
-                                                  const ServerBoard &Board,
+                                                  const LiveServerTable &Board,
                                                   const ServerRecord &Server,
                                                   TimePoint Now) {
   const Resources Free = Server.Facts_.Capacity_ - Server.Used_ -
-                         Board.measureUnplaced(Book, Server);
+                         Board.sumUnplacedUsage(Book, Server);
   const auto MayRun = [&](const JobRecord &Job, const TaskKey &Task) {
     return Taken_.count(Task) == 0 &&
            Job.Spec_.Steps_[Task.Step_].getReserved().fitsIn(Free) &&
@@ -336,7 +336,7 @@
 }
 
 std::vector<TaskStart> Dispatcher::planGang(const JobBook &Book,
-                                            const ServerBoard &Board,
+                                            const LiveServerTable &Board,
                                             TimePoint Now) {
   for (const ReadyStep &Ready : Book.readySteps()) {
     const JobRecord &Job = *Book.findJob(Ready.Job_);
@@ -351,12 +351,12 @@
     std::vector<TaskStart> Starts =
         planGangStarts(Book, Ready, MaySpread, [&](const ServerRecord &Server) {
           const std::string &Id = Server.Facts_.Id_;
-          const ServerLive *Live = Board.find(Id);
-          return Board.takesStarts(Book, Server) &&
+          const LiveServer *Live = Board.find(Id);
+          return Board.acceptsStarts(Book, Server) &&
                  Live->NoStartsUntil_ <= Now &&
-                 Board.measureUnplaced(Book, Server) == Resources{} &&
+                 Board.sumUnplacedUsage(Book, Server) == Resources{} &&
                  !Isolation_.isClosed(Book, Board, Server, Now) &&
-                 Health_.getFitness(Id, Now) == Fitness::Sound &&
+                 Health_.getHealthState(Id, Now) == HealthState::Healthy &&
                  isAdvised(Job, First, Id, Now);
         });
     if (Starts.empty())
@@ -369,7 +369,7 @@
 }
 
 std::string Dispatcher::explainWait(const JobBook &Book,
-                                    const ServerBoard &Board,
+                                    const LiveServerTable &Board,
                                     const ReadyStep &Step,
                                     TimePoint Now) const {
   const JobRecord &Job = *Book.findJob(Step.Job_);
@@ -398,11 +398,11 @@
       ++Unlabelled;
       continue;
     }
-    const ServerLive *Live = Board.find(Id);
+    const LiveServer *Live = Board.find(Id);
     const ServerRoom Left = ServerRoom::measure(Server, Loads_);
-    const bool IsResting = !Live || !Live->isStaying() ||
-                           Live->NoStartsUntil_ > Now ||
-                           Health_.getFitness(Id, Now) != Fitness::Sound;
+    const bool IsResting =
+        !Live || !Live->isInService() || Live->NoStartsUntil_ > Now ||
+        Health_.getHealthState(Id, Now) != HealthState::Healthy;
     if (Book.isEvacuated(Server.Facts_))
       ++Evacuated;
     else if (IsResting)
--- a/src/jobs/Dispatcher.h
+++ b/src/jobs/Dispatcher.h
@@ -11,10 +11,10 @@
 
 #include "jobs/AdviceBook.h"
 #include "jobs/IsolationPlanner.h"
+#include "jobs/LiveServerTable.h"
 #include "jobs/PaceGuard.h"
 #include "jobs/ReadyTimes.h"
 #include "jobs/RoomSurvey.h"
-#include "jobs/ServerBoard.h"
 #include "jobs/ServerHealth.h"
 #include "jobs/ServerRoom.h"
 #include "jobs/ServiceOrder.h"
@@ -41,19 +41,19 @@
 
   void reset();
   /// What the server shall start now. The tasks count as taken until settle.
-  std::vector<TaskStart> plan(const JobBook &Book, const ServerBoard &Board,
+  std::vector<TaskStart> plan(const JobBook &Book, const LiveServerTable &Board,
                               const std::string &ServerId, TimePoint Now,
                               WallTime Wall);
   /// The starts were applied or refused.
   void settle(const std::vector<TaskStart> &Starts);
   /// Looks at all servers and all that waits; now and then.
-  void survey(const JobBook &Book, const ServerBoard &Board, TimePoint Now);
+  void survey(const JobBook &Book, const LiveServerTable &Board, TimePoint Now);
   /// Whether a task that hardly works where it is, as it would disturb, is to
   /// be stopped so that it goes on elsewhere; takes the room that it needs.
   bool takeSafeRoom(const StepSpec &Step) { return Survey_.takeSafeRoom(Step); }
   /// Whole gangs that can be placed now, over several servers.
-  std::vector<TaskStart> planGang(const JobBook &Book, const ServerBoard &Board,
-                                  TimePoint Now);
+  std::vector<TaskStart> planGang(const JobBook &Book,
+                                  const LiveServerTable &Board, TimePoint Now);
   /// A run of the task failed there: its next one goes elsewhere, if it can.
   void noteFailure(const TaskKey &Task, const std::string &ServerId,
                    TimePoint Now);
@@ -63,7 +63,7 @@
   // Queries.
 
   /// Why the step's tasks do not start: how many servers stand in which way.
-  std::string explainWait(const JobBook &Book, const ServerBoard &Board,
+  std::string explainWait(const JobBook &Book, const LiveServerTable &Board,
                           const ReadyStep &Step, TimePoint Now) const;
 
 private:
@@ -86,7 +86,7 @@
   };
 
   std::optional<TaskStart> planIsolated(const JobBook &Book,
-                                        const ServerBoard &Board,
+                                        const LiveServerTable &Board,
                                         const ServerRecord &Server,
                                         TimePoint Now);
   bool isFull(const Plan &Own) const;
--- a/src/jobs/IncarnationConflicts.cpp
+++ b/src/jobs/IncarnationConflicts.cpp
@@ -6,33 +6,33 @@
 
 /// Twice the longest pause between two reports of a server that is heard: the
 /// incarnation at the address would have reported by then.
-static constexpr Duration ProofTime = 1s;
+static constexpr Duration TakeoverDelay = 1s;
 /// Claims without a report for so long are dropped: a running server reports
 /// more often.
-static constexpr Duration ForgottenAfter = 60s;
+static constexpr Duration ClaimExpiry = 60s;
 
-bool IncarnationConflicts::note(const std::string &Id, TimePoint OccupantHeard,
-                                TimePoint Now) {
-  std::erase_if(Claims_, [Now](const auto &Each) {
-    return Now - Each.second.Begin_ > ForgottenAfter;
+bool IncarnationConflicts::recordClaim(const std::string &Id,
+                                       TimePoint OccupantHeard, TimePoint Now) {
+  std::erase_if(Claims_, [Now](const auto &Entry) {
+    return Now - Entry.second.Begin_ > ClaimExpiry;
   });
-  const auto [Place, IsNew] = Claims_.try_emplace(Id, Claim{Now});
+  const auto [It, IsNew] = Claims_.try_emplace(Id, Claim{Now});
   // The occupant was heard since then, so it is alive.
-  const bool IsVoid = OccupantHeard > Place->second.Begin_;
+  const bool IsVoid = OccupantHeard > It->second.Begin_;
   if (IsVoid)
-    Place->second = Claim{Now};
+    It->second = Claim{Now};
   return IsNew || IsVoid;
 }
 
-void IncarnationConflicts::noteFlushed(const std::string &Id, TimePoint Begin) {
-  const auto Found = Claims_.find(Id);
-  if (Found != Claims_.end() && Found->second.Begin_ == Begin)
-    Found->second.IsFlushed_ = true;
+void IncarnationConflicts::recordFlush(const std::string &Id, TimePoint Begin) {
+  const auto It = Claims_.find(Id);
+  if (It != Claims_.end() && It->second.Begin_ == Begin)
+    It->second.IsFlushed_ = true;
 }
 
 bool IncarnationConflicts::mayTakeOver(const std::string &Id,
                                        TimePoint Now) const {
-  const auto Found = Claims_.find(Id);
-  return Found != Claims_.end() && Found->second.IsFlushed_ &&
-         Now - Found->second.Begin_ >= ProofTime;
+  const auto It = Claims_.find(Id);
+  return It != Claims_.end() && It->second.IsFlushed_ &&
+         Now - It->second.Begin_ >= TakeoverDelay;
 }
--- a/src/jobs/IncarnationConflicts.h
+++ b/src/jobs/IncarnationConflicts.h
@@ -26,9 +26,10 @@
   /// whose present incarnation was last heard at OccupantHeard. True if the
   /// claim begins: what others keep of the present incarnation's reports is to
   /// be waited for.
-  bool note(const std::string &Id, TimePoint OccupantHeard, TimePoint Now);
+  bool recordClaim(const std::string &Id, TimePoint OccupantHeard,
+                   TimePoint Now);
   /// All relays have flushed their reports for the claim that began then.
-  void noteFlushed(const std::string &Id, TimePoint Begin);
+  void recordFlush(const std::string &Id, TimePoint Begin);
 
   /// Whether the incarnation Id has proved to be the newer one.
   bool mayTakeOver(const std::string &Id, TimePoint Now) const;
--- a/src/jobs/IsolationPlanner.cpp
+++ b/src/jobs/IsolationPlanner.cpp
@@ -69,14 +69,15 @@
 }
 
 /// Whether a run of a suspected task may still crash its server.
-static bool isUnproved(const TaskRecord &Task, const ServerLive *Live,
+static bool isUnproved(const TaskRecord &Task, const LiveServer *Live,
                        const TaskKey &Key, std::uint64_t Run) {
   const auto Needed = std::chrono::milliseconds(getIsolationMs(Task.Crashes_));
   return Task.ProvedRun_ != Run &&
-         (!Live || Live->getSeenFor(Key, Run) < Needed);
+         (!Live || Live->getObservedTime(Key, Run) < Needed);
 }
 
-bool IsolationPlanner::isClosed(const JobBook &Book, const ServerBoard &Board,
+bool IsolationPlanner::isClosed(const JobBook &Book,
+                                const LiveServerTable &Board,
                                 const ServerRecord &Server,
                                 TimePoint Now) const {
   const auto Kept = Reserved_.find(Server.Facts_.Id_);
@@ -84,7 +85,7 @@
     return true;
   if (Book.crashSuspects().empty())
     return false;
-  const ServerLive *Live = Board.find(Server.Facts_.Id_);
+  const LiveServer *Live = Board.find(Server.Facts_.Id_);
   return std::any_of(Server.Placed_.begin(), Server.Placed_.end(),
                      [&](const auto &Each) {
                        if (Book.crashSuspects().count(Each.first) == 0)
@@ -96,12 +97,12 @@
 }
 
 /// Whether all that runs on the server has run for a while.
-bool IsolationPlanner::isQuiet(const ServerBoard &Board,
+bool IsolationPlanner::isQuiet(const LiveServerTable &Board,
                                const ServerRecord &Server) {
-  const ServerLive *Live = Board.find(Server.Facts_.Id_);
+  const LiveServer *Live = Board.find(Server.Facts_.Id_);
   return std::all_of(
       Server.Placed_.begin(), Server.Placed_.end(), [Live](const auto &Each) {
-        return Live && Live->getSeenFor(Each.first, Each.second) >=
+        return Live && Live->getObservedTime(Each.first, Each.second) >=
                            std::chrono::milliseconds(SettledAfterMs);
       });
 }
@@ -111,8 +112,8 @@
   return 1 + Book.servers().size() / ServersForOne;
 }
 
-void IsolationPlanner::refresh(const JobBook &Book, const ServerBoard &Board,
-                               TimePoint Now) {
+void IsolationPlanner::refresh(const JobBook &Book,
+                               const LiveServerTable &Board, TimePoint Now) {
   if (Now - RefreshedAt_ < RefreshInterval)
     return;
   RefreshedAt_ = Now;
@@ -163,10 +164,10 @@
 }
 
 void IsolationPlanner::listStable(const JobBook &Book,
-                                  const ServerBoard &Board) {
+                                  const LiveServerTable &Board) {
   Stable_.clear();
   for (const auto &[Id, Server] : Book.servers())
-    if (Board.takesStarts(Book, Server) && Board.isStable(Server))
+    if (Board.acceptsStarts(Book, Server) && Board.isStable(Server))
       Stable_.insert(Server.Facts_.Service_);
 }
 
@@ -179,7 +180,7 @@
 
 bool IsolationPlanner::isSuitable(const TaskKey &Task,
                                   const CrashRecords &Crashes,
-                                  const ServerBoard &Board,
+                                  const LiveServerTable &Board,
                                   const ServerRecord &Server,
                                   TimePoint Now) const {
   const auto Since = Since_.find(Task);
@@ -197,7 +198,7 @@
 }
 
 std::optional<TaskStart> IsolationPlanner::plan(const JobBook &Book,
-                                                const ServerBoard &Board,
+                                                const LiveServerTable &Board,
                                                 const ServerRecord &Server,
                                                 TimePoint Now,
                                                 const MayRun &May) {
--- a/src/jobs/IsolationPlanner.h
+++ b/src/jobs/IsolationPlanner.h
@@ -11,7 +11,7 @@
 #ifndef TULIPWEIR_SRC_JOBS_ISOLATIONPLANNER_H
 #define TULIPWEIR_SRC_JOBS_ISOLATIONPLANNER_H
 
-#include "jobs/ServerBoard.h"
+#include "jobs/LiveServerTable.h"
 
 #include <functional>
 #include <map>
@@ -32,7 +32,8 @@
   void reset();
   /// The suspected task that the server starts now, if any. May: whether other
   /// reasons speak against the task's start there.
-  std::optional<TaskStart> plan(const JobBook &Book, const ServerBoard &Board,
+  std::optional<TaskStart> plan(const JobBook &Book,
+                                const LiveServerTable &Board,
                                 const ServerRecord &Server, TimePoint Now,
                                 const MayRun &May);
   /// Forgets tasks that no longer wait.
@@ -47,7 +48,7 @@
 
   /// Whether nothing else may start on the server: a suspected run there is
   /// not proved yet, or one is about to start.
-  bool isClosed(const JobBook &Book, const ServerBoard &Board,
+  bool isClosed(const JobBook &Book, const LiveServerTable &Board,
                 const ServerRecord &Server, TimePoint Now) const;
 
 private:
@@ -60,7 +61,7 @@
   /// A server that reports, and what a start there depends on.
   struct Reporter {
     const JobBook &Book_;
-    const ServerBoard &Board_;
+    const LiveServerTable &Board_;
     const ServerRecord &Server_;
     TimePoint Now_;
     const MayRun &May_;
@@ -68,13 +69,14 @@
   std::optional<TaskStart> planReserved(const Reporter &From);
   std::optional<TaskStart> findStart(const Reporter &From,
                                      const TaskKey &Key) const;
-  void refresh(const JobBook &Book, const ServerBoard &Board, TimePoint Now);
-  void listStable(const JobBook &Book, const ServerBoard &Board);
+  void refresh(const JobBook &Book, const LiveServerTable &Board,
+               TimePoint Now);
+  void listStable(const JobBook &Book, const LiveServerTable &Board);
   bool isReservedElsewhere(const TaskKey &Task, const std::string &Id) const;
   bool isSuitable(const TaskKey &Task, const CrashRecords &Crashes,
-                  const ServerBoard &Board, const ServerRecord &Server,
+                  const LiveServerTable &Board, const ServerRecord &Server,
                   TimePoint Now) const;
-  static bool isQuiet(const ServerBoard &Board, const ServerRecord &Server);
+  static bool isQuiet(const LiveServerTable &Board, const ServerRecord &Server);
 
   // As of the last refresh, at RefreshedAt_.
   std::vector<TaskKey> Waiting_; ///< To be isolated; the most urgent first.
--- a/src/jobs/JobBookCrashes.cpp
+++ b/src/jobs/JobBookCrashes.cpp
@@ -134,7 +134,7 @@
 /// The task's servers crashed for a reason that is over now, and are stable.
 void JobBook::explainCrashes(const TaskRecord &Task) {
   for (const CrashRecord &Crash : Task.Crashes_) {
-    Incarnations_.explainCrash(Crash.Address_, Crash.Server_);
+    Incarnations_.attributeCrash(Crash.Address_, Crash.Server_);
     const auto Server = Servers_.find(findServerAt(Crash.Address_));
     if (Server != Servers_.end())
       Server->second.IsAfterCrash_ = Incarnations_.isAfterCrash(Crash.Address_);
--- a/src/jobs/JobBookServers.cpp
+++ b/src/jobs/JobBookServers.cpp
@@ -12,7 +12,8 @@
   const bool IsTaken = !Occupant.empty() && Occupant != Facts.Id_;
   if (IsTaken || isOver(Facts.Id_))
     return {Verdict::Refused, {}};
-  const std::string Before = Incarnations_.begin(Facts.Id_, Facts.Address_);
+  const std::string Before =
+      Incarnations_.registerIncarnation(Facts.Id_, Facts.Address_);
   const auto [Place, IsNew] = Servers_.try_emplace(Facts.Id_);
   if (!IsNew)
     IdByAddress_.erase(Place->second.Facts_.Address_);
@@ -38,7 +39,7 @@
 
 CommandResult JobBook::apply(const RemoveServer &Value) {
   if (Value.IsOver_)
-    Incarnations_.end(Value.Id_);
+    Incarnations_.endIncarnation(Value.Id_);
   const auto Found = Servers_.find(Value.Id_);
   if (Found == Servers_.end())
     return {Verdict::AlreadyDone, {}};
@@ -56,7 +57,7 @@
   IdByAddress_.erase(Facts.Address_);
   Servers_.erase(Found);
   if (Value.Crash_.IsCrash_) {
-    Incarnations_.noteCrash(Facts.Address_);
+    Incarnations_.recordCrash(Facts.Address_);
     noteCrash(Facts, Value.Crash_, Placed);
   }
   return {};
--- a/src/jobs/JobLeader.cpp
+++ b/src/jobs/JobLeader.cpp
@@ -14,25 +14,25 @@
 static constexpr Duration TickInterval = 50ms;
 /// How often, and of how many of the first waiting steps, it is said why they
 /// wait.
-static constexpr Duration ExplanationInterval = 1s;
-static constexpr std::size_t MostExplained = 8;
+static constexpr Duration WaitLogInterval = 1s;
+static constexpr std::size_t MaxLoggedWaits = 8;
 /// How often what is kept of steps and failures that are over is forgotten.
 static constexpr Duration PruneInterval = 1s;
 /// A server that was told to come again does so within some hundred ms.
-static constexpr Duration BehindFor = 2s;
+static constexpr Duration OverloadPeriod = 2s;
 /// Clocks that are kept in step are slewed by less.
-static constexpr Duration NoticedJump = 500ms;
+static constexpr Duration MinClockJump = 500ms;
 static constexpr std::uint64_t Percent = 100;
 
 bool JobLeader::Impl::isLeading() const {
   return Watch_.isLeading() && Group_.findLeaseTerm(Time_.now()) == Term_;
 }
 
-Duration JobLeader::Impl::getLongestLease() const {
+Duration JobLeader::Impl::getMaxLease() const {
   return Settings_.Lease_ * (Percent + Settings_.ClockDriftPercent_) / Percent;
 }
 
-Error JobLeader::Impl::makeNotLeading() const {
+Error JobLeader::Impl::makeNotLeaderError() const {
   return Error::make(ErrorCode::NotLeader, Group_.getStatus().LeaderName_);
 }
 
@@ -50,29 +50,29 @@
   Conflicts_.reset();
   Leaving_.clear();
   IsProving_ = false;
-  NextProof_ = Now;
-  IsAsking_ = false;
+  NextProofCheck_ = Now;
+  IsAdvicePending_ = false;
   Waves_.reset();
   LeadingSince_ = Now;
-  Open_.clear();
-  Lapsed_.clear();
+  PendingReports_.clear();
+  ExpiryChecks_.clear();
   Unheard_.clear();
-  NextLapseRound_ = Now;
+  NextExpiryRound_ = Now;
   IsListing_ = false;
   IsOrdering_ = false;
-  NextQuestion_ = Now;
-  NextPrune_ = Now;
-  EndedSince_.clear();
+  NextAdviceRequest_ = Now;
+  NextPlannerPrune_ = Now;
+  EndedAt_.clear();
   AcceptedAt_.clear();
-  Started_.clear();
-  Explained_.clear();
+  StartedJobs_.clear();
+  LoggedWaitReasons_.clear();
   Machine_.read([&](const JobBook &Book) {
     // An earlier leader's last answer left before this one was elected.
-    Board_.reset(Book, Now, getLongestLease());
+    LiveServers_.reset(Book, Now, getMaxLease());
     PendingStops_.reset(Book, Now);
     for (const auto &[Id, Job] : Book.jobs())
       if (isEnded(Job.State_))
-        EndedSince_[Id] = Now;
+        EndedAt_[Id] = Now;
     return 0;
   });
   Event Line;
@@ -109,25 +109,27 @@
       });
 }
 
-void JobLeader::Impl::noteBehind() { BehindUntil_ = Time_.now() + BehindFor; }
+void JobLeader::Impl::markOverloaded() {
+  OverloadedUntil_ = Time_.now() + OverloadPeriod;
+}
 
 void JobLeader::Impl::tick() {
   const TimePoint Now = Time_.now();
-  if (Now - std::exchange(LastTick_, Now) > TickInterval + BehindAfter)
-    noteBehind();
+  if (Now - std::exchange(LastTick_, Now) > TickInterval + OverloadDelay)
+    markOverloaded();
   Watch_.poll();
-  watchClock();
-  keepLoads();
-  answerOverdue();
+  detectClockJump();
+  updateLoads();
+  answerOverdueReports();
   if (isLeading()) {
-    removeLapsed();
-    noteProvedRuns();
-    explainWaits();
-    openDue();
+    checkExpiredLeases();
+    storeProvedRuns();
+    logWaitReasons();
+    openDueOccurrences();
     startGang();
-    askAdvice();
-    keepWaves();
-    forgetEnded();
+    requestAdvice();
+    advanceWaves();
+    pruneEndedJobs();
   }
   Strand_.postAfter(TickInterval, [Weak = weak_from_this()] {
     if (const std::shared_ptr<Impl> Self = Weak.lock())
@@ -136,12 +138,12 @@
 }
 
 /// Also where another leads: reports that it decides teach this member, too.
-void JobLeader::Impl::keepLoads() {
+void JobLeader::Impl::updateLoads() {
   const TimePoint Now = Time_.now();
   Loads_.survey(Now);
-  if (Now < NextForgetting_)
+  if (Now < NextLoadPrune_)
     return;
-  NextForgetting_ = Now + PruneInterval;
+  NextLoadPrune_ = Now + PruneInterval;
   Machine_.read([this](const JobBook &Book) {
     Loads_.prune(Book);
     return 0;
@@ -149,12 +151,12 @@
 }
 
 /// Due times follow the wall clock, which may be set at any moment.
-void JobLeader::Impl::watchClock() {
+void JobLeader::Impl::detectClockJump() {
   const Duration Offset =
       Duration(Time_.wallNow()) - Duration(Time_.now().time_since_epoch());
   const Duration Jump = WallOffset_ ? Offset - *WallOffset_ : Duration(0);
   WallOffset_ = Offset;
-  if (std::chrono::abs(Jump) < NoticedJump)
+  if (std::chrono::abs(Jump) < MinClockJump)
     return;
   Event Line;
   Line.Kind_ = EventKind::ClockJumped;
@@ -165,21 +167,22 @@
 }
 
 /// Says of the first steps that wait why they do, once for each reason.
-void JobLeader::Impl::explainWaits() {
+void JobLeader::Impl::logWaitReasons() {
   const TimePoint Now = Time_.now();
-  if (Now < NextExplanation_)
+  if (Now < NextWaitLog_)
     return;
-  NextExplanation_ = Now + ExplanationInterval;
+  NextWaitLog_ = Now + WaitLogInterval;
   Machine_.read([&](const JobBook &Book) {
-    std::erase_if(Explained_, [&Book](const auto &Each) {
+    std::erase_if(LoggedWaitReasons_, [&Book](const auto &Each) {
       return Book.readySteps().count(Each.first) == 0;
     });
     std::size_t Looked = 0;
     for (const ReadyStep &Step : Book.readySteps()) {
-      if (++Looked > MostExplained)
+      if (++Looked > MaxLoggedWaits)
         break;
-      std::string Reason = Dispatcher_.explainWait(Book, Board_, Step, Now);
-      const auto [Place, IsNew] = Explained_.try_emplace(Step);
+      std::string Reason =
+          Dispatcher_.explainWait(Book, LiveServers_, Step, Now);
+      const auto [Place, IsNew] = LoggedWaitReasons_.try_emplace(Step);
       // A step that came just now mostly starts with the next report.
       if (IsNew || Place->second == Reason)
         continue;
@@ -209,48 +212,48 @@
   const bool IsOver = How != Departure::Silent;
   if (IsOver)
     Leaving_.insert(Id);
-  if (ServerLive *Live = Board_.find(Id))
+  if (LiveServer *Live = LiveServers_.find(Id))
     Live->IsRemoving_ = true;
   Event Line;
   Line.Kind_ = EventKind::ServerGone;
   Line.Server_ = Id;
   Line.Reason_ = getReason(How);
   Line.Term_ = Term_;
-  if (const ServerLive *Live = Board_.find(Id))
+  if (const LiveServer *Live = LiveServers_.find(Id))
     Line.AgeMs_ = std::chrono::duration_cast<std::chrono::milliseconds>(
                       Time_.now() - Live->LastHeard_)
                       .count();
-  const std::vector<LostRun> Lost = listLost(Id);
+  const std::vector<LostRun> Lost = listLostRuns(Id);
   Line.Count_ = Lost.size();
   Log_.write(Line);
-  logLost(Id, Lost);
-  Meter_.add(Counted::ServersGone, 1);
-  Meter_.add(Counted::TasksLapsed, Lost.size());
+  logLostRuns(Id, Lost);
+  Meter_.add(JobCounter::ServersGone, 1);
+  Meter_.add(JobCounter::TasksLapsed, Lost.size());
   CrashEvidence Crash;
   if (How == Departure::Replaced || How == Departure::Silent)
-    Crash = judgeCrash(Id, How, Lost);
-  const ServerLive *Known = Board_.find(Id);
+    Crash = assessCrash(Id, How, Lost);
+  const LiveServer *Known = LiveServers_.find(Id);
   const TimePoint LastHeard = Known ? Known->LastHeard_ : Time_.now();
-  propose(RemoveServer{Id, Board_.listSaved(Id), IsOver, Crash},
+  propose(RemoveServer{Id, LiveServers_.listCheckpoints(Id), IsOver, Crash},
           [this, Id, Lost, LastHeard, IsCrash = Crash.IsCrash_,
            Done = std::move(Done)](Outcome<CommandResult> Result) {
             Leaving_.erase(Id);
             // Unknown or refused: asked again at the next tick.
-            if (ServerLive *Live = Board_.find(Id))
+            if (LiveServer *Live = LiveServers_.find(Id))
               Live->IsRemoving_ = false;
             if (Result)
-              Board_.remove(Id);
+              LiveServers_.remove(Id);
             if (Result)
               PendingStops_.forget(Id);
             if (Result && IsCrash)
-              noteCrash(Id, LastHeard, Lost);
+              handleCrash(Id, LastHeard, Lost);
             if (Result)
-              noteFailed(Result.value());
+              handleFailedJobs(Result.value());
             Done(std::move(Result));
           });
 }
 
-void JobLeader::Impl::openDue() {
+void JobLeader::Impl::openDueOccurrences() {
   const auto Wall = static_cast<std::uint64_t>(
       (Time_.wallNow() +
        std::chrono::duration_cast<WallTime>(Settings_.EarliestStart_))
@@ -273,12 +276,12 @@
 
 void JobLeader::Impl::startGang() {
   std::vector<TaskStart> Starts = Machine_.read([&](const JobBook &Book) {
-    if (Time_.now() >= NextPrune_) {
-      NextPrune_ = Time_.now() + PruneInterval;
+    if (Time_.now() >= NextPlannerPrune_) {
+      NextPlannerPrune_ = Time_.now() + PruneInterval;
       Dispatcher_.prune(Book);
     }
-    Dispatcher_.survey(Book, Board_, Time_.now());
-    return Dispatcher_.planGang(Book, Board_, Time_.now());
+    Dispatcher_.survey(Book, LiveServers_, Time_.now());
+    return Dispatcher_.planGang(Book, LiveServers_, Time_.now());
   });
   if (Starts.empty())
     return;
@@ -287,16 +290,16 @@
   });
 }
 
-void JobLeader::Impl::forgetEnded() {
+void JobLeader::Impl::pruneEndedJobs() {
   const TimePoint Now = Time_.now();
   ForgetJobs Old;
-  for (const auto &[Id, Since] : EndedSince_)
+  for (const auto &[Id, Since] : EndedAt_)
     if (Now - Since > Settings_.Retention_)
       Old.Ids_.push_back(Id);
   if (Old.Ids_.empty())
     return;
   for (const std::string &Id : Old.Ids_)
-    EndedSince_.erase(Id);
+    EndedAt_.erase(Id);
   propose(Old, [](const Outcome<CommandResult> &) {});
 }
 
@@ -316,12 +319,12 @@
 void JobLeader::report(ServerReport Report, Done<ServerOrders> Reply) {
   Impl_->report(std::move(Report), std::move(Reply));
 }
-void JobLeader::noteLateEnds(const ServerReport &Report,
-                             Done<ServerOrders> Reply) {
-  Impl_->noteLateEnds(Report, Reply);
+void JobLeader::recordLateEnds(const ServerReport &Report,
+                               Done<ServerOrders> Reply) {
+  Impl_->recordLateEnds(Report, Reply);
 }
 void JobLeader::observe(const ServerReport &Report) { Impl_->observe(Report); }
-void JobLeader::noteBehind() { Impl_->noteBehind(); }
+void JobLeader::markOverloaded() { Impl_->markOverloaded(); }
 void JobLeader::leave(const std::string &ServerId, Done<void> Reply) {
   Impl_->leave(ServerId, std::move(Reply));
 }
--- a/src/jobs/JobLeaderAdvice.cpp
+++ b/src/jobs/JobLeaderAdvice.cpp
@@ -10,23 +10,23 @@
 /// Beyond the time that an answer takes by the queue's own figures.
 static constexpr Duration AnswerSlack = 1s;
 
-void JobLeader::Impl::askAdvice() {
+void JobLeader::Impl::requestAdvice() {
   const TimePoint Now = Time_.now();
-  if (!Advisor_.isThere() || IsAsking_ || Now < NextQuestion_)
+  if (!Advisor_.isThere() || IsAdvicePending_ || Now < NextAdviceRequest_)
     return;
   const std::optional<AdviceQuestion> Question =
       Machine_.read([&](const JobBook &Book) {
         const auto IsUsable = [&](const std::string &Id) {
           const ServerRecord *Server = Book.findServer(Id);
-          return Server && Board_.takesStarts(Book, *Server) &&
-                 Health_.getFitness(Id, Now) == Fitness::Sound;
+          return Server && LiveServers_.acceptsStarts(Book, *Server) &&
+                 Health_.getHealthState(Id, Now) == HealthState::Healthy;
         };
         Advice_.prune(Book);
         return Advice_.findQuestion(Book, IsUsable, Now);
       });
   if (!Question)
     return;
-  IsAsking_ = true;
+  IsAdvicePending_ = true;
   const Duration Limit =
       AnswerSlack + std::chrono::milliseconds(Question->Times_.DecideMs_ +
                                               Question->Times_.EachMs_ *
@@ -37,14 +37,14 @@
                  Strand.post([Weak, Term, Question, Answer] {
                    const std::shared_ptr<Impl> Self = Weak.lock();
                    if (Self && Self->Term_ == Term)
-                     Self->noteAdvice(Question, Answer);
+                     Self->handleAdvice(Question, Answer);
                  });
                });
 }
 
-void JobLeader::Impl::noteAdvice(const AdviceQuestion &Question,
-                                 const Outcome<Advice> &Answer) {
-  IsAsking_ = false;
+void JobLeader::Impl::handleAdvice(const AdviceQuestion &Question,
+                                   const Outcome<Advice> &Answer) {
+  IsAdvicePending_ = false;
   Event Line;
   Line.Kind_ = EventKind::AdviceTaken;
   Line.Job_ = Question.Step_.Job_;
@@ -55,11 +55,11 @@
     Advice_.note(Question, Answer.value(), Time_.now());
     Line.Outcome_ = std::to_string(Answer.value().Good_.size()) + " may run it";
   } else {
-    NextQuestion_ = Time_.now() + ErrorPause;
+    NextAdviceRequest_ = Time_.now() + ErrorPause;
     Line.Outcome_ = "none";
     Line.Reason_ = Answer.error().Message_;
   }
   Log_.write(Line);
   // The next question at once: every step of such a queue waits for one.
-  askAdvice();
+  requestAdvice();
 }
--- a/src/jobs/JobLeaderCalls.cpp
+++ b/src/jobs/JobLeaderCalls.cpp
@@ -9,7 +9,7 @@
 
 void JobLeader::Impl::call(JobCall Call, Done<JobCallReply> Reply) {
   if (!isLeading())
-    return Reply(makeNotLeading());
+    return Reply(makeNotLeaderError());
   switch (Call.Kind_) {
   case CallKind::Submit:
     return submit(std::move(Call), Reply);
@@ -59,7 +59,7 @@
     Line.Job_ = Call.Spec_.Id_;
     Line.Reason_ = Result.Reason_;
     Log_.write(Line);
-    Meter_.add(Counted::JobsRefused, 1);
+    Meter_.add(JobCounter::JobsRefused, 1);
     return Reply(Result);
   }
   const Outcome<void> Checked = checkJobSpec(Call.Spec_);
@@ -80,10 +80,10 @@
             const Verdict Taken = Applied.value().Verdict_;
             if (Taken == Verdict::NotFound)
               Late.Outcome_ = CallOutcome::NoQueue;
-            Meter_.add(Taken == Verdict::NotFound ? Counted::JobsRefused
-                                                  : Counted::JobsAccepted,
+            Meter_.add(Taken == Verdict::NotFound ? JobCounter::JobsRefused
+                                                  : JobCounter::JobsAccepted,
                        Taken == Verdict::AlreadyDone ? 0 : 1);
-            Meter_.record(Timed::Acknowledge, Time_.now() - Begin);
+            Meter_.record(JobTimer::Acknowledge, Time_.now() - Begin);
             if (Taken == Verdict::Done)
               AcceptedAt_.emplace(Id, Begin);
             Event Line;
@@ -138,9 +138,9 @@
         JobCallReply Late;
         if (Applied.value().Verdict_ == Verdict::NotFound)
           Late.Outcome_ = CallOutcome::NoJob;
-        else if (EndedSince_.try_emplace(Id, Time_.now()).second) {
-          noteEnded(Id, Counted::JobsCancelled);
-          stopRunsOf(Id);
+        else if (EndedAt_.try_emplace(Id, Time_.now()).second) {
+          meterJobEnd(Id, JobCounter::JobsCancelled);
+          requestStops(Id);
         }
         Event Line;
         Line.Kind_ = EventKind::JobCancelled;
--- a/src/jobs/JobLeaderCrashes.cpp
+++ b/src/jobs/JobLeaderCrashes.cpp
@@ -7,7 +7,7 @@
 using namespace std::chrono_literals;
 
 /// How often it is looked which isolated runs have proved to be harmless.
-static constexpr Duration ProofInterval = 250ms;
+static constexpr Duration ProofCheckInterval = 250ms;
 
 static std::uint64_t toMs(Duration Value) {
   return static_cast<std::uint64_t>(
@@ -15,33 +15,33 @@
 }
 
 std::vector<JobLeader::Impl::LostRun>
-JobLeader::Impl::listLost(const std::string &Server) const {
-  const ServerLive *Live = Board_.find(Server);
+JobLeader::Impl::listLostRuns(const std::string &Server) const {
+  const LiveServer *Live = LiveServers_.find(Server);
   return Machine_.read([&](const JobBook &Book) {
     std::vector<LostRun> Lost;
     if (const ServerRecord *Record = Book.findServer(Server))
       for (const auto &[Task, Run] : Record->Placed_)
         Lost.push_back(
-            {Task, Run, Live ? Live->getSeenFor(Task, Run) : Duration(0)});
+            {Task, Run, Live ? Live->getObservedTime(Task, Run) : Duration(0)});
     return Lost;
   });
 }
 
 CrashEvidence
-JobLeader::Impl::judgeCrash(const std::string &Server, Departure How,
-                            const std::vector<LostRun> &Lost) const {
+JobLeader::Impl::assessCrash(const std::string &Server, Departure How,
+                             const std::vector<LostRun> &Lost) const {
   CrashEvidence Crash;
   const TimePoint Now = Time_.now();
-  const ServerLive *Own = Board_.find(Server);
+  const LiveServer *Own = LiveServers_.find(Server);
   // Who said that it would leave may do so without a word.
   if (!Own || Own->IsDraining_ || Own->WasEmptying_)
     return Crash;
   Crash.IsCrash_ = true;
   Crash.IsConfirmed_ = How == Departure::Replaced;
-  Crash.IsAmongMany_ = Crashes_.isAmongMany(Board_, Server, Now);
+  Crash.IsAmongMany_ = Crashes_.isAmongMany(LiveServers_, Server, Now);
   Crash.IsStable_ = Machine_.read([&](const JobBook &Book) {
     const ServerRecord *Record = Book.findServer(Server);
-    return Record && Board_.isStable(*Record);
+    return Record && LiveServers_.isStable(*Record);
   });
   for (const LostRun &Each : Lost)
     if (Each.Seen_ > Duration(0))
@@ -50,8 +50,9 @@
 }
 
 /// Logs which tasks the book suspects of the crash.
-void JobLeader::Impl::noteCrash(const std::string &Server, TimePoint LastHeard,
-                                const std::vector<LostRun> &Lost) {
+void JobLeader::Impl::handleCrash(const std::string &Server,
+                                  TimePoint LastHeard,
+                                  const std::vector<LostRun> &Lost) {
   std::vector<Event> Lines;
   Machine_.read([&](const JobBook &Book) {
     for (const LostRun &Each : Lost) {
@@ -78,26 +79,26 @@
   });
   for (const Event &Line : Lines)
     Log_.write(Line);
-  Meter_.add(Counted::CrashesSuspected, Lines.empty() ? 0 : 1);
-  Meter_.add(Counted::TasksSuspected, Lines.size());
+  Meter_.add(JobCounter::CrashesSuspected, Lines.empty() ? 0 : 1);
+  Meter_.add(JobCounter::TasksSuspected, Lines.size());
   Crashes_.note(LastHeard);
 }
 
 /// Stores which suspected runs have proved to be harmless, as another leader
 /// does not see how long they have run.
-void JobLeader::Impl::noteProvedRuns() {
+void JobLeader::Impl::storeProvedRuns() {
   const TimePoint Now = Time_.now();
-  if (IsProving_ || Now < NextProof_)
+  if (IsProving_ || Now < NextProofCheck_)
     return;
-  NextProof_ = Now + ProofInterval;
+  NextProofCheck_ = Now + ProofCheckInterval;
   NoteProved Command;
   Machine_.read([&](const JobBook &Book) {
     for (const auto &[Key, Servers] : Book.crashSuspects()) {
       const TaskRecord &Task = *Book.findTask(Key);
       for (const Placement &Each : Task.Placements_) {
-        const ServerLive *Live = Board_.find(Each.Server_);
+        const LiveServer *Live = LiveServers_.find(Each.Server_);
         const std::uint64_t Seen =
-            Live ? toMs(Live->getSeenFor(Key, Each.Run_)) : 0;
+            Live ? toMs(Live->getObservedTime(Key, Each.Run_)) : 0;
         const bool IsHarmless = Seen >= HarmlessAfterMs;
         const bool IsProved = Seen >= getIsolationMs(Task.Crashes_) &&
                               Task.ProvedRun_ != Each.Run_;
@@ -114,13 +115,13 @@
           [this](const Outcome<CommandResult> &) { IsProving_ = false; });
 }
 
-void JobLeader::Impl::noteFailed(const CommandResult &Result) {
+void JobLeader::Impl::handleFailedJobs(const CommandResult &Result) {
   for (const std::string &Id : Result.Failed_)
-    noteJobEnd(Id);
+    handleJobEnd(Id);
 }
 
 /// Logs and counts the end of a job once; for other jobs it does nothing.
-void JobLeader::Impl::noteJobEnd(const std::string &Id) {
+void JobLeader::Impl::handleJobEnd(const std::string &Id) {
   Event Line;
   Line.Kind_ = EventKind::JobEnded;
   Line.Job_ = Id;
@@ -133,15 +134,15 @@
     Cause = Job->Cause_;
     return Job->State_;
   });
-  if (!isEnded(State) || !EndedSince_.try_emplace(Id, Time_.now()).second)
+  if (!isEnded(State) || !EndedAt_.try_emplace(Id, Time_.now()).second)
     return;
-  stopRunsOf(Id);
+  requestStops(Id);
   Line.Outcome_ = State == JobState::Completed ? "completed"
                   : State == JobState::Failed  ? "failed"
                                                : "cancelled";
   if (Cause == FailureCause::Crashes)
-    Meter_.add(Counted::JobsGivenUp, 1);
+    Meter_.add(JobCounter::JobsGivenUp, 1);
   Log_.write(Line);
-  noteEnded(Id, State == JobState::Completed ? Counted::JobsCompleted
-                                             : Counted::JobsFailed);
+  meterJobEnd(Id, State == JobState::Completed ? JobCounter::JobsCompleted
+                                               : JobCounter::JobsFailed);
 }
--- /dev/null
+++ b/src/jobs/JobLeaderExpiry.cpp
@@ -0,0 +1,95 @@
+#include "jobs/JobLeaderImpl.h"
+
+#include <algorithm>
+
+using namespace tulipweir;
+using namespace tulipweir::jobs;
+using namespace std::chrono_literals;
+
+/// How soon the others are asked again for a server whose lease ran out: two to
+/// three of its reports.
+static constexpr Duration RecheckDelay = 1s;
+/// Longest wait for the relays' answers.
+static constexpr Duration MaxExpiryRoundTime = 1500ms;
+/// Least time between two rounds while the leader is behind.
+static constexpr Duration ExpiryRoundInterval = 250ms;
+
+/// Asks the relays for servers whose leases have expired. While the leader is
+/// behind they are asked twice, and the first time before the lease expires.
+void JobLeader::Impl::checkExpiredLeases() {
+  const TimePoint Now = Time_.now();
+  const bool IsOverloaded = Now < OverloadedUntil_;
+  endOverdueRounds();
+  // More rounds would only add to the work of a leader that is behind.
+  if (IsOverloaded && Now < NextExpiryRound_)
+    return;
+  std::erase_if(ExpiryChecks_, [Now](const auto &Entry) {
+    return !Entry.second.IsOpen_ && Entry.second.NextAsk_ <= Now;
+  });
+  std::erase_if(Unheard_, [this, Now](const std::string &Id) {
+    const LiveServer *Live = LiveServers_.find(Id);
+    return !Live || Live->LeaseEnd_ > Now + RecheckDelay;
+  });
+  const TimePoint ExpiredBy = IsOverloaded ? Now + RecheckDelay : Now;
+  std::vector<std::string> NewlyExpired;
+  const std::uint64_t Round = LastExpiryRound_ + 1;
+  for (const std::string &Id : LiveServers_.listExpired(ExpiredBy))
+    if (ExpiryChecks_.try_emplace(Id, ExpiryCheck{Round, true, Now, {}}).second)
+      NewlyExpired.push_back(Id);
+  if (NewlyExpired.empty())
+    return;
+  LastExpiryRound_ = Round;
+  NextExpiryRound_ = Now + ExpiryRoundInterval;
+  Relays_.findHeard(
+      NewlyExpired, [Weak = weak_from_this(), NewlyExpired, Round,
+                     Term = Term_](const ReportRelays::Heard &Heard) {
+        const std::shared_ptr<Impl> Self = Weak.lock();
+        if (!Self || !Self->isLeading() || Self->Term_ != Term)
+          return;
+        for (const std::string &Id : NewlyExpired)
+          Self->finishExpiryCheck(Id, Round, Heard.count(Id) != 0);
+      });
+}
+
+/// Nothing runs on a server without a lease, so a relay that does not answer is
+/// not waited for: it may hold up all servers of a round.
+void JobLeader::Impl::endOverdueRounds() {
+  const TimePoint Now = Time_.now();
+  std::vector<std::pair<std::string, std::uint64_t>> Overdue;
+  for (const auto &[Id, Check] : ExpiryChecks_)
+    if (Check.IsOpen_ && Now - Check.AskedAt_ >= MaxExpiryRoundTime)
+      Overdue.emplace_back(Id, Check.Round_);
+  for (const auto &[Id, Round] : Overdue)
+    finishExpiryCheck(Id, Round, false);
+}
+
+/// Keeps a server that a relay has heard, although its lease expired: the next
+/// report tells which runs were done, and these must not start elsewhere.
+/// While the leader is behind a relay may not have read that report yet, so the
+/// relays are asked twice.
+void JobLeader::Impl::finishExpiryCheck(const std::string &Id,
+                                        std::uint64_t Round, bool IsHeard) {
+  const auto It = ExpiryChecks_.find(Id);
+  if (It == ExpiryChecks_.end() || !It->second.IsOpen_ ||
+      It->second.Round_ != Round)
+    return;
+  const TimePoint Now = Time_.now();
+  ExpiryCheck &Check = It->second;
+  Check.IsOpen_ = false;
+  Check.NextAsk_ = Now + RecheckDelay;
+  const LiveServer *Live = LiveServers_.find(Id);
+  const bool WasUnheard = Unheard_.erase(Id) != 0;
+  if (!Live || Live->IsRemoving_ || Live->LeaseEnd_ > Now + RecheckDelay)
+    return;
+  if (IsHeard) {
+    Meter_.add(JobCounter::ExpiredServersKept, Live->LeaseEnd_ <= Now ? 1 : 0);
+    return;
+  }
+  const bool HasLease = Live->LeaseEnd_ > Now;
+  if (HasLease || (Now < OverloadedUntil_ && !WasUnheard)) {
+    Unheard_.insert(Id);
+    Check.NextAsk_ = std::max(Live->LeaseEnd_, Check.AskedAt_ + RecheckDelay);
+    return;
+  }
+  removeServer(Id, Departure::Silent, [](const Outcome<CommandResult> &) {});
+}
--- a/src/jobs/JobLeaderImpl.h
+++ b/src/jobs/JobLeaderImpl.h
@@ -4,9 +4,9 @@
 // is done by the clock (JobLeader.cpp), clients' calls (JobLeaderCalls.cpp),
 // operators' orders (JobLeaderOperators.cpp), servers' reports
 // (JobLeaderReports.cpp), the orders in their answers (JobLeaderOrders.cpp),
-// servers whose leases expire (JobLeaderLapses.cpp),
+// servers whose leases expire (JobLeaderExpiry.cpp),
 // waves of maintenance (JobLeaderWaves.cpp), and what is logged, metered and
-// learned of runs (JobLeaderNotes.cpp).
+// learned of runs (JobLeaderTelemetry.cpp).
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,10 +19,10 @@
 #include "jobs/CrashHistory.h"
 #include "jobs/Dispatcher.h"
 #include "jobs/IncarnationConflicts.h"
+#include "jobs/LiveServerTable.h"
 #include "jobs/PaceGuard.h"
 #include "jobs/PaceSetter.h"
 #include "jobs/PendingStops.h"
-#include "jobs/ServerBoard.h"
 #include "jobs/WaveKeeper.h"
 #include "replication/LeaderWatch.h"
 
@@ -56,10 +56,10 @@
   void start() { tick(); }
   void call(JobCall Call, Done<JobCallReply> Reply);
   void report(ServerReport Report, Done<ServerOrders> Reply);
-  void noteLateEnds(const ServerReport &Report,
-                    const Done<ServerOrders> &Reply);
+  void recordLateEnds(const ServerReport &Report,
+                      const Done<ServerOrders> &Reply);
   void observe(const ServerReport &Report);
-  void noteBehind();
+  void markOverloaded();
   void leave(const std::string &ServerId, Done<void> Reply);
   void putConfiguration(Configuration Value, Done<void> Reply);
   void readConfiguration(const Done<Configuration> &Reply);
@@ -76,23 +76,24 @@
 
 private:
   using ResultCallback = std::function<void(Outcome<CommandResult>)>;
-  static constexpr std::uint64_t NoOpenEnd =
+  static constexpr std::uint64_t NoUncommittedEnd =
       std::numeric_limits<std::uint64_t>::max();
   /// A report on its way to its answer.
-  struct Handling {
+  struct PendingReport {
     ServerReport Report_;
     Done<ServerOrders> Reply_;
     TimePoint ArrivedAt_;
-    TimePoint SentBy_;     ///< The server sent it no later.
-    bool IsNoted_ = false; ///< Its server is stored, and it is the newest.
-    bool IsHeld_ = false;  ///< Something that came of it is to be committed.
+    TimePoint SentBy_;        ///< The server sent it no later.
+    bool IsRecorded_ = false; ///< Its server is stored, and it is the newest.
+    bool AwaitsCommit_ =
+        false; ///< Something that came of it is to be committed.
     bool IsAnswered_ = false;
     /// The number of the first end in it that is still to be committed.
-    std::uint64_t FirstOpenEnd_ = NoOpenEnd;
+    std::uint64_t FirstUncommittedEnd_ = NoUncommittedEnd;
   };
-  using HandlingPtr = std::shared_ptr<Handling>;
+  using PendingReportPtr = std::shared_ptr<PendingReport>;
   /// Whether the relays are asked for a server.
-  struct LapseCheck {
+  struct ExpiryCheck {
     std::uint64_t Round_ = 0;
     bool IsOpen_ = false; ///< Their answer has not come.
     TimePoint AskedAt_{};
@@ -106,85 +107,86 @@
   };
 
   /// How long a server whose clock is slow may count on a lease.
-  Duration getLongestLease() const;
+  Duration getMaxLease() const;
   void beginLeading(std::uint64_t Term);
   void endLeading();
   void tick();
-  void watchClock();
-  void keepLoads();
-  void explainWaits();
-  void removeLapsed();
+  void detectClockJump();
+  void updateLoads();
+  void logWaitReasons();
+  void checkExpiredLeases();
   void endOverdueRounds();
-  void endLapseCheck(const std::string &Id, std::uint64_t Round, bool IsHeard);
-  void openDue();
+  void finishExpiryCheck(const std::string &Id, std::uint64_t Round,
+                         bool IsHeard);
+  void openDueOccurrences();
   void startGang();
-  void forgetEnded();
-  void keepWaves();
-  void listVms();
-  void noteMaintenance(const MaintenanceOrder &Order,
-                       const Outcome<MaintenanceReply> &Reply);
+  void pruneEndedJobs();
+  void advanceWaves();
+  void refreshVms();
+  void handleMaintenanceReply(const MaintenanceOrder &Order,
+                              const Outcome<MaintenanceReply> &Reply);
   void logWave(std::uint64_t Wave, const std::string &Vm,
                const std::string &What, const std::string &Why);
-  void askAdvice();
-  void noteAdvice(const AdviceQuestion &Question,
-                  const Outcome<Advice> &Answer);
+  void requestAdvice();
+  void handleAdvice(const AdviceQuestion &Question,
+                    const Outcome<Advice> &Answer);
   /// What is known of how the server went, with the runs lost with it.
-  CrashEvidence judgeCrash(const std::string &Server, Departure How,
-                           const std::vector<LostRun> &Lost) const;
-  void noteCrash(const std::string &Server, TimePoint LastHeard,
-                 const std::vector<LostRun> &Lost);
-  void noteProvedRuns();
-  void noteFailed(const CommandResult &Result);
-  void noteJobEnd(const std::string &Id);
+  CrashEvidence assessCrash(const std::string &Server, Departure How,
+                            const std::vector<LostRun> &Lost) const;
+  void handleCrash(const std::string &Server, TimePoint LastHeard,
+                   const std::vector<LostRun> &Lost);
+  void storeProvedRuns();
+  void handleFailedJobs(const CommandResult &Result);
+  void handleJobEnd(const std::string &Id);
   /// Makes the reports of the servers with its runs urgent.
-  void stopRunsOf(const std::string &Job);
+  void requestStops(const std::string &Job);
   void removeServer(const std::string &Id, Departure How, ResultCallback Done);
   void propose(const Command &Value, ResultCallback Done);
   /// Says who leads, as far as it is known.
-  Error makeNotLeading() const;
+  Error makeNotLeaderError() const;
 
   bool isDataCentre(const std::string &Name) const;
-  void logEvacuation(const EvacuateDataCentre &Order, bool IsNews);
+  void logEvacuation(const EvacuateDataCentre &Order, bool HasChanged);
 
   void submit(JobCall Call, const Done<JobCallReply> &Reply);
   void show(const JobCall &Call, const Done<JobCallReply> &Reply) const;
   void cancel(const JobCall &Call, const Done<JobCallReply> &Reply);
 
-  void admit(const HandlingPtr &Current);
+  void admit(const PendingReportPtr &Pending);
   bool takeOver(const std::string &Occupant, const ServerFacts &Successor);
-  void addServer(const HandlingPtr &Current);
-  void noteEnds(const HandlingPtr &Current);
-  void startTasks(const HandlingPtr &Current);
-  void answer(const HandlingPtr &Current);
+  void addServer(const PendingReportPtr &Pending);
+  void commitEnds(const PendingReportPtr &Pending);
+  void startTasks(const PendingReportPtr &Pending);
+  void answer(const PendingReportPtr &Pending);
   /// Its answer waits for a commit from now on.
-  void hold(const HandlingPtr &Current);
-  void answerOverdue();
-  void reply(const HandlingPtr &Current, Outcome<ServerOrders> Orders);
-  void noteEnded(const std::string &Job, Counted How);
-  void noteStarted(const TaskStart &Start, bool IsTaken);
+  void deferAnswer(const PendingReportPtr &Pending);
+  void answerOverdueReports();
+  void reply(const PendingReportPtr &Pending, Outcome<ServerOrders> Orders);
+  void meterJobEnd(const std::string &Job, JobCounter How);
+  void meterStart(const TaskStart &Start, bool IsTaken);
   void logEnds(const std::string &Server, const std::vector<TaskEnd> &Ends);
-  std::vector<LostRun> listLost(const std::string &Server) const;
-  void logLost(const std::string &Server, const std::vector<LostRun> &Lost);
-  void noteHealth(const EndTasks &Ended);
-  void noteSick(const std::string &Server, const std::string &Job,
-                const char *Why);
+  std::vector<LostRun> listLostRuns(const std::string &Server) const;
+  void logLostRuns(const std::string &Server, const std::vector<LostRun> &Lost);
+  void updateHealth(const EndTasks &Ended);
+  void recordFailedRun(const std::string &Server, const std::string &Job,
+                       const char *Why);
   void logQuarantine(const std::string &Server, const std::string &Job,
                      const char *Why);
   bool isStalled(const StepSpec &Step, const std::string &Server,
                  const RunProgress &Progress, TimePoint Now) const;
   /// Stopping: what this very answer stops.
-  bool isToEvacuate(const JobBook &Book, const StepSpec &Step,
-                    const ServerLive &Live, const ServerReport &Report,
-                    const RunningTask &Running,
-                    const std::map<TaskKey, std::uint64_t> &Stopping) const;
-  bool maySpare(const JobBook &Book, const StepSpec &Step, const TaskKey &Task,
+  bool shouldEvacuate(const JobBook &Book, const StepSpec &Step,
+                      const LiveServer &Live, const ServerReport &Report,
+                      const RunningTask &Running,
+                      const std::map<TaskKey, std::uint64_t> &Stopping) const;
+  bool canSpare(const JobBook &Book, const StepSpec &Step, const TaskKey &Task,
                 const std::map<TaskKey, std::uint64_t> &Stopping) const;
-  bool isToMove(const StepSpec &Step, const ServerRecord &Server,
-                const RunningTask &Running);
+  bool shouldMove(const StepSpec &Step, const ServerRecord &Server,
+                  const RunningTask &Running);
   /// At: the run's place in the report.
   std::string_view
   findStopReason(const JobBook &Book, const StepSpec &Step,
-                 const ServerRecord &Server, const ServerLive &Live,
+                 const ServerRecord &Server, const LiveServer &Live,
                  const ServerReport &Report, std::size_t At,
                  const std::map<TaskKey, std::uint64_t> &Stopping);
   ServerOrders makeOrders(const ServerReport &Report,
@@ -203,7 +205,7 @@
   replication::LeaderWatch Watch_;
 
   std::uint64_t Term_ = 0;
-  ServerBoard Board_;
+  LiveServerTable LiveServers_;
   TailEffects Effects_;
   ServingLoads Loads_;
   TailLearner Learner_{Effects_, Loads_};
@@ -215,47 +217,47 @@
   PaceSetter Setter_{Time_, Machine_, Log_, Effects_, Learner_, Paces_};
   IncarnationConflicts Conflicts_;
   PendingStops PendingStops_;
-  TimePoint NextProof_{};
-  bool IsProving_ = false; ///< Proved runs are on their way to the log.
-  bool IsAsking_ = false;  ///< A question to the advice service is open.
-  TimePoint NextQuestion_{};
-  TimePoint NextPrune_{};
-  TimePoint NextForgetting_{}; ///< Of the loads of what is no more.
+  TimePoint NextProofCheck_{};
+  bool IsProving_ = false;       ///< Proved runs are on their way to the log.
+  bool IsAdvicePending_ = false; ///< A question to the advice service is open.
+  TimePoint NextAdviceRequest_{};
+  TimePoint NextPlannerPrune_{};
+  TimePoint NextLoadPrune_{}; ///< Of the loads of what is no more.
   WaveKeeper Waves_;
   TimePoint LeadingSince_{};
   TimePoint LastTick_{};
   /// Until then the relays are asked twice before a server is given up.
-  TimePoint BehindUntil_{};
+  TimePoint OverloadedUntil_{};
   bool IsListing_ = false;  ///< A call to the provider of VMs is open,
   bool IsOrdering_ = false; ///< and an order to it.
   /// Reports that wait for commits, the oldest first.
-  std::deque<HandlingPtr> Open_;
+  std::deque<PendingReportPtr> PendingReports_;
   /// Servers whose lease expires, while the relays are asked for them and until
   /// they may be asked again.
-  std::map<std::string, LapseCheck> Lapsed_;
-  std::uint64_t LastLapseRound_ = 0;
-  TimePoint NextLapseRound_{}; ///< When they may be asked while behind.
+  std::map<std::string, ExpiryCheck> ExpiryChecks_;
+  std::uint64_t LastExpiryRound_ = 0;
+  TimePoint NextExpiryRound_{}; ///< When they may be asked while behind.
   /// Servers that no relay had heard when asked while the leader was behind.
   std::set<std::string> Unheard_;
   /// Incarnations whose end is decided, until that is stored.
   std::set<std::string> Leaving_;
-  std::map<std::string, TimePoint> EndedSince_;
+  std::map<std::string, TimePoint> EndedAt_;
   /// Of open jobs that this leader accepted itself.
   std::map<std::string, TimePoint> AcceptedAt_;
-  std::set<std::string> Started_; ///< Of these.
+  std::set<std::string> StartedJobs_; ///< Of these.
   /// What was last said of steps that wait.
-  std::map<ReadyStep, std::string> Explained_;
-  TimePoint NextExplanation_{};
+  std::map<ReadyStep, std::string> LoggedWaitReasons_;
+  TimePoint NextWaitLog_{};
   /// Wall time less steady time, when it was last looked at.
   std::optional<Duration> WallOffset_;
 };
 
 /// A tick that comes so much too late, or a report that takes so long, shows
 /// that there is more work than processor; a commit takes a tenth of it.
-inline constexpr Duration BehindAfter = std::chrono::milliseconds(250);
+inline constexpr Duration OverloadDelay = std::chrono::milliseconds(250);
 
 /// Why a run is stopped that stands still; servers where that happens are sick.
-inline constexpr std::string_view StandsStill = "it makes no progress";
+inline constexpr std::string_view StallReason = "it makes no progress";
 
 } // namespace tulipweir::jobs
 
--- a/src/jobs/JobLeaderOperators.cpp
+++ b/src/jobs/JobLeaderOperators.cpp
@@ -9,7 +9,7 @@
 
 void JobLeader::Impl::putConfiguration(Configuration Value, Done<void> Reply) {
   if (!isLeading())
-    return Reply(makeNotLeading());
+    return Reply(makeNotLeaderError());
   const std::uint64_t Version = Value.Version_;
   propose(PutConfiguration{std::move(Value)},
           [this, Version, Reply](const Outcome<CommandResult> &Applied) {
@@ -28,7 +28,7 @@
 
 void JobLeader::Impl::readConfiguration(const Done<Configuration> &Reply) {
   if (!isLeading())
-    return Reply(makeNotLeading());
+    return Reply(makeNotLeaderError());
   Reply(
       Machine_.read([](const JobBook &Book) { return Book.configuration(); }));
 }
@@ -48,7 +48,7 @@
 void JobLeader::Impl::evacuate(const EvacuateDataCentre &Order,
                                const Done<void> &Reply) {
   if (!isLeading())
-    return Reply(makeNotLeading());
+    return Reply(makeNotLeaderError());
   const bool IsOpen = Machine_.read([&Order](const JobBook &Book) {
     return Book.evacuated().count(Order.DataCentre_) != 0;
   });
@@ -65,15 +65,15 @@
 }
 
 void JobLeader::Impl::logEvacuation(const EvacuateDataCentre &Order,
-                                    bool IsNews) {
-  if (IsNews)
-    Meter_.add(Order.IsBegun_ ? Counted::EvacuationsBegun
-                              : Counted::EvacuationsEnded,
+                                    bool HasChanged) {
+  if (HasChanged)
+    Meter_.add(Order.IsBegun_ ? JobCounter::EvacuationsBegun
+                              : JobCounter::EvacuationsEnded,
                1);
   Event Line;
   Line.Kind_ = EventKind::Evacuation;
   Line.Reason_ = Order.DataCentre_;
-  Line.Outcome_ = !IsNews ? "no change" : Order.IsBegun_ ? "begun" : "over";
+  Line.Outcome_ = !HasChanged ? "no change" : Order.IsBegun_ ? "begun" : "over";
   Line.Count_ = Machine_.read([&Order](const JobBook &Book) {
     std::uint64_t Running = 0;
     for (const auto &[Id, Server] : Book.servers())
--- a/src/jobs/JobLeaderOrders.cpp
+++ b/src/jobs/JobLeaderOrders.cpp
@@ -8,21 +8,21 @@
 
 /// A filling task slower than that is moved, if there is room elsewhere, unless
 /// it is nearly done.
-static constexpr std::uint64_t LeastPaceToStay = 40;
-static constexpr std::uint64_t LeastPercentToStay = 90;
+static constexpr std::uint64_t MinPaceToStay = 40;
+static constexpr std::uint64_t MinPercentToStay = 90;
 /// Without progress for so long a run stands still: usual runs of 0.6 to 3 s
 /// change their percent with every report. Filling ones may have to wait for
 /// idle processors, and those that last for their start.
-static constexpr Duration StallTime = 2s;
-static constexpr Duration StallOfFilling = 6s;
-static constexpr Duration StallOfLasting = 4s;
+static constexpr Duration DefaultStallTime = 2s;
+static constexpr Duration FillingStallTime = 6s;
+static constexpr Duration LongRunningStallTime = 4s;
 /// On a server that leaves, what is so far done may end by itself, as long as
 /// there is more time left than a stop and the way of its report take.
-static constexpr std::uint64_t LeastPercentToEnd = 60;
-static constexpr std::uint64_t EvacuationMs = 1500;
+static constexpr std::uint64_t MinPercentToFinish = 60;
+static constexpr std::uint64_t MinMsToFinish = 1500;
 static constexpr std::uint64_t Percent = 100;
 /// A server that was silent for longer may have lost its tasks: four reports.
-static constexpr Duration HeardLately = 2s;
+static constexpr Duration MaxSilence = 2s;
 
 /// A run that makes no progress although nothing holds it back.
 bool JobLeader::Impl::isStalled(const StepSpec &Step, const std::string &Server,
@@ -30,24 +30,24 @@
                                 TimePoint Now) const {
   const Duration Still = Now - Progress.ChangedAt_;
   // The least of the three, so that most runs cost no more than this.
-  if (Still < StallTime || Step.Gang_)
+  if (Still < DefaultStallTime || Step.Gang_)
     return false;
   if (Step.LongRunning_)
-    return Progress.Percent_ < Percent && Still >= StallOfLasting;
+    return Progress.Percent_ < Percent && Still >= LongRunningStallTime;
   if (!Step.Fills_)
     return true;
-  return Still >= StallOfFilling &&
+  return Still >= FillingStallTime &&
          Paces_.getLeast(Server) == PaceGuard::FullPace;
 }
 
 /// Whether so few others of the step are away that this task may be, too.
-bool JobLeader::Impl::maySpare(
+bool JobLeader::Impl::canSpare(
     const JobBook &Book, const StepSpec &Step, const TaskKey &Task,
     const std::map<TaskKey, std::uint64_t> &Stopping) const {
   const auto IsAtWork = [&](const TaskKey &Other, const TaskRecord &Record) {
     for (const Placement &Each : Record.Placements_) {
-      const ServerLive *Live = Board_.find(Each.Server_);
-      if (!Live || Time_.now() - Live->LastHeard_ > HeardLately)
+      const LiveServer *Live = LiveServers_.find(Each.Server_);
+      if (!Live || Time_.now() - Live->LastHeard_ > MaxSilence)
         continue;
       const RunProgress *Seen = Live->findProgress(Other);
       const bool IsSeen =
@@ -71,46 +71,47 @@
 }
 
 /// Whether the work is better saved now, as its server is about to leave.
-bool JobLeader::Impl::isToEvacuate(
-    const JobBook &Book, const StepSpec &Step, const ServerLive &Live,
+bool JobLeader::Impl::shouldEvacuate(
+    const JobBook &Book, const StepSpec &Step, const LiveServer &Live,
     const ServerReport &Report, const RunningTask &Running,
     const std::map<TaskKey, std::uint64_t> &Stopping) const {
   if (Step.Gang_ || (!Report.IsDraining_ && !Live.IsEmptying_))
     return false;
   if (!Report.IsDraining_) {
     if (!Step.LongRunning_)
-      return Step.Checkpointing_ && Running.Percent_ < LeastPercentToEnd;
+      return Step.Checkpointing_ && Running.Percent_ < MinPercentToFinish;
     const auto Told = Live.StopsSent_.find(Running.Task_);
     const bool IsTold =
         Told != Live.StopsSent_.end() && Told->second == Running.Run_;
-    return IsTold || maySpare(Book, Step, Running.Task_, Stopping);
+    return IsTold || canSpare(Book, Step, Running.Task_, Stopping);
   }
   if (Step.LongRunning_)
     return true;
-  const bool MayEndInTime = Running.Percent_ >= LeastPercentToEnd &&
-                            Report.RemainingMs_ > EvacuationMs;
+  const bool MayEndInTime = Running.Percent_ >= MinPercentToFinish &&
+                            Report.RemainingMs_ > MinMsToFinish;
   return Step.Checkpointing_ && !MayEndInTime;
 }
 
 /// Whether a task that hardly works, as it would disturb, can go on elsewhere.
 /// A stop costs it nothing, for it makes a checkpoint.
-bool JobLeader::Impl::isToMove(const StepSpec &Step, const ServerRecord &Server,
-                               const RunningTask &Running) {
+bool JobLeader::Impl::shouldMove(const StepSpec &Step,
+                                 const ServerRecord &Server,
+                                 const RunningTask &Running) {
   const bool IsSlow =
       Step.Fills_ && Step.Checkpointing_ &&
-      Running.Percent_ < LeastPercentToStay &&
-      Paces_.getPace(Server.Facts_.Id_, Step.Image_) < LeastPaceToStay;
+      Running.Percent_ < MinPercentToStay &&
+      Paces_.getPace(Server.Facts_.Id_, Step.Image_) < MinPaceToStay;
   if (!IsSlow || !Dispatcher_.takeSafeRoom(Step))
     return false;
-  Meter_.add(Counted::TasksMoved, 1);
+  Meter_.add(JobCounter::TasksMoved, 1);
   return true;
 }
 
 /// The step of a run that is placed on the server and shall go on there;
 /// nullptr for any other run.
-static const StepSpec *findWanted(const JobBook &Book,
-                                  const std::string &Server,
-                                  const TaskKey &Task, std::uint64_t Run) {
+static const StepSpec *findWantedStep(const JobBook &Book,
+                                      const std::string &Server,
+                                      const TaskKey &Task, std::uint64_t Run) {
   const JobRecord *Job = Book.findJob(Task.Job_);
   if (!Job || isEnded(Job->State_))
     return nullptr;
@@ -128,16 +129,16 @@
 /// Why the run, which is wanted where it is, is better stopped; empty if not.
 std::string_view JobLeader::Impl::findStopReason(
     const JobBook &Book, const StepSpec &Step, const ServerRecord &Server,
-    const ServerLive &Live, const ServerReport &Report, std::size_t At,
+    const LiveServer &Live, const ServerReport &Report, std::size_t At,
     const std::map<TaskKey, std::uint64_t> &Stopping) {
   const RunningTask &Running = Report.Running_[At];
   const bool IsSeen = At < Live.Progress_.size();
   if (IsSeen &&
       isStalled(Step, Report.Facts_.Id_, Live.Progress_[At], Time_.now()))
-    return StandsStill;
-  if (isToEvacuate(Book, Step, Live, Report, Running, Stopping))
+    return StallReason;
+  if (shouldEvacuate(Book, Step, Live, Report, Running, Stopping))
     return "its server is about to leave, or to have its maintenance";
-  if (isToMove(Step, Server, Running))
+  if (shouldMove(Step, Server, Running))
     return "it would disturb here and has room elsewhere";
   return "";
 }
@@ -158,7 +159,7 @@
   return Missing;
 }
 
-void JobLeader::Impl::stopRunsOf(const std::string &Job) {
+void JobLeader::Impl::requestStops(const std::string &Job) {
   Machine_.read([&](const JobBook &Book) {
     if (const JobRecord *Ended = Book.findJob(Job))
       PendingStops_.add(*Ended, Time_.now());
@@ -170,7 +171,7 @@
                                          std::vector<TaskEnd> &NeverRan) {
   ServerOrders Orders;
   const std::string &Id = Report.Facts_.Id_;
-  ServerLive *Live = Board_.find(Id);
+  LiveServer *Live = LiveServers_.find(Id);
   std::map<TaskKey, std::uint64_t> StopsSent;
   std::vector<std::pair<RunningTask, std::string_view>> Stopped;
   Machine_.read([&](const JobBook &Book) {
@@ -184,7 +185,7 @@
     Resources Left = Report.Facts_.Capacity_;
     for (std::size_t At = 0; At < Report.Running_.size(); ++At) {
       const RunningTask &Each = Report.Running_[At];
-      const StepSpec *Step = findWanted(Book, Id, Each.Task_, Each.Run_);
+      const StepSpec *Step = findWantedStep(Book, Id, Each.Task_, Each.Run_);
       Wanted += Step ? 1 : 0;
       AnyUnplaced =
           AnyUnplaced || (!Step && !Server.isPlaced(Each.Task_, Each.Run_));
@@ -209,7 +210,7 @@
     // unwanted: it is outlawed, and begins elsewhere.
     const bool MayStart = !Book.isEvacuated(Server.Facts_);
     for (const auto &[Task, Run] : listUnreported(Server, Report)) {
-      const StepSpec *Step = findWanted(Book, Id, Task, Run);
+      const StepSpec *Step = findWantedStep(Book, Id, Task, Run);
       // The capacity may have shrunk since the task was placed.
       if (!MayStart || !Step || !Step->getReserved().fitsIn(Left)) {
         const auto Before = Live->StopsSent_.find(Task);
@@ -240,8 +241,8 @@
     Line.Server_ = Report.Facts_.Id_;
     Line.Reason_ = Why;
     Log_.write(Line);
-    if (Why == StandsStill)
-      noteSick(Report.Facts_.Id_, Task.Task_.Job_, "runs stand still");
+    if (Why == StallReason)
+      recordFailedRun(Report.Facts_.Id_, Task.Task_.Job_, "runs stand still");
   }
   return Orders;
 }
--- a/src/jobs/JobLeaderReports.cpp
+++ b/src/jobs/JobLeaderReports.cpp
@@ -11,13 +11,13 @@
 /// differs from the book's.
 static constexpr Duration RefusalPause = 500ms;
 /// Longest time a response is delayed by pending commits.
-static constexpr Duration LongestHold = 300ms;
+static constexpr Duration MaxAnswerDelay = 300ms;
 /// Report interval of an incarnation whose address is still taken.
 static constexpr std::uint64_t ConflictReportMs = 250;
 
 void JobLeader::Impl::leave(const std::string &ServerId, Done<void> Reply) {
   if (!isLeading())
-    return Reply(makeNotLeading());
+    return Reply(makeNotLeaderError());
   Leaving_.insert(ServerId);
   const bool IsEmpty = Machine_.read([&ServerId](const JobBook &Book) {
     const ServerRecord *Server = Book.findServer(ServerId);
@@ -49,7 +49,7 @@
 
 void JobLeader::Impl::report(ServerReport Report, Done<ServerOrders> Reply) {
   if (!isLeading())
-    return Reply(makeNotLeading());
+    return Reply(makeNotLeaderError());
   // A late report of an incarnation that is over: its ends count, but it gets
   // no orders.
   const std::string &Id = Report.Facts_.Id_;
@@ -58,20 +58,20 @@
         return !Book.findServer(Id) && Book.isOver(Id);
       });
   if (IsOver)
-    return noteLateEnds(Report, Reply);
-  const auto Current = std::make_shared<Handling>();
-  Current->Report_ = std::move(Report);
-  Current->Reply_ = std::move(Reply);
-  Current->ArrivedAt_ = Time_.now();
-  Current->SentBy_ = Current->ArrivedAt_ -
-                     std::chrono::milliseconds(Current->Report_.WaitedMs_);
-  admit(Current);
+    return recordLateEnds(Report, Reply);
+  const auto Pending = std::make_shared<PendingReport>();
+  Pending->Report_ = std::move(Report);
+  Pending->Reply_ = std::move(Reply);
+  Pending->ArrivedAt_ = Time_.now();
+  Pending->SentBy_ = Pending->ArrivedAt_ -
+                     std::chrono::milliseconds(Pending->Report_.WaitedMs_);
+  admit(Pending);
 }
 
-void JobLeader::Impl::noteLateEnds(const ServerReport &Report,
-                                   const Done<ServerOrders> &Reply) {
+void JobLeader::Impl::recordLateEnds(const ServerReport &Report,
+                                     const Done<ServerOrders> &Reply) {
   if (!isLeading())
-    return Reply(makeNotLeading());
+    return Reply(makeNotLeaderError());
   EndTasks Command{Report.Facts_.Id_, {}};
   Machine_.read([&](const JobBook &Book) {
     for (const EndedTask &Each : Report.Ended_) {
@@ -90,53 +90,55 @@
               return Reply(Applied.error());
             logEnds(Command.Server_, Command.Ends_);
             for (const TaskEnd &End : Command.Ends_)
-              noteJobEnd(End.Task_.Job_);
+              handleJobEnd(End.Task_.Job_);
             Reply(ServerOrders{});
           });
 }
 
 /// Whether the report names an unconfigured service. A server whose service was
 /// dropped goes on.
-static bool isOfNoService(const JobBook &Book, const ServerRecord *Known,
-                          const ServerFacts &Facts) {
-  const Configuration &Current = Book.configuration();
-  const bool WasOfIt = Known && Known->Facts_.Service_ == Facts.Service_;
-  if (WasOfIt || Current.Version_ == 0)
+static bool namesUnknownService(const JobBook &Book, const ServerRecord *Known,
+                                const ServerFacts &Facts) {
+  const Configuration &Pending = Book.configuration();
+  const bool KeepsItsService =
+      Known && Known->Facts_.Service_ == Facts.Service_;
+  if (KeepsItsService || Pending.Version_ == 0)
     return false;
-  return std::none_of(Current.Services_.begin(), Current.Services_.end(),
+  return std::none_of(Pending.Services_.begin(), Pending.Services_.end(),
                       [&Facts](const ServicePolicy &Each) {
                         return Each.Name_ == Facts.Service_;
                       });
 }
 
 /// Registers the server in the log, unless its address is taken.
-void JobLeader::Impl::admit(const HandlingPtr &Current) {
-  const ServerFacts &Facts = Current->Report_.Facts_;
+void JobLeader::Impl::admit(const PendingReportPtr &Pending) {
+  const ServerFacts &Facts = Pending->Report_.Facts_;
   std::string Occupant;
-  bool IsOfNobody = false;
+  bool IsUnknownService = false;
   const bool IsKnown = Machine_.read([&](const JobBook &Book) {
     const ServerRecord *Known = Book.findServer(Facts.Id_);
     if (!Known)
       Occupant = Book.findServerAt(Facts.Address_);
-    IsOfNobody = isOfNoService(Book, Known, Facts);
+    IsUnknownService = namesUnknownService(Book, Known, Facts);
     return Known && Known->Facts_ == Facts;
   });
   // Runs on a known server keep their lease.
-  if (IsOfNobody)
-    return reply(Current, fail(ErrorCode::InvalidArgument,
+  if (IsUnknownService)
+    return reply(Pending, fail(ErrorCode::InvalidArgument,
                                "no such service: " + Facts.Service_));
-  if (ServerLive *Live = Board_.find(Facts.Id_); Live && Live->IsRemoving_)
-    return reply(Current,
+  if (LiveServer *Live = LiveServers_.find(Facts.Id_);
+      Live && Live->IsRemoving_)
+    return reply(Pending,
                  fail(ErrorCode::Unavailable, "the server is being removed"));
   if (IsKnown)
-    return noteEnds(Current);
+    return commitEnds(Pending);
   if (!Occupant.empty() && !takeOver(Occupant, Facts)) {
-    Meter_.add(Counted::ReportsOfTakenAddresses, 1);
+    Meter_.add(JobCounter::ReportsWithAddressConflict, 1);
     ServerOrders Later;
     Later.NextReportMs_ = ConflictReportMs;
-    return reply(Current, std::move(Later));
+    return reply(Pending, std::move(Later));
   }
-  addServer(Current);
+  addServer(Pending);
 }
 
 /// Removes the incarnation at the address if the one that reports there is
@@ -144,14 +146,14 @@
 bool JobLeader::Impl::takeOver(const std::string &Occupant,
                                const ServerFacts &Successor) {
   const TimePoint Now = Time_.now();
-  const ServerLive *Live = Board_.find(Occupant);
+  const LiveServer *Live = LiveServers_.find(Occupant);
   if (Live && Live->IsRemoving_)
     return true;
-  if (Conflicts_.note(Successor.Id_, Live ? Live->LastHeard_ : TimePoint::min(),
-                      Now))
+  if (Conflicts_.recordClaim(Successor.Id_,
+                             Live ? Live->LastHeard_ : TimePoint::min(), Now))
     Relays_.flush(Occupant, [Weak = weak_from_this(), Id = Successor.Id_, Now] {
       if (const std::shared_ptr<Impl> Self = Weak.lock())
-        Self->Conflicts_.noteFlushed(Id, Now);
+        Self->Conflicts_.recordFlush(Id, Now);
     });
   if (!Conflicts_.mayTakeOver(Successor.Id_, Now)) {
     Event Line;
@@ -171,8 +173,8 @@
   return true;
 }
 
-void JobLeader::Impl::addServer(const HandlingPtr &Current) {
-  const ServerFacts &Facts = Current->Report_.Facts_;
+void JobLeader::Impl::addServer(const PendingReportPtr &Pending) {
+  const ServerFacts &Facts = Pending->Report_.Facts_;
   Event Line;
   Line.Kind_ = EventKind::ServerSeen;
   Line.Server_ = Facts.Id_;
@@ -181,20 +183,20 @@
     Line.Reason_ += " " + Label;
   Log_.write(Line);
   propose(
-      AddServer{Facts}, [this, Current](const Outcome<CommandResult> &Applied) {
+      AddServer{Facts}, [this, Pending](const Outcome<CommandResult> &Applied) {
         if (!Applied)
-          return reply(Current, Applied.error());
+          return reply(Pending, Applied.error());
         if (Applied.value().Verdict_ == Verdict::Refused)
-          return reply(Current, fail(ErrorCode::Unavailable,
+          return reply(Pending, fail(ErrorCode::Unavailable,
                                      "another incarnation holds the address"));
-        noteFailed(Applied.value());
-        noteEnds(Current);
+        handleFailedJobs(Applied.value());
+        commitEnds(Pending);
       });
 }
 
 /// Whether the end of a run on the server changes anything.
-static bool isNews(const JobBook &Book, const ServerRecord &Server,
-                   const TaskEnd &End) {
+static bool changesState(const JobBook &Book, const ServerRecord &Server,
+                         const TaskEnd &End) {
   const auto Placed = Server.Placed_.find(End.Task_);
   if (Placed != Server.Placed_.end() && Placed->second == End.Run_)
     return true;
@@ -202,22 +204,23 @@
   return End.How_ == RunEnd::Done && Task && Task->State_ != TaskState::Done;
 }
 
-void JobLeader::Impl::noteEnds(const HandlingPtr &Current) {
-  const ServerReport &Report = Current->Report_;
+void JobLeader::Impl::commitEnds(const PendingReportPtr &Pending) {
+  const ServerReport &Report = Pending->Report_;
   const std::string &Id = Report.Facts_.Id_;
   const TimePoint Now = Time_.now();
-  const bool WasDraining = Board_.find(Id) && Board_.find(Id)->IsDraining_;
-  Current->IsNoted_ = Board_.note(Report, Now, getLongestLease());
-  if (Report.IsDraining_ && !WasDraining && Current->IsNoted_) {
+  const bool WasDraining =
+      LiveServers_.find(Id) && LiveServers_.find(Id)->IsDraining_;
+  Pending->IsRecorded_ = LiveServers_.recordReport(Report, Now, getMaxLease());
+  if (Report.IsDraining_ && !WasDraining && Pending->IsRecorded_) {
     Event Line;
     Line.Kind_ = EventKind::ServerDraining;
     Line.Server_ = Id;
     Line.Count_ = Report.RemainingMs_;
     Log_.write(Line);
   }
-  if (!Current->IsNoted_) {
-    Meter_.add(Counted::ReportsLate, 1);
-    return reply(Current, ServerOrders{});
+  if (!Pending->IsRecorded_) {
+    Meter_.add(JobCounter::ReportsLate, 1);
+    return reply(Pending, ServerOrders{});
   }
   Setter_.note(Report);
   EndTasks Command{Id, {}};
@@ -226,52 +229,54 @@
     if (!Server)
       return 0;
     for (const EndedTask &Each : Report.Ended_)
-      if (isNews(Book, *Server, Each.End_)) {
+      if (changesState(Book, *Server, Each.End_)) {
         Command.Ends_.push_back(Each.End_);
-        Current->FirstOpenEnd_ = std::min(Current->FirstOpenEnd_, Each.Number_);
+        Pending->FirstUncommittedEnd_ =
+            std::min(Pending->FirstUncommittedEnd_, Each.Number_);
       }
     return 0;
   });
   if (Command.Ends_.empty())
-    return startTasks(Current);
-  hold(Current);
+    return startTasks(Pending);
+  deferAnswer(Pending);
   const bool AnyRefused = std::any_of(
       Command.Ends_.begin(), Command.Ends_.end(),
       [](const TaskEnd &End) { return End.How_ == RunEnd::Refused; });
   if (AnyRefused)
-    Board_.find(Id)->NoStartsUntil_ = Now + RefusalPause;
+    LiveServers_.find(Id)->NoStartsUntil_ = Now + RefusalPause;
   propose(Command,
-          [this, Current, Command](const Outcome<CommandResult> &Applied) {
+          [this, Pending, Command](const Outcome<CommandResult> &Applied) {
             if (!Applied)
-              return reply(Current, Applied.error());
-            Current->FirstOpenEnd_ = NoOpenEnd;
+              return reply(Pending, Applied.error());
+            Pending->FirstUncommittedEnd_ = NoUncommittedEnd;
             logEnds(Command.Server_, Command.Ends_);
-            noteHealth(Command);
+            updateHealth(Command);
             for (const TaskEnd &End : Command.Ends_)
-              noteJobEnd(End.Task_.Job_);
+              handleJobEnd(End.Task_.Job_);
             // After an early answer the starts go with the next one. A later
             // report is planned for instead.
-            const ServerLive *Live = Board_.find(Command.Server_);
-            if (Live && Live->LastSequence_ == Current->Report_.Sequence_)
-              startTasks(Current);
+            const LiveServer *Live = LiveServers_.find(Command.Server_);
+            if (Live && Live->LastSequence_ == Pending->Report_.Sequence_)
+              startTasks(Pending);
             else
-              answer(Current);
+              answer(Pending);
           });
 }
 
-void JobLeader::Impl::startTasks(const HandlingPtr &Current) {
-  const std::string &Id = Current->Report_.Facts_.Id_;
+void JobLeader::Impl::startTasks(const PendingReportPtr &Pending) {
+  const std::string &Id = Pending->Report_.Facts_.Id_;
   std::vector<TaskStart> Starts = Machine_.read([&](const JobBook &Book) {
-    return Dispatcher_.plan(Book, Board_, Id, Time_.now(), Time_.wallNow());
+    return Dispatcher_.plan(Book, LiveServers_, Id, Time_.now(),
+                            Time_.wallNow());
   });
   if (Starts.empty())
-    return answer(Current);
-  hold(Current);
-  propose(StartTasks{Starts}, [this, Current,
+    return answer(Pending);
+  deferAnswer(Pending);
+  propose(StartTasks{Starts}, [this, Pending,
                                Starts](const Outcome<CommandResult> &Applied) {
     Dispatcher_.settle(Starts);
     if (!Applied)
-      return reply(Current, Applied.error());
+      return reply(Pending, Applied.error());
     for (std::size_t I = 0; I < Starts.size(); ++I) {
       Event Line;
       Line.Kind_ = EventKind::TaskStarted;
@@ -281,59 +286,60 @@
       Line.Server_ = Starts[I].Server_;
       Line.Outcome_ = Applied.value().Taken_[I] ? "placed" : "refused";
       Line.AgeMs_ = std::chrono::duration_cast<std::chrono::milliseconds>(
-                        Time_.now() - Current->ArrivedAt_)
+                        Time_.now() - Pending->ArrivedAt_)
                         .count();
       Log_.write(Line);
-      noteStarted(Starts[I], Applied.value().Taken_[I]);
+      meterStart(Starts[I], Applied.value().Taken_[I]);
     }
-    answer(Current);
+    answer(Pending);
   });
 }
 
-void JobLeader::Impl::reply(const HandlingPtr &Current,
+void JobLeader::Impl::reply(const PendingReportPtr &Pending,
                             Outcome<ServerOrders> Orders) {
-  if (!std::exchange(Current->IsAnswered_, true))
-    Current->Reply_(std::move(Orders));
+  if (!std::exchange(Pending->IsAnswered_, true))
+    Pending->Reply_(std::move(Orders));
 }
 
-void JobLeader::Impl::hold(const HandlingPtr &Current) {
-  if (!std::exchange(Current->IsHeld_, true))
-    Open_.push_back(Current);
+void JobLeader::Impl::deferAnswer(const PendingReportPtr &Pending) {
+  if (!std::exchange(Pending->AwaitsCommit_, true))
+    PendingReports_.push_back(Pending);
 }
 
 /// Answers reports whose commits take long, so that leases do not wait. What is
 /// committed later goes with the next answer.
-void JobLeader::Impl::answerOverdue() {
+void JobLeader::Impl::answerOverdueReports() {
   const TimePoint Now = Time_.now();
-  while (!Open_.empty() && (Open_.front()->IsAnswered_ ||
-                            Now - Open_.front()->ArrivedAt_ >= LongestHold)) {
-    const HandlingPtr Next = std::move(Open_.front());
-    Open_.pop_front();
+  while (!PendingReports_.empty() &&
+         (PendingReports_.front()->IsAnswered_ ||
+          Now - PendingReports_.front()->ArrivedAt_ >= MaxAnswerDelay)) {
+    const PendingReportPtr Next = std::move(PendingReports_.front());
+    PendingReports_.pop_front();
     if (Next->IsAnswered_)
       continue;
-    Meter_.add(Counted::ReportsAnsweredEarly, 1);
+    Meter_.add(JobCounter::ReportsAnsweredEarly, 1);
     answer(Next);
   }
 }
 
-void JobLeader::Impl::answer(const HandlingPtr &Current) {
-  if (Current->IsAnswered_)
+void JobLeader::Impl::answer(const PendingReportPtr &Pending) {
+  if (Pending->IsAnswered_)
     return;
-  const ServerReport &Report = Current->Report_;
+  const ServerReport &Report = Pending->Report_;
   const std::string &Id = Report.Facts_.Id_;
-  const ServerLive *Live = Board_.find(Id);
+  const LiveServer *Live = LiveServers_.find(Id);
   const bool IsKnown =
       Live && !Live->IsRemoving_ && Machine_.read([&](const JobBook &Book) {
         return Book.findServer(Id) != nullptr;
       });
   if (!IsKnown)
-    return reply(Current,
+    return reply(Pending,
                  fail(ErrorCode::Unavailable, "the server is being removed"));
   // The server has given this report up, as it sent a later one: it will not
   // see these orders.
   if (Live->LastSequence_ != Report.Sequence_) {
-    Meter_.add(Counted::ReportsOvertaken, 1);
-    return reply(Current, ServerOrders{});
+    Meter_.add(JobCounter::ReportsSuperseded, 1);
+    return reply(Pending, ServerOrders{});
   }
   std::vector<TaskEnd> NeverRan;
   ServerOrders Orders = makeOrders(Report, NeverRan);
@@ -344,26 +350,26 @@
           .count());
   Orders.FencingToken_ = Term_;
   for (const EndedTask &Each : Report.Ended_)
-    if (Each.Number_ < Current->FirstOpenEnd_)
+    if (Each.Number_ < Pending->FirstUncommittedEnd_)
       Orders.EndsNoted_ = std::max(Orders.EndsNoted_, Each.Number_);
   Orders.NextReportMs_ = static_cast<std::uint64_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(
           Settings_.ReportInterval_)
           .count());
-  Setter_.addPaces(Report, *Board_.find(Id), Orders);
+  Setter_.addPaces(Report, *LiveServers_.find(Id), Orders);
   // Another member may lead by now.
   const TimePoint Now = Time_.now();
   if (Group_.findLeaseTerm(Now) != Term_)
-    return reply(Current, makeNotLeading());
-  const TimePoint LeaseEnd = Current->SentBy_ + getLongestLease();
-  Meter_.record(Timed::LeaseRenewal,
+    return reply(Pending, makeNotLeaderError());
+  const TimePoint LeaseEnd = Pending->SentBy_ + getMaxLease();
+  Meter_.record(JobTimer::LeaseRenewal,
                 std::max<Duration>(LeaseEnd - Live->LeaseEnd_, Duration(0)));
-  Board_.extendLease(Id, LeaseEnd);
+  LiveServers_.extendLease(Id, LeaseEnd);
   if (const std::optional<Duration> Waited =
-          PendingStops_.noteAnswered(Id, !Orders.Stops_.empty(), Now))
-    Meter_.record(Timed::Stop, *Waited);
-  Meter_.record(Timed::Heartbeat, Now - Current->ArrivedAt_);
-  if (Now - Current->ArrivedAt_ > BehindAfter)
-    noteBehind();
-  reply(Current, std::move(Orders));
+          PendingStops_.recordAnswer(Id, !Orders.Stops_.empty(), Now))
+    Meter_.record(JobTimer::Stop, *Waited);
+  Meter_.record(JobTimer::Heartbeat, Now - Pending->ArrivedAt_);
+  if (Now - Pending->ArrivedAt_ > OverloadDelay)
+    markOverloaded();
+  reply(Pending, std::move(Orders));
 }
--- a/src/jobs/JobLeaderWaves.cpp
+++ b/src/jobs/JobLeaderWaves.cpp
@@ -7,7 +7,7 @@
 
 void JobLeader::Impl::startWave(const WaveSpec &Spec, const Done<void> &Reply) {
   if (!isLeading())
-    return Reply(makeNotLeading());
+    return Reply(makeNotLeaderError());
   if (!Provider_.isThere())
     return Reply(fail(ErrorCode::Unavailable,
                       "the settings name no provider of VMs to order from"));
@@ -25,7 +25,7 @@
 void JobLeader::Impl::showWave(std::uint64_t Wave,
                                const Done<WaveRecord> &Reply) const {
   if (!isLeading())
-    return Reply(makeNotLeading());
+    return Reply(makeNotLeaderError());
   Reply(Machine_.read([&](const JobBook &Book) -> Outcome<WaveRecord> {
     if (const WaveRecord *Found = Book.waves().find(Wave))
       return *Found;
@@ -47,15 +47,15 @@
 
 /// Orders nothing before an earlier leader's orders can have ended: two that
 /// order in turns would undo each other's plans.
-void JobLeader::Impl::keepWaves() {
+void JobLeader::Impl::advanceWaves() {
   const TimePoint Now = Time_.now();
   if (!Provider_.isThere() || Now - LeadingSince_ < Settings_.HolderLease_)
     return;
-  listVms();
+  refreshVms();
   const std::optional<MaintenanceOrder> Order = Machine_.read(
       [&](const JobBook &Book) { return Waves_.plan(Book, Now); });
-  for (const auto &[Id, Known] : Board_.servers()) {
-    ServerLive &Live = *Board_.find(Id);
+  for (const auto &[Id, Known] : LiveServers_.servers()) {
+    LiveServer &Live = *LiveServers_.find(Id);
     Live.IsEmptying_ = Waves_.isEmptying(Id);
     Live.WasEmptying_ = Live.WasEmptying_ || Live.IsEmptying_;
   }
@@ -69,12 +69,12 @@
                        Strand.post([Weak, Term, Order, Reply] {
                          const std::shared_ptr<Impl> Self = Weak.lock();
                          if (Self && Self->Term_ == Term)
-                           Self->noteMaintenance(Order, Reply);
+                           Self->handleMaintenanceReply(Order, Reply);
                        });
                      });
 }
 
-void JobLeader::Impl::listVms() {
+void JobLeader::Impl::refreshVms() {
   const TimePoint Now = Time_.now();
   const bool IsDue = Machine_.read(
       [&](const JobBook &Book) { return Waves_.isListDue(Book, Now); });
@@ -94,8 +94,8 @@
   });
 }
 
-void JobLeader::Impl::noteMaintenance(const MaintenanceOrder &Order,
-                                      const Outcome<MaintenanceReply> &Reply) {
+void JobLeader::Impl::handleMaintenanceReply(
+    const MaintenanceOrder &Order, const Outcome<MaintenanceReply> &Reply) {
   IsOrdering_ = false;
   const bool IsSettled = Waves_.noteReply(Order, Reply, Time_.now());
   static constexpr std::array<const char *, 5> Names = {
--- /dev/null
+++ b/src/jobs/LiveServerTable.cpp
@@ -0,0 +1,157 @@
+#include "jobs/LiveServerTable.h"
+
+#include <algorithm>
+#include <utility>
+
+using namespace tulipweir;
+using namespace tulipweir::jobs;
+
+/// Where the run stands in the list; its size if it does not. Looked for from
+/// the place where it is expected.
+static std::size_t findRun(const std::vector<RunningTask> &Runs,
+                           const TaskKey &Task, std::uint64_t Run,
+                           std::size_t Expected) {
+  for (std::size_t I = 0; I < Runs.size(); ++I) {
+    const std::size_t At = (Expected + I) % Runs.size();
+    // The index differs most often.
+    if (Runs[At].Task_.Index_ == Task.Index_ && Runs[At].Run_ == Run &&
+        Runs[At].Task_ == Task)
+      return At;
+  }
+  return Runs.size();
+}
+
+static const RunProgress *
+findProgressIn(const std::vector<RunningTask> &Running,
+               const std::vector<RunProgress> &Progress, const TaskKey &Task) {
+  for (std::size_t I = 0; I < Running.size(); ++I)
+    if (Running[I].Task_.Index_ == Task.Index_ && Running[I].Task_ == Task)
+      return &Progress[I];
+  return nullptr;
+}
+
+const RunProgress *LiveServer::findProgress(const TaskKey &Task) const {
+  return findProgressIn(Running_, Progress_, Task);
+}
+
+const RunProgress *LiveServer::findPreviousProgress(const TaskKey &Task) const {
+  return findProgressIn(PreviousRunning_, PreviousProgress_, Task);
+}
+
+Duration LiveServer::getObservedTime(const TaskKey &Task,
+                                     std::uint64_t Run) const {
+  const RunProgress *Progress = findProgress(Task);
+  return Progress && Progress->Run_ == Run ? LastHeard_ - Progress->SeenAt_
+                                           : Duration(0);
+}
+
+void LiveServerTable::reset(const JobBook &Book, TimePoint Now,
+                            Duration Lease) {
+  Servers_.clear();
+  for (const auto &[Id, Server] : Book.servers())
+    add(Id, Now, Now + Lease);
+}
+
+bool LiveServerTable::recordReport(const ServerReport &Report, TimePoint Now,
+                                   Duration Lease) {
+  const auto [It, IsNew] = Servers_.try_emplace(Report.Facts_.Id_);
+  LiveServer &Live = It->second;
+  if (IsNew)
+    Live.LeaseEnd_ = Now + Lease;
+  if (Report.Sequence_ <= Live.LastSequence_)
+    return false;
+  Live.LastSequence_ = Report.Sequence_;
+  Live.LastHeard_ = Now;
+  Live.IsDraining_ = Report.IsDraining_;
+  // What has ended meanwhile is looked at once more.
+  std::swap(Live.Running_, Live.PreviousRunning_);
+  std::swap(Live.Progress_, Live.PreviousProgress_);
+  Live.Running_ = Report.Running_;
+  updateProgress(Live, Now);
+  return true;
+}
+
+void LiveServerTable::updateProgress(LiveServer &Live, TimePoint Now) {
+  Live.Progress_.clear();
+  // A server lists its runs in the same order each time, but for those that
+  // came or went: the next one is mostly where the last one was found.
+  std::size_t Expected = 0;
+  for (const RunningTask &Run : Live.Running_) {
+    RunProgress Progress{Run.Run_, Run.Percent_, Now, Now};
+    const std::size_t At =
+        findRun(Live.PreviousRunning_, Run.Task_, Run.Run_, Expected);
+    if (At < Live.PreviousRunning_.size()) {
+      const RunProgress &Previous = Live.PreviousProgress_[At];
+      Progress.SeenAt_ = Previous.SeenAt_;
+      if (Previous.Percent_ == Run.Percent_)
+        Progress.ChangedAt_ = Previous.ChangedAt_;
+      Expected = At + 1;
+    }
+    Live.Progress_.push_back(Progress);
+  }
+}
+
+void LiveServerTable::extendLease(const std::string &Id, TimePoint End) {
+  LiveServer &Live = Servers_[Id];
+  Live.LeaseEnd_ = std::max(Live.LeaseEnd_, End);
+}
+
+LiveServer *LiveServerTable::find(const std::string &Id) {
+  const auto It = Servers_.find(Id);
+  return It == Servers_.end() ? nullptr : &It->second;
+}
+
+const LiveServer *LiveServerTable::find(const std::string &Id) const {
+  const auto It = Servers_.find(Id);
+  return It == Servers_.end() ? nullptr : &It->second;
+}
+
+void LiveServerTable::add(const std::string &Id, TimePoint Now,
+                          TimePoint LeaseEnd) {
+  LiveServer &Live = Servers_[Id];
+  Live.LastHeard_ = Now;
+  Live.LeaseEnd_ = std::max(Live.LeaseEnd_, LeaseEnd);
+}
+
+void LiveServerTable::remove(const std::string &Id) { Servers_.erase(Id); }
+
+std::vector<std::string> LiveServerTable::listExpired(TimePoint Now) const {
+  std::vector<std::string> Expired;
+  for (const auto &[Id, Live] : Servers_)
+    if (!Live.IsRemoving_ && Live.LeaseEnd_ <= Now)
+      Expired.push_back(Id);
+  return Expired;
+}
+
+Resources LiveServerTable::sumUnplacedUsage(const JobBook &Book,
+                                            const ServerRecord &Server) const {
+  Resources Used;
+  const LiveServer *Live = find(Server.Facts_.Id_);
+  if (!Live || !Live->MayHaveUnplaced_)
+    return Used;
+  for (const RunningTask &Run : Live->Running_)
+    if (const StepSpec *Step = Book.findStep(Run.Task_);
+        Step && !Server.isPlaced(Run.Task_, Run.Run_))
+      Used = Used + Step->getReserved();
+  return Used;
+}
+
+/// An incarnation after a crash is stable once it has sent so many reports,
+/// about two a second.
+static constexpr std::uint64_t StableAfterReports = 100;
+
+bool LiveServerTable::isStable(const ServerRecord &Server) const {
+  const LiveServer *Live = find(Server.Facts_.Id_);
+  return !Server.IsAfterCrash_ ||
+         (Live && Live->LastSequence_ >= StableAfterReports);
+}
+
+std::vector<SavedWork>
+LiveServerTable::listCheckpoints(const std::string &Id) const {
+  std::vector<SavedWork> Checkpoints;
+  if (const LiveServer *Live = find(Id))
+    for (const RunningTask &Run : Live->Running_)
+      if (!Run.Checkpoint_.empty())
+        Checkpoints.push_back({Run.Task_, Run.Run_, Run.Checkpoint_});
+  return Checkpoints;
+}
--- a/src/jobs/ServerBoard.h
+++ b/src/jobs/LiveServerTable.h
@@ -1,4 +1,4 @@
-//===- ServerBoard.h - What a leader knows of live servers -----*- C++ -*-===//
+//===- LiveServerTable.h - Volatile state of live servers -------*- C++ -*-===//
 //
 // Everything about backend servers that is not in the log: when each was last
 // heard, until when work on it may still run, what it last reported. A new
@@ -7,8 +7,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_SRC_JOBS_SERVERBOARD_H
-#define TULIPWEIR_SRC_JOBS_SERVERBOARD_H
+#ifndef TULIPWEIR_SRC_JOBS_LIVESERVERTABLE_H
+#define TULIPWEIR_SRC_JOBS_LIVESERVERTABLE_H
 
 #include "tulipweir/core/Time.h"
 #include "tulipweir/jobs/JobBook.h"
@@ -33,7 +33,7 @@
   TimePoint At_{};
 };
 
-struct ServerLive {
+struct LiveServer {
   std::uint64_t LastSequence_ = 0;
   TimePoint LastHeard_{};
   /// Nothing that it was given runs after that.
@@ -50,8 +50,8 @@
   std::vector<RunningTask> Running_;
   std::vector<RunProgress> Progress_; ///< Of these, in their order.
   // The same of the report before.
-  std::vector<RunningTask> RunningBefore_;
-  std::vector<RunProgress> ProgressBefore_;
+  std::vector<RunningTask> PreviousRunning_;
+  std::vector<RunProgress> PreviousProgress_;
   /// Runs may go on there that the book does not place there.
   bool MayHaveUnplaced_ = true;
   /// Runs that were ordered to stop in an earlier answer.
@@ -62,17 +62,17 @@
   /// How the task got on by the last report, or by the one before that;
   /// nullptr if it was not in it.
   const RunProgress *findProgress(const TaskKey &Task) const;
-  const RunProgress *findProgressBefore(const TaskKey &Task) const;
+  const RunProgress *findPreviousProgress(const TaskKey &Task) const;
   /// How long its reports have named the run; zero if none has.
-  Duration getSeenFor(const TaskKey &Task, std::uint64_t Run) const;
+  Duration getObservedTime(const TaskKey &Task, std::uint64_t Run) const;
   /// Whether it is there to stay, for all that is known.
-  bool isStaying() const {
+  bool isInService() const {
     return !IsDraining_ && !IsRemoving_ && !IsEmptying_;
   }
 };
 
 /// Not thread-safe.
-class ServerBoard {
+class LiveServerTable {
 public:
   /// Begins anew: all servers of the book count as heard now, with a lease to
   /// the end of Lease from now.
@@ -81,36 +81,36 @@
   /// Takes a report in; false if a later one was seen before. A server that
   /// was not known counts as promised Lease from now: its registration may
   /// take long to be stored, and until then no answer extends it.
-  bool note(const ServerReport &Report, TimePoint Now, Duration Lease);
+  bool recordReport(const ServerReport &Report, TimePoint Now, Duration Lease);
   void extendLease(const std::string &Id, TimePoint End);
-  ServerLive *find(const std::string &Id);
-  const ServerLive *find(const std::string &Id) const;
+  LiveServer *find(const std::string &Id);
+  const LiveServer *find(const std::string &Id) const;
   void add(const std::string &Id, TimePoint Now, TimePoint LeaseEnd);
   void remove(const std::string &Id);
-  const std::map<std::string, ServerLive> &servers() const { return Servers_; }
+  const std::map<std::string, LiveServer> &servers() const { return Servers_; }
   /// Servers whose lease has run out.
-  std::vector<std::string> listLapsed(TimePoint Now) const;
+  std::vector<std::string> listExpired(TimePoint Now) const;
   /// Whether anything may be started on the server at all: whatever plans, asks
   /// here.
-  bool takesStarts(const JobBook &Book, const ServerRecord &Server) const {
-    const ServerLive *Live = find(Server.Facts_.Id_);
-    return Live && Live->isStaying() && !Book.isEvacuated(Server.Facts_);
+  bool acceptsStarts(const JobBook &Book, const ServerRecord &Server) const {
+    const LiveServer *Live = find(Server.Facts_.Id_);
+    return Live && Live->isInService() && !Book.isEvacuated(Server.Facts_);
   }
   /// What runs on the server use that the book does not place there, as far as
   /// their jobs are known.
-  Resources measureUnplaced(const JobBook &Book,
-                            const ServerRecord &Server) const;
+  Resources sumUnplacedUsage(const JobBook &Book,
+                             const ServerRecord &Server) const;
   /// Whether the server is not known for crashes of late.
   bool isStable(const ServerRecord &Server) const;
   /// The checkpoints that the server's runs were last seen with.
-  std::vector<SavedWork> listSaved(const std::string &Id) const;
+  std::vector<SavedWork> listCheckpoints(const std::string &Id) const;
 
 private:
-  static void noteProgress(ServerLive &Live, TimePoint Now);
+  static void updateProgress(LiveServer &Live, TimePoint Now);
 
-  std::map<std::string, ServerLive> Servers_;
+  std::map<std::string, LiveServer> Servers_;
 };
 
 } // namespace tulipweir::jobs
 
-#endif // TULIPWEIR_SRC_JOBS_SERVERBOARD_H
+#endif // TULIPWEIR_SRC_JOBS_LIVESERVERTABLE_H
--- a/src/jobs/PaceSetter.cpp
+++ b/src/jobs/PaceSetter.cpp
@@ -53,7 +53,7 @@
   return Used > Wanted + Need * PaceScatter / Percent || Used < Wanted / 2;
 }
 
-void PaceSetter::addPaces(const ServerReport &Report, ServerLive &Live,
+void PaceSetter::addPaces(const ServerReport &Report, LiveServer &Live,
                           ServerOrders &Orders) const {
   const std::string &Id = Report.Facts_.Id_;
   if (!Paces_.isToBeTold(Id, Time_.now()))
--- a/src/jobs/PaceSetter.h
+++ b/src/jobs/PaceSetter.h
@@ -9,8 +9,8 @@
 #ifndef TULIPWEIR_SRC_JOBS_PACESETTER_H
 #define TULIPWEIR_SRC_JOBS_PACESETTER_H
 
+#include "jobs/LiveServerTable.h"
 #include "jobs/PaceGuard.h"
-#include "jobs/ServerBoard.h"
 #include "jobs/TailEffects.h"
 #include "jobs/TailLearner.h"
 #include "tulipweir/core/EventLog.h"
@@ -32,7 +32,7 @@
   /// filling tasks beside them.
   void note(const ServerReport &Report);
   /// Also for the tasks that this very answer starts.
-  void addPaces(const ServerReport &Report, ServerLive &Live,
+  void addPaces(const ServerReport &Report, LiveServer &Live,
                 ServerOrders &Orders) const;
 
 private:
--- a/src/jobs/PendingStops.cpp
+++ b/src/jobs/PendingStops.cpp
@@ -7,7 +7,7 @@
 using namespace tulipweir::jobs;
 
 /// Longest list in one reply, which bounds its size.
-static constexpr std::size_t MostListed = 128;
+static constexpr std::size_t MaxListed = 128;
 
 void PendingStops::reset(const JobBook &Book, TimePoint Now) {
   Servers_.clear();
@@ -15,7 +15,7 @@
     for (const auto &[Task, Run] : Server.Placed_) {
       const JobRecord *Job = Book.findJob(Task.Job_);
       if (!Job || isEnded(Job->State_))
-        Servers_.try_emplace(Id, Pending{Now});
+        Servers_.try_emplace(Id, PendingStop{Now});
     }
 }
 
@@ -23,37 +23,37 @@
   for (const OccurrenceRecord &Occurrence : Job.Open_)
     for (const StepRecord &Step : Occurrence.Steps_)
       for (const TaskRecord &Task : Step.Tasks_)
-        for (const Placement &Each : Task.Placements_)
-          Servers_.try_emplace(Each.Server_, Pending{Now});
+        for (const Placement &Placed : Task.Placements_)
+          Servers_.try_emplace(Placed.Server_, PendingStop{Now});
 }
 
-std::optional<Duration> PendingStops::noteAnswered(const std::string &Server,
+std::optional<Duration> PendingStops::recordAnswer(const std::string &Server,
                                                    bool HasStops,
                                                    TimePoint Now) {
-  const auto Found = Servers_.find(Server);
-  if (Found == Servers_.end())
+  const auto It = Servers_.find(Server);
+  if (It == Servers_.end())
     return std::nullopt;
   if (!HasStops) {
-    Servers_.erase(Found);
+    Servers_.erase(It);
     return std::nullopt;
   }
-  if (std::exchange(Found->second.IsSent_, true))
+  if (std::exchange(It->second.IsSent_, true))
     return std::nullopt;
-  return Now - Found->second.Since_;
+  return Now - It->second.Since_;
 }
 
 std::vector<ServerAwaitingStop> PendingStops::list(TimePoint Now) const {
   std::vector<ServerAwaitingStop> Result;
-  for (const auto &[Server, Own] : Servers_)
+  for (const auto &[Server, Stop] : Servers_)
     Result.push_back(
         {Server, static_cast<std::uint64_t>(
                      std::chrono::duration_cast<std::chrono::milliseconds>(
-                         Now - Own.Since_)
+                         Now - Stop.Since_)
                          .count())});
   std::sort(Result.begin(), Result.end(), [](const auto &A, const auto &B) {
     return std::tie(B.WaitedMs_, A.Server_) < std::tie(A.WaitedMs_, B.Server_);
   });
-  if (Result.size() > MostListed)
-    Result.resize(MostListed);
+  if (Result.size() > MaxListed)
+    Result.resize(MaxListed);
   return Result;
 }
--- a/src/jobs/PendingStops.h
+++ b/src/jobs/PendingStops.h
@@ -30,7 +30,7 @@
   /// A server was answered. One with stop orders waits on, as the answer may be
   /// lost: its next report shows whether it has stopped them. Returns how long
   /// it waited for its first stop order.
-  std::optional<Duration> noteAnswered(const std::string &Server, bool HasStops,
+  std::optional<Duration> recordAnswer(const std::string &Server, bool HasStops,
                                        TimePoint Now);
   void forget(const std::string &Server) { Servers_.erase(Server); }
 
@@ -40,11 +40,11 @@
   std::vector<ServerAwaitingStop> list(TimePoint Now) const;
 
 private:
-  struct Pending {
+  struct PendingStop {
     TimePoint Since_;
     bool IsSent_ = false; ///< An answer with a stop order was sent.
   };
-  std::map<std::string, Pending> Servers_;
+  std::map<std::string, PendingStop> Servers_;
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/ReadyTimes.h
+++ b/src/jobs/ReadyTimes.h
@@ -16,7 +16,7 @@
   /// Work that lasts and has waited so long goes first, and room is kept for
   /// it: short work comes without end and leaves gaps that are too small.
   /// Whoever lasts must not be away for more than some seconds.
-  static constexpr Duration LastingPatience = std::chrono::seconds(2);
+  static constexpr Duration MaxLongRunningWait = std::chrono::seconds(2);
 
   // Commands.
 
@@ -27,8 +27,8 @@
   }
   /// Forgets steps that are no longer ready.
   void prune(const JobBook &Book) {
-    std::erase_if(Since_, [&Book](const auto &Each) {
-      return Book.readySteps().count(Each.first) == 0;
+    std::erase_if(Since_, [&Book](const auto &Entry) {
+      return Book.readySteps().count(Entry.first) == 0;
     });
   }
 
--- a/src/jobs/ReportBatch.cpp
+++ b/src/jobs/ReportBatch.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t optionalFields(const ServerReport &) { return 1; }
 static auto fields(ReportBatch &X) {
   return std::tie(X.Reports_, X.HasDeferred_, X.FlushId_, X.Heard_, X.From_,
-                  X.WorkTimeNs_, X.LateReports_, X.TimeoutMs_);
+                  X.ProbeTimeNs_, X.LateReports_, X.TimeoutMs_);
 }
 constexpr std::size_t optionalFields(const ReportBatch &) { return 2; }
 static auto fields(FlushRequest &X) {
@@ -61,7 +61,7 @@
   return {Verdict, {}, From.error().Message_};
 }
 
-Outcome<ServerOrders> ReportAnswer::takeOutcome() && {
+Outcome<ServerOrders> ReportAnswer::toOutcome() && {
   switch (Verdict_) {
   case ReportVerdict::Answered:
     return std::move(Orders_);
--- a/src/jobs/RoomSurvey.cpp
+++ b/src/jobs/RoomSurvey.cpp
@@ -16,7 +16,7 @@
 /// Roomy: less than that part of the processors is reserved.
 static constexpr std::int64_t RoomyPercent = 70;
 
-void RoomSurvey::take(const JobBook &Book, const ServerBoard &Board,
+void RoomSurvey::take(const JobBook &Book, const LiveServerTable &Board,
                       ReadyTimes &Waits, TimePoint Now) {
   const std::vector<Usable> Servers = surveyServers(Book, Board, Now);
   holdRoom(Book, Servers, Waits, Now);
@@ -27,7 +27,7 @@
 }
 
 std::vector<RoomSurvey::Usable>
-RoomSurvey::surveyServers(const JobBook &Book, const ServerBoard &Board,
+RoomSurvey::surveyServers(const JobBook &Book, const LiveServerTable &Board,
                           TimePoint Now) {
   FreeAmongEquals_.clear();
   FreeAlone_.clear();
@@ -35,12 +35,13 @@
   std::int64_t Reserved = 0;
   std::vector<Usable> Servers;
   for (const auto &[Id, Server] : Book.servers()) {
-    if (!Board.takesStarts(Book, Server))
+    if (!Board.acceptsStarts(Book, Server))
       continue;
     Capacity += Server.Facts_.Capacity_.MilliCpus_;
     Reserved += Server.Used_.MilliCpus_;
-    const ServerLive *Live = Board.find(Id);
-    const bool IsSound = Health_.getFitness(Id, Now) == Fitness::Sound;
+    const LiveServer *Live = Board.find(Id);
+    const bool IsSound =
+        Health_.getHealthState(Id, Now) == HealthState::Healthy;
     Servers.push_back({&Server, IsSound});
     if (!IsSound || Live->NoStartsUntil_ > Now || Server.Serving_.size() > 1)
       continue;
@@ -98,7 +99,8 @@
     if (!Step.LongRunning_)
       continue;
     AnyLastingWaits_ = true;
-    if (ToHold == 0 || Waits.getWait(Ready, Now) < ReadyTimes::LastingPatience)
+    if (ToHold == 0 ||
+        Waits.getWait(Ready, Now) < ReadyTimes::MaxLongRunningWait)
       continue;
     // Sorted once for all that wait: there may be hundreds, and as many
     // servers.
--- a/src/jobs/RoomSurvey.h
+++ b/src/jobs/RoomSurvey.h
@@ -9,8 +9,8 @@
 #ifndef TULIPWEIR_SRC_JOBS_ROOMSURVEY_H
 #define TULIPWEIR_SRC_JOBS_ROOMSURVEY_H
 
+#include "jobs/LiveServerTable.h"
 #include "jobs/ReadyTimes.h"
-#include "jobs/ServerBoard.h"
 #include "jobs/ServerHealth.h"
 #include "jobs/ServerRoom.h"
 #include "jobs/ServingLoads.h"
@@ -35,8 +35,8 @@
 
   // Commands.
 
-  void take(const JobBook &Book, const ServerBoard &Board, ReadyTimes &Waits,
-            TimePoint Now);
+  void take(const JobBook &Book, const LiveServerTable &Board,
+            ReadyTimes &Waits, TimePoint Now);
   /// Takes idle processors where the step's filling image disturbs nothing, if
   /// there are enough. Images are surveyed once they were asked about.
   bool takeSafeRoom(const StepSpec &Step);
@@ -61,7 +61,8 @@
     bool IsSound_;
   };
   std::vector<Usable> surveyServers(const JobBook &Book,
-                                    const ServerBoard &Board, TimePoint Now);
+                                    const LiveServerTable &Board,
+                                    TimePoint Now);
   void surveyMoving(const JobBook &Book, const std::vector<Usable> &Servers);
   void holdRoom(const JobBook &Book, std::vector<Usable> Servers,
                 ReadyTimes &Waits, TimePoint Now);
--- a/src/jobs/ServerHealth.cpp
+++ b/src/jobs/ServerHealth.cpp
@@ -9,114 +9,119 @@
 
 /// Single runs fail by themselves in some percent of cases; three in a row of
 /// two jobs on one server hardly ever.
-static constexpr std::uint64_t MostFailures = 3;
-static constexpr std::size_t LeastJobs = 2;
+static constexpr std::uint64_t MinFailures = 3;
+static constexpr std::size_t MinJobs = 2;
 /// About as long as servers stay sick; doubled each time up to the longest.
-static constexpr Duration FirstSentence = 3s;
-static constexpr std::uint64_t MostDoublings = 2;
+static constexpr Duration FirstQuarantine = 3s;
+static constexpr std::uint64_t MaxDoublings = 2;
 /// A server is slow when its runs take so many times as long as those of the
 /// same steps elsewhere, which scatter by a third; sick ones are four times and
 /// more slower.
-static const double SlowLog = std::log(2.2);
-static constexpr std::uint64_t LeastSamples = 3;
-static constexpr std::uint64_t LeastElsewhere = 2;
+static const double MinSlowLogRatio = std::log(2.2);
+static constexpr std::uint64_t MinSamples = 3;
+static constexpr std::uint64_t MinRunsElsewhere = 2;
 static constexpr double NewestWeight = 0.4;
 /// Steps whose times are kept; some hundred are under way at a time.
-static constexpr std::size_t MostSteps = 512;
+static constexpr std::size_t MaxSteps = 512;
 
 void ServerHealth::reset() {
   Servers_.clear();
   Steps_.clear();
-  Order_.clear();
+  StepOrder_.clear();
 }
 
-void ServerHealth::sentence(Record &Own, TimePoint Now) {
-  const std::uint64_t Doublings = std::min(Own.Sentences_++, MostDoublings);
-  Own.Until_ = Now + FirstSentence * (std::uint64_t(1) << Doublings);
-  Own.IsOnProbation_ = true;
-  Own.Failures_ = 0;
-  Own.Jobs_.clear();
-  Own.Samples_ = 0;
-  Own.SlowJobs_.clear();
+void ServerHealth::startQuarantine(Record &Health, TimePoint Now) {
+  const std::uint64_t Doublings =
+      std::min(Health.QuarantineCount_++, MaxDoublings);
+  Health.Until_ = Now + FirstQuarantine * (std::uint64_t(1) << Doublings);
+  Health.IsOnProbation_ = true;
+  Health.Failures_ = 0;
+  Health.Jobs_.clear();
+  Health.Samples_ = 0;
+  Health.SlowJobs_.clear();
 }
 
 /// How much longer than elsewhere, as a logarithm; nothing while too few runs
 /// of the step were done on other servers.
-std::optional<double> ServerHealth::compare(const std::string &ServerId,
-                                            const StepKey &Step, double Log) {
-  const auto [Place, IsNew] = Steps_.try_emplace(Step);
+std::optional<double>
+ServerHealth::compareElsewhere(const std::string &ServerId, const StepKey &Step,
+                               double LogRunTime) {
+  const auto [It, IsNew] = Steps_.try_emplace(Step);
   if (IsNew)
-    Order_.push_back(Step);
-  StepTimes &Times = Place->second;
+    StepOrder_.push_back(Step);
+  StepTimes &Times = It->second;
   auto &[OwnSum, OwnCount] = Times.ByServer_[ServerId];
   const std::uint64_t Elsewhere = Times.Count_ - OwnCount;
-  std::optional<double> Longer;
-  if (Elsewhere >= LeastElsewhere)
-    Longer = Log - (Times.Sum_ - OwnSum) / double(Elsewhere);
-  Times.Sum_ += Log;
-  OwnSum += Log;
+  std::optional<double> LogRatio;
+  if (Elsewhere >= MinRunsElsewhere)
+    LogRatio = LogRunTime - (Times.Sum_ - OwnSum) / double(Elsewhere);
+  Times.Sum_ += LogRunTime;
+  OwnSum += LogRunTime;
   ++Times.Count_;
   ++OwnCount;
-  while (Order_.size() > MostSteps) {
-    Steps_.erase(Order_.front());
-    Order_.pop_front();
+  while (StepOrder_.size() > MaxSteps) {
+    Steps_.erase(StepOrder_.front());
+    StepOrder_.pop_front();
   }
-  return Longer;
+  return LogRatio;
 }
 
-bool ServerHealth::noteDone(const std::string &ServerId, const std::string &Job,
-                            std::uint64_t Step, Duration Took, TimePoint Now) {
-  Record &Own = Servers_[ServerId];
-  Own.Failures_ = 0;
-  Own.Jobs_.clear();
-  if (Now >= Own.Until_) {
-    Own.IsOnProbation_ = false;
-    Own.Sentences_ = 0;
+bool ServerHealth::recordCompletion(const std::string &ServerId,
+                                    const std::string &Job, std::uint64_t Step,
+                                    Duration RunTime, TimePoint Now) {
+  Record &Health = Servers_[ServerId];
+  Health.Failures_ = 0;
+  Health.Jobs_.clear();
+  if (Now >= Health.Until_) {
+    Health.IsOnProbation_ = false;
+    Health.QuarantineCount_ = 0;
   }
-  if (Took <= Duration(0))
+  if (RunTime <= Duration(0))
     return false;
-  const auto Longer = compare(
+  const auto LogRatio = compareElsewhere(
       ServerId, {Job, Step},
-      std::log(std::chrono::duration<double, std::milli>(Took).count()));
-  if (!Longer)
+      std::log(std::chrono::duration<double, std::milli>(RunTime).count()));
+  if (!LogRatio)
     return false;
-  Own.Slowness_ = Own.Samples_ == 0 ? *Longer
-                                    : Own.Slowness_ * (1 - NewestWeight) +
-                                          *Longer * NewestWeight;
-  ++Own.Samples_;
-  if (*Longer > SlowLog)
-    Own.SlowJobs_.insert(Job);
+  Health.SmoothedLogRatio_ =
+      Health.Samples_ == 0 ? *LogRatio
+                           : Health.SmoothedLogRatio_ * (1 - NewestWeight) +
+                                 *LogRatio * NewestWeight;
+  ++Health.Samples_;
+  if (*LogRatio > MinSlowLogRatio)
+    Health.SlowJobs_.insert(Job);
   else
-    Own.SlowJobs_.clear();
-  const bool IsSlow = Own.Samples_ >= LeastSamples &&
-                      Own.SlowJobs_.size() >= LeastJobs &&
-                      Own.Slowness_ > SlowLog && Now >= Own.Until_;
+    Health.SlowJobs_.clear();
+  const bool IsSlow =
+      Health.Samples_ >= MinSamples && Health.SlowJobs_.size() >= MinJobs &&
+      Health.SmoothedLogRatio_ > MinSlowLogRatio && Now >= Health.Until_;
   if (IsSlow)
-    sentence(Own, Now);
+    startQuarantine(Health, Now);
   return IsSlow;
 }
 
-bool ServerHealth::noteFailed(const std::string &ServerId,
-                              const std::string &Job, TimePoint Now) {
-  Record &Own = Servers_[ServerId];
-  ++Own.Failures_;
-  Own.Jobs_.insert(Job);
-  const bool IsRelapse = Own.IsOnProbation_ && Now >= Own.Until_;
+bool ServerHealth::recordFailure(const std::string &ServerId,
+                                 const std::string &Job, TimePoint Now) {
+  Record &Health = Servers_[ServerId];
+  ++Health.Failures_;
+  Health.Jobs_.insert(Job);
+  const bool IsRelapse = Health.IsOnProbation_ && Now >= Health.Until_;
   const bool IsSick =
-      Own.Failures_ >= MostFailures && Own.Jobs_.size() >= LeastJobs;
+      Health.Failures_ >= MinFailures && Health.Jobs_.size() >= MinJobs;
   if (!IsRelapse && !IsSick)
     return false;
-  const bool IsNew = Now >= Own.Until_;
-  sentence(Own, Now);
+  const bool IsNew = Now >= Health.Until_;
+  startQuarantine(Health, Now);
   return IsNew;
 }
 
-Fitness ServerHealth::getFitness(const std::string &ServerId,
-                                 TimePoint Now) const {
-  const auto Found = Servers_.find(ServerId);
-  if (Found == Servers_.end())
-    return Fitness::Sound;
-  if (Now < Found->second.Until_)
-    return Fitness::Quarantined;
-  return Found->second.IsOnProbation_ ? Fitness::Probation : Fitness::Sound;
+HealthState ServerHealth::getHealthState(const std::string &ServerId,
+                                         TimePoint Now) const {
+  const auto It = Servers_.find(ServerId);
+  if (It == Servers_.end())
+    return HealthState::Healthy;
+  if (Now < It->second.Until_)
+    return HealthState::Quarantined;
+  return It->second.IsOnProbation_ ? HealthState::Probation
+                                   : HealthState::Healthy;
 }
--- a/src/jobs/ServerHealth.h
+++ b/src/jobs/ServerHealth.h
@@ -25,7 +25,7 @@
 
 namespace tulipweir::jobs {
 
-enum class Fitness : std::uint8_t { Sound, Probation, Quarantined };
+enum class HealthState : std::uint8_t { Healthy, Probation, Quarantined };
 
 /// Not thread-safe.
 class ServerHealth {
@@ -36,25 +36,25 @@
   void forget(const std::string &ServerId) { Servers_.erase(ServerId); }
   /// A run of the step was done in Took; zero if that says nothing. True if
   /// that put the server into quarantine.
-  bool noteDone(const std::string &ServerId, const std::string &Job,
-                std::uint64_t Step, Duration Took, TimePoint Now);
+  bool recordCompletion(const std::string &ServerId, const std::string &Job,
+                        std::uint64_t Step, Duration RunTime, TimePoint Now);
   /// A run failed or made no progress. True if that put the server into
   /// quarantine.
-  bool noteFailed(const std::string &ServerId, const std::string &Job,
-                  TimePoint Now);
+  bool recordFailure(const std::string &ServerId, const std::string &Job,
+                     TimePoint Now);
 
   // Queries.
 
-  Fitness getFitness(const std::string &ServerId, TimePoint Now) const;
+  HealthState getHealthState(const std::string &ServerId, TimePoint Now) const;
 
 private:
   struct Record {
-    std::uint64_t Failures_ = 0; ///< Since the last run that was done.
-    std::set<std::string> Jobs_; ///< Of these.
-    double Slowness_ = 0;        ///< Smoothed logarithm of took over usual.
+    std::uint64_t Failures_ = 0;  ///< Since the last run that was done.
+    std::set<std::string> Jobs_;  ///< Of these.
+    double SmoothedLogRatio_ = 0; ///< Smoothed logarithm of took over usual.
     std::uint64_t Samples_ = 0;
     std::set<std::string> SlowJobs_; ///< Whose runs were slow here, in a row.
-    std::uint64_t Sentences_ = 0;    ///< In a row.
+    std::uint64_t QuarantineCount_ = 0; ///< In a row.
     bool IsOnProbation_ = false;
     TimePoint Until_{}; ///< Of the quarantine.
   };
@@ -66,13 +66,14 @@
   };
   using StepKey = std::pair<std::string, std::uint64_t>;
 
-  void sentence(Record &Own, TimePoint Now);
-  std::optional<double> compare(const std::string &ServerId,
-                                const StepKey &Step, double Log);
+  void startQuarantine(Record &Health, TimePoint Now);
+  std::optional<double> compareElsewhere(const std::string &ServerId,
+                                         const StepKey &Step,
+                                         double LogRunTime);
 
   std::map<std::string, Record> Servers_;
   std::map<StepKey, StepTimes> Steps_;
-  std::deque<StepKey> Order_; ///< Of Steps_, the oldest first.
+  std::deque<StepKey> StepOrder_; ///< Of Steps_, the oldest first.
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/ServerIncarnations.cpp
+++ b/src/jobs/ServerIncarnations.cpp
@@ -7,62 +7,65 @@
 
 /// Three times the servers of the largest deployment in docs/CAPACITY.md; some
 /// 100 bytes each.
-static constexpr std::size_t MostAddresses = 4096;
+static constexpr std::size_t MaxAddresses = 4096;
 /// Late reports come within seconds; this is more than all servers of the
 /// largest deployment restarted three times over.
-static constexpr std::size_t MostOver = 4096;
+static constexpr std::size_t MaxEndedIncarnations = 4096;
 
-std::string ServerIncarnations::begin(const std::string &Id,
-                                      const std::string &Address) {
-  std::string Before;
+std::string
+ServerIncarnations::registerIncarnation(const std::string &Id,
+                                        const std::string &Address) {
+  std::string Predecessor;
   bool IsAfterCrash = false;
-  if (IncarnationAtAddress *Known = find(Address)) {
-    if (Known->Id_ == Id) {
-      Known->HasCrashed_ = false;
+  if (IncarnationAtAddress *Incarnation = find(Address)) {
+    if (Incarnation->Id_ == Id) {
+      Incarnation->HasCrashed_ = false;
       return "";
     }
-    Before = Known->Id_;
-    IsAfterCrash = Known->HasCrashed_;
-    Latest_.erase(Latest_.begin() + (Known - Latest_.data()));
-    end(Before);
+    Predecessor = Incarnation->Id_;
+    IsAfterCrash = Incarnation->HasCrashed_;
+    Latest_.erase(Latest_.begin() + (Incarnation - Latest_.data()));
+    endIncarnation(Predecessor);
   }
-  if (Latest_.size() >= MostAddresses)
+  if (Latest_.size() >= MaxAddresses)
     Latest_.erase(Latest_.begin());
   Latest_.push_back({Address, Id, false, IsAfterCrash});
-  return Before;
+  return Predecessor;
 }
 
 IncarnationAtAddress *ServerIncarnations::find(const std::string &Address) {
-  const auto Known = std::find_if(Latest_.begin(), Latest_.end(),
-                                  [&Address](const IncarnationAtAddress &Each) {
-                                    return Each.Address_ == Address;
-                                  });
-  return Known == Latest_.end() ? nullptr : &*Known;
+  const auto It =
+      std::find_if(Latest_.begin(), Latest_.end(),
+                   [&Address](const IncarnationAtAddress &Incarnation) {
+                     return Incarnation.Address_ == Address;
+                   });
+  return It == Latest_.end() ? nullptr : &*It;
 }
 
-void ServerIncarnations::noteCrash(const std::string &Address) {
-  if (IncarnationAtAddress *Known = find(Address))
-    Known->HasCrashed_ = true;
+void ServerIncarnations::recordCrash(const std::string &Address) {
+  if (IncarnationAtAddress *Incarnation = find(Address))
+    Incarnation->HasCrashed_ = true;
 }
 
-void ServerIncarnations::explainCrash(const std::string &Address,
-                                      const std::string &Id) {
-  IncarnationAtAddress *Known = find(Address);
-  if (!Known)
+void ServerIncarnations::attributeCrash(const std::string &Address,
+                                        const std::string &Id) {
+  IncarnationAtAddress *Incarnation = find(Address);
+  if (!Incarnation)
     return;
-  (Known->Id_ == Id ? Known->HasCrashed_ : Known->IsAfterCrash_) = false;
+  (Incarnation->Id_ == Id ? Incarnation->HasCrashed_
+                          : Incarnation->IsAfterCrash_) = false;
 }
 
 bool ServerIncarnations::isAfterCrash(const std::string &Address) const {
-  const IncarnationAtAddress *Known =
+  const IncarnationAtAddress *Incarnation =
       const_cast<ServerIncarnations *>(this)->find(Address);
-  return Known && Known->IsAfterCrash_;
+  return Incarnation && Incarnation->IsAfterCrash_;
 }
 
-void ServerIncarnations::end(const std::string &Id) {
+void ServerIncarnations::endIncarnation(const std::string &Id) {
   if (isOver(Id))
     return;
-  if (Over_.size() >= MostOver)
+  if (Over_.size() >= MaxEndedIncarnations)
     Over_.pop_front();
   Over_.push_back(Id);
 }
--- a/src/jobs/ServiceOrder.cpp
+++ b/src/jobs/ServiceOrder.cpp
@@ -141,7 +141,7 @@
         Step.LongRunning_ ? 0 : getLateness(Job, Occurrence, Wall);
     const bool GoesFirst =
         !Step.LongRunning_ ||
-        Waits.getWait(Ready, Now) >= ReadyTimes::LastingPatience;
+        Waits.getWait(Ready, Now) >= ReadyTimes::MaxLongRunningWait;
     if (Lateness == 0 && Step.Fills_)
       Filling.emplace_back(Value_.getDensity(Job, Occurrence), &Ready);
     else if (Lateness == 0 && GoesFirst)
--- a/src/jobs/Stragglers.cpp
+++ b/src/jobs/Stragglers.cpp
@@ -36,14 +36,14 @@
              Allowed + LeastDelay;
 }
 
-void Stragglers::survey(const JobBook &Book, const ServerBoard &Board,
+void Stragglers::survey(const JobBook &Book, const LiveServerTable &Board,
                         TimePoint Now) {
   if (Now < NextSurvey_)
     return;
   NextSurvey_ = Now + SurveyInterval;
   std::vector<std::pair<TimePoint, TaskKey>> Found;
   for (const auto &[Id, Server] : Book.servers()) {
-    const ServerLive *Live = Board.find(Id);
+    const LiveServer *Live = Board.find(Id);
     if (!Live)
       continue;
     for (std::size_t I = 0; I < Live->Running_.size(); ++I) {
--- a/src/jobs/Stragglers.h
+++ b/src/jobs/Stragglers.h
@@ -8,7 +8,7 @@
 #ifndef TULIPWEIR_SRC_JOBS_STRAGGLERS_H
 #define TULIPWEIR_SRC_JOBS_STRAGGLERS_H
 
-#include "jobs/ServerBoard.h"
+#include "jobs/LiveServerTable.h"
 
 namespace tulipweir::jobs {
 
@@ -19,7 +19,7 @@
 
   void reset();
   /// Goes over all that runs, if the last time was long enough ago.
-  void survey(const JobBook &Book, const ServerBoard &Board, TimePoint Now);
+  void survey(const JobBook &Book, const LiveServerTable &Board, TimePoint Now);
 
   // Queries.
 
--- a/src/jobservice/ControlNode.cpp
+++ b/src/jobservice/ControlNode.cpp
@@ -194,7 +194,7 @@
                  " us here now takes " + InMicroseconds(Better->WorkTime_) +
                  " us at " + Better->Name_;
   Log_.write(Line);
-  Meter_.add(jobs::Counted::HandOvers, 1);
+  Meter_.add(jobs::JobCounter::LeadershipTransfers, 1);
   Current.Group_->transferLeadershipTo(
       Better->Name_, [Weak = weak_from_this()](const Outcome<void> &) {
         if (const std::shared_ptr<Impl> Self = Weak.lock())
--- a/src/jobservice/JobMetrics.cpp
+++ b/src/jobservice/JobMetrics.cpp
@@ -82,10 +82,10 @@
                                          HistogramTexts.at(I).Help_);
 }
 
-void JobMetrics::add(jobs::Counted What, std::uint64_t By) {
+void JobMetrics::add(jobs::JobCounter What, std::uint64_t By) {
   Counters_.at(static_cast<std::size_t>(What))->add(By);
 }
 
-void JobMetrics::record(jobs::Timed What, Duration Took) {
+void JobMetrics::record(jobs::JobTimer What, Duration Took) {
   Histograms_.at(static_cast<std::size_t>(What))->record(Took);
 }
--- a/src/jobservice/JobMetrics.h
+++ b/src/jobservice/JobMetrics.h
@@ -15,13 +15,13 @@
 class JobMetrics final : public jobs::JobMeter {
 public:
   static constexpr auto Counters =
-      static_cast<std::size_t>(jobs::Counted::HandOvers) + 1;
+      static_cast<std::size_t>(jobs::JobCounter::LeadershipTransfers) + 1;
   static constexpr auto Histograms =
-      static_cast<std::size_t>(jobs::Timed::Heartbeat) + 1;
+      static_cast<std::size_t>(jobs::JobTimer::Heartbeat) + 1;
 
   explicit JobMetrics(net::Metrics &To);
-  void add(jobs::Counted What, std::uint64_t By) override;
-  void record(jobs::Timed What, Duration Took) override;
+  void add(jobs::JobCounter What, std::uint64_t By) override;
+  void record(jobs::JobTimer What, Duration Took) override;
 
 private:
   std::array<net::Counter *, Counters> Counters_;
--- a/src/jobservice/ReportGather.cpp
+++ b/src/jobservice/ReportGather.cpp
@@ -36,13 +36,13 @@
                 static_cast<std::uint64_t>(Handled.count())});
       });
   if (Batch.HasDeferred_)
-    Leader.noteBehind();
+    Leader.markOverloaded();
   for (std::size_t I = 0; I < Batch.Reports_.size(); ++I) {
     const auto Note = [Gather, I](const Outcome<jobs::ServerOrders> &Orders) {
       Gather->note(I, Orders);
     };
     if (I < Batch.LateReports_)
-      Leader.noteLateEnds(Batch.Reports_[I], Note);
+      Leader.recordLateEnds(Batch.Reports_[I], Note);
     else
       Leader.report(std::move(Batch.Reports_[I]), Note);
   }
--- a/src/jobservice/ReportInbox.cpp
+++ b/src/jobservice/ReportInbox.cpp
@@ -34,7 +34,7 @@
     Each.WaitedMs_ += WaitedMs;
   if (!isExpired(Batch, WaitedMs))
     return Handle_(std::move(Batch), std::move(Answer));
-  Meter_.add(jobs::Counted::ReportsExpired,
+  Meter_.add(jobs::JobCounter::ReportsExpired,
              Batch.Reports_.size() - Batch.LateReports_);
   if (Batch.FlushId_ == 0)
     return Answer(makeExpired(Batch));
--- a/src/jobservice/ReportRelay.cpp
+++ b/src/jobservice/ReportRelay.cpp
@@ -326,7 +326,7 @@
     // The server counts its lease from before the report left here.
     if (Said->Orders_.LeaseMs_ > 0)
       noteExtended(Own);
-    Own.Reply_(std::move(*Said).takeOutcome());
+    Own.Reply_(std::move(*Said).toOutcome());
   }
   if (IsWhole)
     noteStops(Answer.value().AwaitingStop_);
--- a/src/jobservice/ReportRouter.cpp
+++ b/src/jobservice/ReportRouter.cpp
@@ -65,7 +65,7 @@
   Relay_->add(std::move(Report), [this, Hold = Owner_.lock(), Id,
                                   Reply](Outcome<jobs::ServerOrders> Orders) {
     if (Orders && Orders.value().LeaseMs_ == 0)
-      Meter_.add(jobs::Counted::ReportsRelayedWithoutLease, 1);
+      Meter_.add(jobs::JobCounter::ReportsRelayedWithoutLease, 1);
     if (Orders && isTimeToMove(Id))
       Orders.value().ReportTo_ = Relay_->pickFor(Id);
     Reply(std::move(Orders));
@@ -84,7 +84,7 @@
 void ReportRouter::send(jobs::ReportBatch Batch, Duration Timeout,
                         ReportRelay::BatchDone Reply) {
   Batch.From_ = Self_;
-  Batch.WorkTimeNs_ = static_cast<std::uint64_t>(getWorkTime().count());
+  Batch.ProbeTimeNs_ = static_cast<std::uint64_t>(getWorkTime().count());
   const std::shared_ptr<ControlLife> Current = FindLife_();
   const std::string Leader =
       Current ? Current->Group_->getStatus().LeaderName_ : "";
@@ -128,7 +128,8 @@
                         const net::LinkReply &Reply) {
   if (!FindLife_())
     return Reply(fail(ErrorCode::NotLeader, ""));
-  Policy_.recordProbe(Batch.From_, std::chrono::nanoseconds(Batch.WorkTimeNs_));
+  Policy_.recordProbe(Batch.From_,
+                      std::chrono::nanoseconds(Batch.ProbeTimeNs_));
   Inbox_.add(std::move(Batch), ReceivedAt,
              [Reply](const jobs::ReportBatchReply &Answers) {
                Reply(jobs::encodeReportReply(Answers));
--- a/tests/jobs/CrashFleet.h
+++ b/tests/jobs/CrashFleet.h
@@ -61,7 +61,7 @@
   std::size_t Done_ = 0;            ///< Runs of sound tasks.
   std::size_t Crashes_ = 0;         ///< Of servers.
   std::size_t SoundCrashed_ = 0;    ///< Runs of sound tasks lost in these.
-  KeptEvents Log_;
+  RecordingEventLog Log_;
 
 private:
   static constexpr Duration Step = std::chrono::milliseconds(10);
@@ -114,9 +114,9 @@
   ManualExecutor Strand_{Time_};
   JobMachine Machine_;
   ManualReplica Group_{Machine_};
-  KeptQuestions Advisor_;
-  HandProvider Provider_;
-  HandRelays Relays_{Strand_};
+  ManualAdvisor Advisor_;
+  ManualVmProvider Provider_;
+  ManualRelays Relays_{Strand_};
   NoJobMeter Meter_;
   JobLeaderSettings Settings_;
   JobLeader Leader_{Settings_, Time_,     Strand_, Group_, Machine_,
--- a/tests/jobs/ServersThatGoTest.cpp
+++ b/tests/jobs/DepartingServersTest.cpp
@@ -1,4 +1,5 @@
-//===- ServersThatGoTest.cpp - Order of a server's last words -------------===//
+//===- DepartingServersTest.cpp - Order of a server's last words
+//-------------===//
 //
 // What happened: a run was done at 27.412 s and began again at 27.697 s on
 // another server (grown bhf, trouble-1, seed 566615086255). The server left,
@@ -22,17 +23,17 @@
 
 namespace {
 
-class ServersThatGoTest : public JobLeaderTest {
+class DepartingServersTest : public JobLeaderTest {
 protected:
-  ServersThatGoTest() { Relays_.AnswersByItself_ = false; }
+  DepartingServersTest() { Relays_.AnswersAutomatically_ = false; }
   /// One run on s1.
-  StartOrder begin() {
+  StartOrder startRun() {
     call(CallKind::Submit, "j", {makeStep(1, 100)});
     const ServerOrders Orders = report(makeReport("s1"));
     EXPECT_EQ(Orders.Starts_.size(), 1U);
     return Orders.Starts_.at(0);
   }
-  ServerReport makeLast(const StartOrder &Run) {
+  ServerReport makeFinalReport(const StartOrder &Run) {
     ServerReport Last = makeReport("s1");
     Last.Ended_ = {makeEnded(1, Run, RunEnd::Done)};
     return Last;
@@ -43,8 +44,10 @@
     });
     Strand_.runAll();
   }
-  bool isBegunElsewhere() { return !report(makeReport("s2")).Starts_.empty(); }
-  void passLease() {
+  bool isStartedElsewhere() {
+    return !report(makeReport("s2")).Starts_.empty();
+  }
+  void expireLease() {
     Strand_.advance(Settings_.Lease_ + Settings_.Lease_ / 10);
   }
 
@@ -53,71 +56,71 @@
 
 } // namespace
 
-TEST_F(ServersThatGoTest, ALeavingWaitsForWhatARelayKeepsHoweverLong) {
-  const StartOrder Run = begin();
+TEST_F(DepartingServersTest, ALeavingWaitsForWhatARelayKeepsHoweverLong) {
+  const StartOrder Run = startRun();
   leave();
   Strand_.advance(2s);
-  EXPECT_FALSE(isBegunElsewhere());
-  report(makeLast(Run));
+  EXPECT_FALSE(isStartedElsewhere());
+  report(makeFinalReport(Run));
   Relays_.answer();
   Strand_.runAll();
-  EXPECT_FALSE(isBegunElsewhere());
+  EXPECT_FALSE(isStartedElsewhere());
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
-TEST_F(ServersThatGoTest, ALeavingIsDoneAsSoonAsNobodyKeepsAnything) {
-  begin();
+TEST_F(DepartingServersTest, ALeavingIsDoneAsSoonAsNobodyKeepsAnything) {
+  startRun();
   leave();
   EXPECT_FALSE(HasLeft_);
   Relays_.answer();
   Strand_.runAll();
   EXPECT_TRUE(HasLeft_);
-  EXPECT_TRUE(isBegunElsewhere());
+  EXPECT_TRUE(isStartedElsewhere());
 }
 
-TEST_F(ServersThatGoTest, AServerThatARelayHearsIsNotGivenUp) {
-  const StartOrder Run = begin();
-  passLease();
+TEST_F(DepartingServersTest, AServerThatARelayHearsIsNotGivenUp) {
+  const StartOrder Run = startRun();
+  expireLease();
   Relays_.answer({"s1"});
   Strand_.advance(500ms);
-  EXPECT_FALSE(isBegunElsewhere());
-  report(makeLast(Run));
-  EXPECT_FALSE(isBegunElsewhere()) << "it is done";
+  EXPECT_FALSE(isStartedElsewhere());
+  report(makeFinalReport(Run));
+  EXPECT_FALSE(isStartedElsewhere()) << "it is done";
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
-TEST_F(ServersThatGoTest, ASilentServerIsGivenUpOnceNobodyHearsIt) {
-  begin();
-  passLease();
-  EXPECT_FALSE(isBegunElsewhere()) << "the relays are being asked";
+TEST_F(DepartingServersTest, ASilentServerIsGivenUpOnceNobodyHearsIt) {
+  startRun();
+  expireLease();
+  EXPECT_FALSE(isStartedElsewhere()) << "the relays are being asked";
   Relays_.answer({"s1"});
   // Heard at that time; asked again, nobody has heard it any more.
   Strand_.advance(2s);
   Relays_.answer();
   Strand_.runAll();
-  EXPECT_TRUE(isBegunElsewhere());
+  EXPECT_TRUE(isStartedElsewhere());
 }
 
-TEST_F(ServersThatGoTest, AServerThatReportsWhileOthersAreAskedStays) {
-  const StartOrder Run = begin();
-  passLease();
+TEST_F(DepartingServersTest, AServerThatReportsWhileOthersAreAskedStays) {
+  const StartOrder Run = startRun();
+  expireLease();
   ServerReport Alive = makeReport("s1");
   Alive.Running_ = {makeRunning(Run)};
   EXPECT_GT(report(Alive).LeaseMs_, 0U);
   Relays_.answer();
   Strand_.runAll();
-  EXPECT_FALSE(isBegunElsewhere());
+  EXPECT_FALSE(isStartedElsewhere());
 }
 
-TEST_F(ServersThatGoTest, ANewLifeWaitsForWhatIsKeptOfTheOldOne) {
-  const StartOrder Run = begin();
+TEST_F(DepartingServersTest, ANewLifeWaitsForWhatIsKeptOfTheOldOne) {
+  const StartOrder Run = startRun();
   for (int I = 0; I < 6; ++I) {
-    EXPECT_EQ(report(makeLife("s1-again", "s1")).LeaseMs_, 0U);
+    EXPECT_EQ(report(makeIncarnationReport("s1-again", "s1")).LeaseMs_, 0U);
     Strand_.advance(250ms);
   }
-  report(makeLast(Run));
+  report(makeFinalReport(Run));
   Relays_.answer();
   Strand_.runAll();
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
-  EXPECT_FALSE(isBegunElsewhere());
+  EXPECT_FALSE(isStartedElsewhere());
 }
--- a/tests/jobs/DispatcherTest.cpp
+++ b/tests/jobs/DispatcherTest.cpp
@@ -44,7 +44,7 @@
 
   TimePoint Now_{1h};
   std::int64_t Wall_ = 1000;
-  ServerBoard Board_;
+  LiveServerTable Board_;
   TailEffects Effects_;
   ServingLoads Loads_;
   PaceGuard Paces_;
@@ -207,7 +207,7 @@
 TEST_F(DispatcherTest, AQuarantinedServerGetsNothingAndThenOneTask) {
   submit(makeJob("j", {makeStep(4, 1000)}));
   for (const char *Job : {"a", "b", "c"})
-    Health_.noteFailed("s1", Job, Now_);
+    Health_.recordFailure("s1", Job, Now_);
   EXPECT_TRUE(plan("s1").empty());
   advance(4s);
   EXPECT_EQ(plan("s1").size(), 1U);
@@ -253,11 +253,11 @@
   Report.Facts_ = makeServer("s1");
   Report.Running_ = {{First[0].Task_, 1, "", 1, 0}};
   ++Report.Sequence_;
-  Board_.note(Report, Now_, 10s);
+  Board_.recordReport(Report, Now_, 10s);
   advance(700ms);
   ++Report.Sequence_;
   Report.Running_[0].Percent_ = 70;
-  Board_.note(Report, Now_, 10s);
+  Board_.recordReport(Report, Now_, 10s);
   EXPECT_TRUE(plan("s2").empty()) << "it may take twice as long";
   advance(700ms);
   EXPECT_TRUE(plan("s1").empty()) << "not beside the first";
@@ -279,7 +279,7 @@
   Report.Facts_ = makeServer("s1");
   Report.Running_ = {{First[0].Task_, 1, "", 1, 0}};
   Report.Sequence_ = 1;
-  Board_.note(Report, Now_, 10s);
+  Board_.recordReport(Report, Now_, 10s);
   advance(5s);
   EXPECT_TRUE(plan("s2").empty());
 }
@@ -330,7 +330,7 @@
   Report.Facts_ = makeServer("s1");
   Report.Running_ = {{First.at(0).Task_, 1, "", 1, 0}};
   Report.Sequence_ = 1;
-  Board_.note(Report, Now_, 10s);
+  Board_.recordReport(Report, Now_, 10s);
   advance(1900ms);
   EXPECT_TRUE(plan("s2").empty());
 }
--- a/tests/jobs/IsolationPlannerTest.cpp
+++ b/tests/jobs/IsolationPlannerTest.cpp
@@ -28,7 +28,7 @@
   }
 
   TimePoint Now_ = TimePoint{} + 1h;
-  ServerBoard Board_;
+  LiveServerTable Board_;
   IsolationPlanner Planner_;
 };
 
--- a/tests/jobs/JobEvacuationTest.cpp
+++ b/tests/jobs/JobEvacuationTest.cpp
@@ -29,7 +29,7 @@
     Strand_.runAll();
   }
   /// The next report of a server in the other data centre.
-  ServerReport makeOther(const std::string &Id) {
+  ServerReport makeReportFromDc2(const std::string &Id) {
     ServerReport Report = makeReport(Id);
     Report.Facts_.DataCentre_ = "dc2";
     return Report;
@@ -53,7 +53,7 @@
   ASSERT_TRUE(evacuate("dc1", true));
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   EXPECT_TRUE(report(makeReport("s1")).Starts_.empty());
-  EXPECT_EQ(report(makeOther("s2")).Starts_.size(), 1U)
+  EXPECT_EQ(report(makeReportFromDc2("s2")).Starts_.size(), 1U)
       << "work goes where it may";
   call(CallKind::Submit, "k", {makeStep(1, 100)});
   ASSERT_TRUE(evacuate("dc1", false));
@@ -122,7 +122,7 @@
   EXPECT_TRUE(IsDone);
   // Servers that come later are under the same order.
   call(CallKind::Submit, "j", {makeStep(1, 100)});
-  EXPECT_TRUE(report(makeOther("s2")).Starts_.empty());
+  EXPECT_TRUE(report(makeReportFromDc2("s2")).Starts_.empty());
 }
 
 TEST_F(JobEvacuationTest, AMemberThatDoesNotLeadSaysWhoDoes) {
@@ -144,10 +144,10 @@
   const ServerOrders Stopping = report(makeReport("s1"));
   EXPECT_TRUE(Stopping.Starts_.empty()) << "it is not ordered again";
   ASSERT_EQ(Stopping.Stops_.size(), 1U);
-  EXPECT_TRUE(report(makeOther("s2")).Starts_.empty())
+  EXPECT_TRUE(report(makeReportFromDc2("s2")).Starts_.empty())
       << "it may run on s1 yet";
   report(makeReport("s1"));
-  const ServerOrders Elsewhere = report(makeOther("s2"));
+  const ServerOrders Elsewhere = report(makeReportFromDc2("s2"));
   ASSERT_EQ(Elsewhere.Starts_.size(), 1U);
   EXPECT_GT(Elsewhere.Starts_[0].Run_, Stopping.Stops_[0].Run_);
 }
@@ -171,7 +171,7 @@
   ASSERT_TRUE(*Orders && **Orders);
   EXPECT_TRUE((*Orders)->value().Starts_.empty());
   Group_.IsHeld_ = false;
-  EXPECT_EQ(report(makeOther("s2")).Starts_.size(), 1U);
+  EXPECT_EQ(report(makeReportFromDc2("s2")).Starts_.size(), 1U);
 }
 
 TEST_F(JobEvacuationTest, ItOutlivesTheLeaderAndItsSnapshot) {
@@ -187,14 +187,14 @@
 
 TEST_F(JobEvacuationTest, AGangGoesWhereAllOfItMayRun) {
   report(makeReport("s1"));
-  report(makeOther("s2"));
+  report(makeReportFromDc2("s2"));
   ASSERT_TRUE(evacuate("dc1", true));
   StepSpec Gang = makeStep(3, 1000);
   Gang.Gang_ = true;
   call(CallKind::Submit, "j", {Gang});
   Strand_.advance(200ms);
   EXPECT_TRUE(report(makeReport("s1")).Starts_.empty());
-  EXPECT_EQ(report(makeOther("s2")).Starts_.size(), 3U);
+  EXPECT_EQ(report(makeReportFromDc2("s2")).Starts_.size(), 3U);
 }
 
 TEST_F(JobEvacuationTest, NoCopyOfALateRunIsStartedThere) {
@@ -202,12 +202,12 @@
   Step.Speculative_ = true;
   Step.EstimateMs_ = 100;
   call(CallKind::Submit, "j", {Step});
-  const ServerOrders First = report(makeOther("s2"));
+  const ServerOrders First = report(makeReportFromDc2("s2"));
   ASSERT_EQ(First.Starts_.size(), 1U);
   report(makeReport("s1"));
   ASSERT_TRUE(evacuate("dc1", true));
   for (int I = 0; I < 8; ++I) {
-    ServerReport Running = makeOther("s2");
+    ServerReport Running = makeReportFromDc2("s2");
     Running.Running_ = {makeRunning(First.Starts_[0])};
     report(Running);
     Strand_.advance(500ms);
--- a/tests/jobs/JobLeaderServersTest.cpp
+++ b/tests/jobs/JobLeaderServersTest.cpp
@@ -67,7 +67,7 @@
   Late.Ended_ = {makeEnded(1, Orders.Starts_[0], RunEnd::Done)};
   Strand_.advance(5s);
   std::optional<ServerOrders> Got;
-  Leader_.noteLateEnds(
+  Leader_.recordLateEnds(
       Late, [&Got](Outcome<ServerOrders> Reply) { Got = Reply.value(); });
   Strand_.runAll();
   EXPECT_EQ(Got, ServerOrders{});
@@ -134,11 +134,11 @@
     return !report(makeReport("s2")).Starts_.empty();
   };
   // The server's report waits at a relay for all this time.
-  Relays_.AnswersByItself_ = false;
+  Relays_.AnswersAutomatically_ = false;
   const Duration Until = Settings_.Lease_ * 3 / 2;
   for (Duration At{}; At < Until; At += std::chrono::seconds(1)) {
     Strand_.advance(std::chrono::seconds(1));
-    Leader_.noteBehind();
+    Leader_.markOverloaded();
     Relays_.answer({"s1"});
   }
   EXPECT_FALSE(IsMoved());
@@ -155,7 +155,7 @@
   const Duration Until = Settings_.Lease_ * 5 / 2;
   for (Duration At{}; At < Until; At += std::chrono::seconds(1)) {
     Strand_.advance(std::chrono::seconds(1));
-    Leader_.noteBehind();
+    Leader_.markOverloaded();
   }
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
 }
@@ -167,7 +167,7 @@
   const Duration Until = Settings_.Lease_ + 2s;
   for (Duration At{}; At < Until; At += 250ms) {
     Strand_.advance(250ms);
-    Leader_.noteBehind();
+    Leader_.markOverloaded();
   }
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
 }
@@ -176,10 +176,10 @@
 TEST_F(JobLeaderTest, ALeaderThatIsBehindAsksTheRelaysTwice) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   ASSERT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
-  Relays_.AnswersByItself_ = false;
+  Relays_.AnswersAutomatically_ = false;
   const auto Pass = [this](Duration Length) {
     for (Duration At{}; At < Length; At += 250ms) {
-      Leader_.noteBehind();
+      Leader_.markOverloaded();
       Strand_.advance(250ms);
     }
   };
@@ -201,10 +201,10 @@
   report(makeReport("s1"));
   // Once it has reported for a second while the old one was silent: the first
   // report alone could be one that was held up on its way.
-  EXPECT_EQ(report(makeLife("s1-again", "s1")).LeaseMs_, 0U);
+  EXPECT_EQ(report(makeIncarnationReport("s1-again", "s1")).LeaseMs_, 0U);
   Strand_.advance(1s);
-  report(makeLife("s1-again", "s1"));
-  const ServerOrders Orders = report(makeLife("s1-again", "s1"));
+  report(makeIncarnationReport("s1-again", "s1"));
+  const ServerOrders Orders = report(makeIncarnationReport("s1-again", "s1"));
   ASSERT_EQ(Orders.Starts_.size(), 1U);
   EXPECT_EQ(Orders.Starts_[0].Run_, 2U);
   // A report of the old life that was on its way brings nothing back.
@@ -222,7 +222,7 @@
   // Reports of a life that never came through while it lived, held up by a cut:
   // one now, one much later.
   for (int I = 0; I < 2; ++I) {
-    EXPECT_EQ(report(makeLife("s0", "s1")).LeaseMs_, 0U);
+    EXPECT_EQ(report(makeIncarnationReport("s0", "s1")).LeaseMs_, 0U);
     for (int Reports = 0; Reports < 4; ++Reports) {
       Strand_.advance(500ms);
       ServerReport Alive = makeReport("s1");
@@ -242,7 +242,7 @@
 TEST_F(JobLeaderTest, ALifeThatIsOverStaysSoUnderANewLeader) {
   report(makeReport("s1"));
   Strand_.advance(Settings_.Lease_ * 2); // Silent until its lease ran out.
-  report(makeLife("s1-again", "s1"));
+  report(makeIncarnationReport("s1-again", "s1"));
   Group_.IsLeader_ = false;
   Strand_.advance(100ms);
   Group_.IsLeader_ = true;
@@ -253,7 +253,7 @@
     EXPECT_EQ(report(makeReport("s1")), ServerOrders{}) << "held up on its way";
     Strand_.advance(500ms);
   }
-  EXPECT_EQ(report(makeLife("s1-again", "s1")).Starts_.size(), 1U);
+  EXPECT_EQ(report(makeIncarnationReport("s1-again", "s1")).Starts_.size(), 1U);
 }
 
 TEST_F(JobLeaderTest, ADrainingServerGetsNothingNew) {
@@ -378,7 +378,7 @@
 TEST_F(JobLeaderTest, ALostServerIsGivenUpAlsoIfARelayDoesNotAnswer) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   ASSERT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
-  Relays_.AnswersByItself_ = false;
+  Relays_.AnswersAutomatically_ = false;
   Strand_.advance(Settings_.Lease_ + 1s);
   EXPECT_TRUE(report(makeReport("s2")).Starts_.empty());
   Strand_.advance(1s);
@@ -411,7 +411,7 @@
   const Duration Until = Settings_.Lease_ * 103 / 100 + 500ms;
   for (Duration At{}; At < Until; At += 50ms) {
     Strand_.advance(50ms);
-    Leader_.noteBehind();
+    Leader_.markOverloaded();
   }
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
 }
--- a/tests/jobs/LeaderFixture.h
+++ b/tests/jobs/LeaderFixture.h
@@ -121,7 +121,7 @@
 };
 
 /// Keeps what was written.
-class KeptEvents final : public EventLog {
+class RecordingEventLog final : public EventLog {
 public:
   void write(const Event &Value) override { Events_.push_back(Value); }
   std::size_t count(EventKind Kind) const {
@@ -142,7 +142,7 @@
 };
 
 /// Keeps what it was asked until it is told to answer.
-class KeptQuestions final : public Advisor {
+class ManualAdvisor final : public Advisor {
 public:
   struct Question {
     StepKey Step_;
@@ -161,18 +161,18 @@
 
 /// Other members that keep what they may for as long as they usually do, or
 /// until they are told to answer.
-class HandRelays final : public ReportRelays {
+class ManualRelays final : public ReportRelays {
 public:
-  explicit HandRelays(ManualExecutor &Strand) : Strand_(Strand) {}
+  explicit ManualRelays(ManualExecutor &Strand) : Strand_(Strand) {}
 
   void flush(const std::string &, std::function<void()> Done) override {
-    if (AnswersByItself_)
+    if (AnswersAutomatically_)
       return Strand_.postAfter(Kept, std::move(Done));
     Asked_.push_back([Done = std::move(Done)](const Heard &) { Done(); });
   }
   void findHeard(const std::vector<std::string> &,
                  std::function<void(Heard)> Done) override {
-    if (AnswersByItself_)
+    if (AnswersAutomatically_)
       return Strand_.post([Done = std::move(Done)] { Done({}); });
     Asked_.push_back(std::move(Done));
   }
@@ -182,7 +182,7 @@
       Each(Servers);
   }
 
-  bool AnswersByItself_ = true;
+  bool AnswersAutomatically_ = true;
 
 private:
   /// Longer than a relay keeps a report for its turn.
@@ -193,7 +193,7 @@
 };
 
 /// Lists what it is given, and keeps orders until it is told to answer.
-class HandProvider final : public VmProvider {
+class ManualVmProvider final : public VmProvider {
 public:
   struct Order {
     std::string Vm_;
@@ -248,7 +248,8 @@
     return Report;
   }
   /// The next report of a life at the address of the server Place.
-  ServerReport makeLife(const std::string &Id, const std::string &Place) {
+  ServerReport makeIncarnationReport(const std::string &Id,
+                                     const std::string &Place) {
     ServerReport Report = makeReport(Id);
     Report.Facts_.Address_ = makeServer(Place).Address_;
     return Report;
@@ -279,12 +280,12 @@
   ManualExecutor Strand_{Time_};
   JobMachine Machine_;
   ManualReplica Group_{Machine_};
-  KeptEvents Log_;
+  RecordingEventLog Log_;
   NoJobMeter Meter_;
   JobLeaderSettings Settings_;
-  KeptQuestions Advisor_;
-  HandProvider Provider_;
-  HandRelays Relays_{Strand_};
+  ManualAdvisor Advisor_;
+  ManualVmProvider Provider_;
+  ManualRelays Relays_{Strand_};
   JobLeader Leader_{Settings_, Time_,     Strand_, Group_, Machine_,
                     Advisor_,  Provider_, Relays_, Log_,   Meter_};
   std::map<std::string, std::uint64_t> Sequences_;
--- a/tests/jobs/ServerHealthTest.cpp
+++ b/tests/jobs/ServerHealthTest.cpp
@@ -13,13 +13,15 @@
 
 class ServerHealthTest : public ::testing::Test {
 protected:
-  bool failJob(const char *Job) { return Health_.noteFailed("s", Job, Now_); }
-  bool done(const char *Server = "s", Duration Took = 500ms,
-            const char *Job = "j") {
-    return Health_.noteDone(Server, Job, 0, Took, Now_);
+  bool failJob(const char *Job) {
+    return Health_.recordFailure("s", Job, Now_);
   }
-  Fitness fitness(const char *Server = "s") const {
-    return Health_.getFitness(Server, Now_);
+  bool completeRun(const char *Server = "s", Duration RunTime = 500ms,
+                   const char *Job = "j") {
+    return Health_.recordCompletion(Server, Job, 0, RunTime, Now_);
+  }
+  HealthState healthState(const char *Server = "s") const {
+    return Health_.getHealthState(Server, Now_);
   }
 
   ServerHealth Health_;
@@ -32,22 +34,22 @@
   EXPECT_FALSE(failJob("a"));
   EXPECT_FALSE(failJob("b"));
   EXPECT_TRUE(failJob("a"));
-  EXPECT_EQ(fitness(), Fitness::Quarantined);
+  EXPECT_EQ(healthState(), HealthState::Quarantined);
 }
 
 TEST_F(ServerHealthTest, OnePoisonousJobDoesNot) {
   for (int I = 0; I < 50; ++I)
     EXPECT_FALSE(failJob("poison"));
-  EXPECT_EQ(fitness(), Fitness::Sound);
+  EXPECT_EQ(healthState(), HealthState::Healthy);
 }
 
 TEST_F(ServerHealthTest, ARunThatIsDoneSpeaksForTheServer) {
   for (int I = 0; I < 20; ++I) {
     EXPECT_FALSE(failJob("a"));
     EXPECT_FALSE(failJob("b"));
-    done();
+    completeRun();
   }
-  EXPECT_EQ(fitness(), Fitness::Sound);
+  EXPECT_EQ(healthState(), HealthState::Healthy);
 }
 
 TEST_F(ServerHealthTest, ProbationEndsWithARunThatIsDone) {
@@ -55,9 +57,9 @@
   failJob("b");
   failJob("c");
   Now_ += 4s;
-  EXPECT_EQ(fitness(), Fitness::Probation);
-  done();
-  EXPECT_EQ(fitness(), Fitness::Sound);
+  EXPECT_EQ(healthState(), HealthState::Probation);
+  completeRun();
+  EXPECT_EQ(healthState(), HealthState::Healthy);
 }
 
 TEST_F(ServerHealthTest, OneFailureOnProbationIsEnoughAndCostsMore) {
@@ -67,36 +69,36 @@
   Now_ += 4s;
   EXPECT_TRUE(failJob("a"));
   Now_ += 4s;
-  EXPECT_EQ(fitness(), Fitness::Quarantined);
+  EXPECT_EQ(healthState(), HealthState::Quarantined);
   Now_ += 4s;
-  EXPECT_EQ(fitness(), Fitness::Probation);
+  EXPECT_EQ(healthState(), HealthState::Probation);
 }
 
 TEST_F(ServerHealthTest, ASlowServerIsToldFromLongJobs) {
   const char *const Jobs[] = {"a", "b", "c"};
   for (const char *Job : Jobs)
     for (int I = 0; I < 3; ++I)
-      done("other", 2000ms, Job);
+      completeRun("other", 2000ms, Job);
   for (const char *Job : Jobs)
-    EXPECT_FALSE(done("sound", 2900ms, Job));
-  EXPECT_EQ(fitness("sound"), Fitness::Sound);
+    EXPECT_FALSE(completeRun("sound", 2900ms, Job));
+  EXPECT_EQ(healthState("sound"), HealthState::Healthy);
   bool IsFound = false;
   for (const char *Job : Jobs)
-    IsFound = done("s", 9000ms, Job) || IsFound;
+    IsFound = completeRun("s", 9000ms, Job) || IsFound;
   EXPECT_TRUE(IsFound);
-  EXPECT_EQ(fitness(), Fitness::Quarantined);
-  EXPECT_EQ(fitness("other"), Fitness::Sound);
+  EXPECT_EQ(healthState(), HealthState::Quarantined);
+  EXPECT_EQ(healthState("other"), HealthState::Healthy);
 }
 
 TEST_F(ServerHealthTest, OneOddJobMakesNoServerSlow) {
   for (int I = 0; I < 4; ++I)
-    done("other", 500ms, "odd");
+    completeRun("other", 500ms, "odd");
   for (int I = 0; I < 10; ++I)
-    EXPECT_FALSE(done("s", 9000ms, "odd"));
-  EXPECT_EQ(fitness(), Fitness::Sound);
+    EXPECT_FALSE(completeRun("s", 9000ms, "odd"));
+  EXPECT_EQ(healthState(), HealthState::Healthy);
 }
 
 TEST_F(ServerHealthTest, WithoutRunsElsewhereNothingIsSaid) {
   for (int I = 0; I < 10; ++I)
-    EXPECT_FALSE(done("s", 9000ms, I % 2 == 0 ? "a" : "b"));
+    EXPECT_FALSE(completeRun("s", 9000ms, I % 2 == 0 ? "a" : "b"));
 }
--- a/tests/jobservice/ReportRelayTest.cpp
+++ b/tests/jobservice/ReportRelayTest.cpp
@@ -229,9 +229,9 @@
   auto Back = decodeReportReply(encodeReportReply(Reply));
   ASSERT_EQ(Back.value(), Reply);
   // Whoever relays must know that the server, not the leader, is at fault.
-  EXPECT_EQ(std::move(Back.value().Answers_[1]).takeOutcome().error().Code_,
+  EXPECT_EQ(std::move(Back.value().Answers_[1]).toOutcome().error().Code_,
             ErrorCode::Unavailable);
-  EXPECT_EQ(std::move(Back.value().Answers_[2]).takeOutcome().error().Code_,
+  EXPECT_EQ(std::move(Back.value().Answers_[2]).toOutcome().error().Code_,
             ErrorCode::InvalidArgument);
   EXPECT_FALSE(decodeReports("no batch"));
 }
