--- a/include/tulipweir/jobs/JobLeader.h
+++ b/include/tulipweir/jobs/JobLeader.h
@@ -1,8 +1,8 @@
-//===- JobLeader.h - The leader's side of the jobs -------------*- C++ -*-===//
+//===- JobLeader.h - The leader's scheduler of jobs -------------*- C++ -*-===//
 //
 // Answers clients' calls and backend servers' reports from the replicated
 // state, and changes that state. On a replica that does not lead, every call
-// fails with NotLeader and the leader's name, as far as it is known.
+// fails with NotLeader and the leader's name if it is known.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,26 +27,29 @@
 namespace tulipweir::jobs {
 
 struct JobLeaderSettings {
-  /// How long a server goes on without word from us.
+  /// The time for which a server may run tasks after the report that renewed
+  /// its lease was sent.
   Duration Lease_ = std::chrono::seconds(5);
-  /// By how much a server's clock may be slow, in percent; a lease counts as
-  /// run out only after so much more.
+  /// Assumed bound on the drift of a server's clock, in percent. The leader
+  /// waits that much longer before it treats a lease as expired.
   std::uint64_t ClockDriftPercent_ = 3;
-  /// How soon a server reports again when nothing happens on it.
+  /// The interval at which a server reports when nothing happens on it.
   Duration ReportInterval_ = std::chrono::milliseconds(500);
-  /// How long an ended job can be asked for.
+  /// How long an ended job stays visible to clients.
   Duration Retention_ = std::chrono::seconds(180);
-  /// How long before its time an occurrence may start.
+  /// How long before its due time an occurrence may start.
   Duration EarliestStart_ = std::chrono::milliseconds(0);
-  /// How long after its election a leader orders nothing from the provider of
-  /// VMs, as the one before may.
+  /// How long after its election a leader sends no orders to the provider of
+  /// VMs, as the previous leader may still send some.
   Duration HolderLease_ = std::chrono::seconds(3);
-  /// Those that the deployment names; others are known by their servers.
+  /// The data centres that the deployment names. Others are known from the
+  /// reports of their servers.
   std::vector<std::string> DataCentres_;
 };
 
-/// Lives on one executor: all members are called there, and callbacks run
-/// there. References must outlive it.
+/// Schedules jobs while its replica leads. It lives on one executor: all
+/// members are called there, and callbacks run there. The references that it is
+/// given must outlive it.
 class JobLeader {
 public:
   template <class Value> using Done = std::function<void(Outcome<Value>)>;
@@ -61,41 +64,46 @@
 
   // Commands.
 
-  /// Begins to watch for leadership.
+  /// Starts the periodic tick, which watches for leadership.
   void start();
   void call(JobCall Call, Done<JobCallReply> Reply);
   void report(ServerReport Report, Done<ServerOrders> Reply);
-  /// A report that was not delivered in time: the ends in it count, but it is
-  /// no sign of life. Reply gets no lease and no orders.
+  /// Records the ends in a report that was not delivered in time. Such a report
+  /// is no heartbeat: Reply gets no lease and no orders.
   void recordLateEnds(const ServerReport &Report, Done<ServerOrders> Reply);
-  /// Learns from a report that another member decides, so that it knows what
-  /// disturbs what by the time it leads itself.
+  /// Learns interference between tasks from a report that another member
+  /// handles, so that this member knows it when it becomes the leader.
   void observe(const ServerReport &Report);
-  /// Relays defer reports, as the leader is behind. For some time the relays
-  /// are asked twice before a server whose lease expired is removed.
+  /// Marks the leader as overloaded, as relays defer reports. For some time the
+  /// relays are asked twice before a server with an expired lease is removed.
   void markOverloaded();
-  /// The server has left for good.
+  /// Removes a server that has left for good.
   void leave(const std::string &ServerId, Done<void> Reply);
-  /// Reply tells whether it is in force or was overtaken; Conflict if another
-  /// content is held under its version.
+  /// Stores a configuration. Reply succeeds once it is in force or superseded
+  /// by a later version; it fails with Conflict if the same version has another
+  /// content.
   void putConfiguration(Configuration Value, Done<void> Reply);
-  /// A wave of maintenance; done once it is stored, also if it was before.
+  /// Starts a wave of maintenance. Reply succeeds once the wave is stored, also
+  /// if it was stored before.
   void startWave(const WaveSpec &Spec, Done<void> Reply);
 
-  /// Nothing starts in the data centre from the reply on, or things may again;
-  /// what runs there goes on. NotFound for one that nobody knows.
+  /// Begins or ends the evacuation of a data centre. From the reply to the
+  /// first on, nothing starts in the data centre; running tasks go on. Reply is
+  /// NotFound for an unknown data centre.
   void evacuate(const EvacuateDataCentre &Order, Done<void> Reply);
 
   // Queries.
 
-  /// The newest configuration; fails where that can't be known.
+  /// Replies with the newest configuration; fails on a replica that does not
+  /// lead.
   void readConfiguration(Done<Configuration> Reply);
-  /// NotFound for a wave that nobody has ordered.
+  /// Replies with the state of a wave, or NotFound if it does not exist.
   void showWave(std::uint64_t Wave, Done<WaveRecord> Reply);
   bool isLeading() const;
-  /// Servers that run tasks of ended jobs.
+  /// Lists the servers that run tasks of ended jobs.
   std::vector<ServerAwaitingStop> listAwaitingStop() const;
-  /// With which its orders are fenced; nothing while it does not lead.
+  /// Returns the token that fences the leader's orders; nothing while it does
+  /// not lead.
   std::optional<std::uint64_t> findFencingToken() const;
 
 private:
--- a/include/tulipweir/jobs/JobMeter.h
+++ b/include/tulipweir/jobs/JobMeter.h
@@ -1,7 +1,7 @@
-//===- JobMeter.h - What a leader counts and times -------------*- C++ -*-===//
+//===- JobMeter.h - Counters and timers of a leader -------------*- C++ -*-===//
 //
-// The leader's decisions as figures. The program turns them into metrics; tests
-// that don't look use NoJobMeter.
+// The program turns them into metrics. Tests that do not need them use
+// NoJobMeter.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,10 +16,11 @@
 namespace tulipweir::jobs {
 
 enum class JobTimer : std::uint8_t {
-  Acknowledge,  ///< From a submission's arrival to its commit.
-  FirstStart,   ///< From the acceptance to the first start.
-  Finish,       ///< From the acceptance to the end.
-  Stop,         ///< From a job's end to the answer that stops its runs.
+  Acknowledge, ///< From a submission's arrival to its commit.
+  FirstStart,  ///< From the acceptance to the first start.
+  Finish,      ///< From the acceptance to the end.
+  Stop, ///< From a job's end to the answer that first stops its runs on a
+        ///< server.
   LeaseRenewal, ///< From one extension of a server's lease to the next.
   Heartbeat,    ///< From a report's arrival to its answer.
 };
@@ -31,29 +32,30 @@
   JobsFailed,
   JobsCancelled,
   TasksStarted,
-  StartsRefused, ///< By the state machine or by the server.
-  TasksMoved,    ///< Stopped to go on elsewhere.
-  TasksLapsed,   ///< Given up with their server.
+  StartsRefused, ///< Refused by the state machine or by the server.
+  TasksMoved,    ///< Stopped in order to continue on another server.
+  TasksLapsed,   ///< Given up as their server left or its lease expired.
   ServersGone,
   EvacuationsBegun,
   EvacuationsEnded,
-  ExpiredServersKept,   ///< Leases that ran out while another member heard the
-                        ///< server.
-  ReportsAnsweredEarly, ///< Before what came of them was committed.
-  CrashesSuspected,     ///< Of servers, that some task may have caused.
-  TasksSuspected,       ///< To be isolated after such a crash.
-  JobsGivenUp,          ///< Since a task crashed its servers.
-  // Reports answered without a lease.
-  ReportsLate,       ///< A later report of the server was answered before.
-  ReportsSuperseded, ///< A later one came while this one was handled.
-  ReportsWithAddressConflict, ///< Another incarnation holds its address.
-  ReportsRelayedWithoutLease, ///< By a relay, for whatever reason.
-  ReportsExpired,             ///< Not handled, as they waited too long here.
-  LeadershipTransfers, ///< Of leadership, as this VM was slow and another was
-                       ///< not.
+  ExpiredServersKept,   ///< Servers that were kept although their lease had
+                        ///< expired, as another member had heard them.
+  ReportsAnsweredEarly, ///< Answered before their changes were committed.
+  CrashesSuspected,     ///< Crashes of servers that a task may have caused.
+  TasksSuspected,       ///< Tasks to be isolated after such a crash.
+  JobsGivenUp,          ///< Failed as one of their tasks crashed its servers.
+  // Reports that got no lease:
+  ReportsLate,       ///< A later report of the server was handled before.
+  ReportsSuperseded, ///< A later report arrived while this one was handled.
+  ReportsWithAddressConflict, ///< Another incarnation holds the address.
+  ReportsRelayedWithoutLease, ///< Answered without a lease by a relay, for any
+                              ///< reason.
+  ReportsExpired, ///< Not handled, as they had waited too long at the leader.
+  LeadershipTransfers, ///< Transfers from a slow VM to a faster one.
 };
 
-/// Thread-safe and never blocking.
+/// Receives the leader's counters and timers. Implementations are thread-safe
+/// and never block.
 class JobMeter {
 public:
   virtual ~JobMeter() = default;
--- a/include/tulipweir/jobs/ReportBatch.h
+++ b/include/tulipweir/jobs/ReportBatch.h
@@ -14,73 +14,75 @@
 
 struct ReportBatch {
   std::vector<ServerReport> Reports_;
-  /// The relay has deferred reports recently, as the leader was behind.
+  /// Whether the relay has deferred reports recently, as the leader was
+  /// overloaded.
   bool HasDeferred_ = false;
-  /// The flush request that this batch answers; 0 for none. The relay's earlier
-  /// batches on the same link have arrived before it.
+  /// The id of the flush request that this batch answers; 0 for none. The
+  /// relay's earlier batches on the same link have arrived before it.
   std::uint64_t FlushId_ = 0;
-  /// The request's servers that the relay has heard recently.
+  /// The servers of the flush request that the relay has heard recently.
   std::vector<std::string> Heard_ = {};
-  std::string From_ = {}; ///< The member that passes them on.
-  /// How long a set piece of work takes there; 0 as long as it cannot tell.
+  std::string From_ = {}; ///< The name of the relay.
+  /// How long the relay's VM takes for the fixed work of the processor probe,
+  /// which shows how fast the VM is; 0 while unknown.
   std::uint64_t ProbeTimeNs_ = 0;
-  /// The number of leading reports that are late, as they were deferred or lost
-  /// before. Only the ends in them count; they extend no lease.
+  /// The first reports of the batch that are late, as they were deferred or
+  /// lost before. Only the ends in them count; they extend no lease.
   std::uint64_t LateReports_ = 0;
-  /// How long the relay waits for the reply; 0 if it does not say.
+  /// How long the relay waits for the reply; 0 if unknown.
   std::uint64_t TimeoutMs_ = 0;
   bool operator==(const ReportBatch &) const = default;
 };
 
 /// Asks a relay to send its buffered reports of these servers at once.
 struct FlushRequest {
-  std::string From_; ///< The leader that asks.
+  std::string From_; ///< The name of the leader.
   std::uint64_t Id_ = 0;
   std::vector<std::string> Servers_;
-  /// The relay sends nothing of servers that it has heard recently and only
-  /// names them, as they report again by themselves.
+  /// If set, the relay only names the servers that it has heard recently,
+  /// without their reports: they will report again on their own.
   bool OnlySilent_ = false;
   bool operator==(const FlushRequest &) const = default;
 };
 
-/// How a report fared at the leader.
+/// The result of a report at the leader.
 enum class ReportVerdict : std::uint8_t {
   Answered = 0,
-  NotLeader = 1, ///< Text_ names who leads, as far as that is known.
-  Failed = 2,    ///< Nobody can decide it at the moment: Text_ says why.
-  Refused = 3,   ///< It names no server to use: Text_ says why.
-  Expired = 4,   ///< Not handled, as it waited too long at the leader.
+  NotLeader = 1, ///< Text_ names the leader if it is known.
+  Failed = 2,    ///< No member can handle it now: Text_ gives the reason.
+  Refused = 3,   ///< The report is invalid, for example of an unknown service:
+                 ///< Text_ gives the reason.
+  Expired = 4,   ///< Not handled, as it had waited too long at the leader.
 };
 
 struct ReportAnswer {
   ReportVerdict Verdict_ = ReportVerdict::Failed;
-  ServerOrders Orders_; ///< If it was answered.
+  ServerOrders Orders_; ///< Set if Verdict_ is Answered.
   std::string Text_;
   bool operator==(const ReportAnswer &) const = default;
 
   static ReportAnswer make(const Outcome<ServerOrders> &From);
-  /// What make was given; other errors than NotLeader and InvalidArgument
-  /// become Unavailable.
+  /// Returns the outcome that was passed to make, with errors other than
+  /// NotLeader and InvalidArgument replaced by Unavailable.
   Outcome<ServerOrders> toOutcome() &&;
 };
 
-/// A server with a run that a stop order waits for.
+/// A server that has to be told to stop a run.
 struct ServerAwaitingStop {
   std::string Server_;
-  std::uint64_t WaitedMs_ = 0; ///< Since the job's end.
+  std::uint64_t WaitedMs_ = 0; ///< The time since the job ended.
   bool operator==(const ServerAwaitingStop &) const = default;
 };
 
 struct ReportBatchReply {
-  std::vector<ReportAnswer> Answers_; ///< One for each report, in order.
-  /// The controls that take reports for the leader: all that it hears, but
+  std::vector<ReportAnswer> Answers_; ///< One answer for each report, in order.
+  /// The controls that relay reports to the leader: all that it hears, except
   /// itself.
   std::vector<std::string> Relays_;
-  /// How long the leader had the batch in hand, commits included; the rest of
-  /// the time that the answers took it waited for the leader, or was on its
-  /// way.
+  /// How long the leader took for the batch, commits included. The rest of the
+  /// round trip is time in the leader's queue or on the network.
   std::uint64_t HandledMs_ = 0;
-  /// Servers whose reports are urgent, the longest waiting first.
+  /// The servers whose reports are urgent, the longest waiting first.
   std::vector<ServerAwaitingStop> AwaitingStop_ = {};
   bool operator==(const ReportBatchReply &) const = default;
 };
--- a/include/tulipweir/jobs/ReportRelays.h
+++ b/include/tulipweir/jobs/ReportRelays.h
@@ -1,8 +1,9 @@
-//===- ReportRelays.h - What other members know of servers -----*- C++ -*-===//
+//===- ReportRelays.h - Queries to relays of reports ------------*- C++ -*-===//
 //
-// Members that do not lead take servers' reports and keep them for a moment
-// before they pass them on. What the leader hears first need not have happened
-// first: before it acts on a server's leaving or silence, it asks them.
+// Members that do not lead buffer servers' reports for a moment before they
+// pass them on, so reports can reach the leader out of order. Before the
+// leader removes a server that left or fell silent, it asks the relays for the
+// reports that they still buffer.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,25 +17,25 @@
 
 namespace tulipweir::jobs {
 
-/// Callbacks come once each, on the leader's executor, and also when members do
-/// not answer: those that are gone do not count, and nobody is waited for
-/// longer than a lease.
+/// Sends requests to all relays. Each callback runs once, on the leader's
+/// executor, also when members do not answer: unreachable members are skipped,
+/// and no request takes longer than a lease.
 class ReportRelays {
 public:
   using Heard = std::set<std::string>;
 
   virtual ~ReportRelays() = default;
-  /// Every other member passes on what it keeps of the server's reports. All of
-  /// it has reached the leader by the time of Done.
+  /// Has every other member pass on its buffered reports of the server. They
+  /// have all reached the leader when Done is called.
   virtual void flush(const std::string &ServerId,
                      std::function<void()> Done) = 0;
-  /// Tells which of the servers another member has heard within the last
-  /// seconds. The members pass on what they keep of the others.
+  /// Finds which of the servers another member has heard within the last
+  /// seconds. The members pass on their buffered reports of the others.
   virtual void findHeard(const std::vector<std::string> &ServerIds,
                          std::function<void(Heard)> Done) = 0;
 };
 
-/// Of a group of one member.
+/// For a group of one member.
 class NoReportRelays final : public ReportRelays {
 public:
   void flush(const std::string &, std::function<void()> Done) override {
--- a/include/tulipweir/jobs/ServerIncarnations.h
+++ b/include/tulipweir/jobs/ServerIncarnations.h
@@ -1,8 +1,8 @@
-//===- ServerIncarnations.h - Incarnations of servers ----------*- C++ -*-===//
+//===- ServerIncarnations.h - Incarnations of servers -----------*- C++ -*-===//
 //
 // A backend server that crashed registers as a new incarnation at its address,
-// while a report of the old one may still be on its way. Which ones are over is
-// part of the replicated state, so that a new leader knows it too.
+// while a report of the old one may still be in transit. The replicated state
+// includes which incarnations have ended, so that a new leader knows it too.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,31 +20,35 @@
 struct IncarnationAtAddress {
   std::string Address_;
   std::string Id_;
-  bool HasCrashed_ = false;   ///< No task is known to be the cause.
-  bool IsAfterCrash_ = false; ///< The previous incarnation had crashed so.
+  /// Whether it crashed and no task is known to be the cause.
+  bool HasCrashed_ = false;
+  bool IsAfterCrash_ = false; ///< Whether the previous incarnation crashed
+                              ///< without a known cause.
   bool operator==(const IncarnationAtAddress &) const = default;
 };
 
-/// Not thread-safe. Deterministic: no clock, no I/O.
+/// Tracks the incarnations at each address. Not thread-safe. Deterministic: no
+/// clock, no I/O.
 class ServerIncarnations {
 public:
-  /// The incarnation has registered; an earlier one at its address is over.
-  /// Returns that one; empty if there was none.
+  /// Registers the incarnation and ends an earlier one at its address. Returns
+  /// the id of the earlier one; empty if there was none.
   std::string registerIncarnation(const std::string &Id,
                                   const std::string &Address);
-  /// The incarnation has left for good. One that only fell silent may come back
-  /// and is not ended.
+  /// Ends an incarnation that has left for good. One that only fell silent may
+  /// come back and is not ended.
   void endIncarnation(const std::string &Id);
 
-  /// The incarnation at the address went without notice.
+  /// Records that the incarnation at the address crashed.
   void recordCrash(const std::string &Address);
-  /// A task that was given up had crashed the server of that id there.
+  /// Attributes the crash of the server Id at the address to a task that was
+  /// given up.
   void attributeCrash(const std::string &Address, const std::string &Id);
 
-  /// Whether the incarnation before the one at the address crashed,
-  /// unexplained.
+  /// Whether the previous incarnation at the address crashed without a known
+  /// cause.
   bool isAfterCrash(const std::string &Address) const;
-  /// Whether the incarnation is over, so that a report of it can only be late.
+  /// Whether the incarnation has ended, so that any report of it is late.
   bool isOver(const std::string &Id) const;
 
   bool operator==(const ServerIncarnations &) const = default;
--- a/include/tulipweir/jobs/ServerReport.h
+++ b/include/tulipweir/jobs/ServerReport.h
@@ -1,6 +1,7 @@
-//===- ServerReport.h - A backend server's heartbeat and orders *- C++ -*-===//
+//===- ServerReport.h - A server's heartbeat and orders ---------*- C++ -*-===//
 //
-// What a backend server that runs tasks tells, and what it is told to do.
+// The report that a backend server with tasks sends as its heartbeat, and the
+// orders in the answer.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,22 +14,25 @@
 
 namespace tulipweir::jobs {
 
-/// A run that is going on.
+/// A run in progress.
 struct RunningTask {
   TaskKey Task_;
   std::uint64_t Run_ = 0;
   std::string Checkpoint_;
-  std::uint64_t Percent_ =
-      0; ///< Of its work; of a long-running one, readiness.
-  /// Tail of its response times, in ms, for a task that serves; the processors
-  /// it uses, in thousandths, for any other. Rough, over the last half second.
+  /// Progress of its work; of a long-running task, its readiness.
+  std::uint64_t Percent_ = 0;
+  /// For a serving task its tail latency in ms, for any other its processor
+  /// usage in thousandths of a processor; an estimate over the last half
+  /// second.
   std::uint64_t Measure_ = 0;
   bool operator==(const RunningTask &) const = default;
 };
 
-/// A run that has ended, kept by the server until we took note of it.
+/// A run that has ended. The server reports it until the leader acknowledges
+/// it.
 struct EndedTask {
-  std::uint64_t Number_ = 0; ///< Rises by one in each incarnation.
+  std::uint64_t Number_ = 0; ///< Sequence number of the end, which rises by one
+                             ///< in each incarnation.
   TaskEnd End_;
   bool operator==(const EndedTask &) const = default;
 };
@@ -36,12 +40,14 @@
 struct ServerReport {
   ServerFacts Facts_;
   bool IsDraining_ = false;
-  std::uint64_t RemainingMs_ = 0; ///< Least time left while draining.
-  std::uint64_t Sequence_ = 0;    ///< Rises; a lower one came late.
+  std::uint64_t RemainingMs_ = 0; ///< The least time left to a draining server.
+  /// Rises with each report; a lower one has arrived late.
+  std::uint64_t Sequence_ = 0;
   std::vector<RunningTask> Running_;
   std::vector<EndedTask> Ended_;
-  /// How long it has waited at our processes since the server sent it, at
-  /// least; the server's lease counts from the sending.
+  /// A lower bound of the time since the server sent the report, as far as it
+  /// was spent in the control's processes. The server's lease counts from the
+  /// sending.
   std::uint64_t WaitedMs_ = 0;
   bool operator==(const ServerReport &) const = default;
 };
@@ -51,7 +57,8 @@
   std::uint64_t Run_ = 0;
   std::string Payload_;
   std::string Checkpoint_;
-  std::string Ticket_; ///< From the advice service; empty where none is needed.
+  /// Issued by the advice service; empty if none is needed.
+  std::string Ticket_;
   bool operator==(const StartOrder &) const = default;
 };
 
@@ -61,7 +68,7 @@
   bool operator==(const StopOrder &) const = default;
 };
 
-/// How fast a task may work.
+/// Limits how fast a task may work.
 struct PaceOrder {
   TaskKey Task_;
   std::uint64_t Run_ = 0;
@@ -70,16 +77,19 @@
 };
 
 struct ServerOrders {
-  /// Counted by the server from the sending of its report; 0 extends nothing.
+  /// The lease, which the server counts from the sending of its report; 0 does
+  /// not extend it.
   std::uint64_t LeaseMs_ = 0;
   std::uint64_t FencingToken_ = 0;
-  std::uint64_t EndsNoted_ = 0;    ///< Ended tasks up to this number are noted.
-  std::uint64_t NextReportMs_ = 0; ///< 0: as the server does by itself.
+  /// The ended tasks up to this number are acknowledged.
+  std::uint64_t EndsNoted_ = 0;
+  /// The time to the next report; 0 leaves it to the server.
+  std::uint64_t NextReportMs_ = 0;
   std::vector<StartOrder> Starts_;
   std::vector<StopOrder> Stops_;
   std::vector<PaceOrder> Paces_;
-  /// The control that takes the server's later reports; empty for the one that
-  /// answers.
+  /// The control that takes the server's later reports; empty for the control
+  /// that sends the answer.
   std::string ReportTo_;
   bool operator==(const ServerOrders &) const = default;
 };
--- a/src/jobs/IncarnationConflicts.cpp
+++ b/src/jobs/IncarnationConflicts.cpp
@@ -4,11 +4,11 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-/// Twice the longest pause between two reports of a server that is heard: the
+/// Twice the longest pause between two reports of a live server, so the
 /// incarnation at the address would have reported by then.
 static constexpr Duration TakeoverDelay = 1s;
-/// Claims without a report for so long are dropped: a running server reports
-/// more often.
+/// Claims expire after this time: a running server proves its claim or is
+/// refused much sooner.
 static constexpr Duration ClaimExpiry = 60s;
 
 bool IncarnationConflicts::recordClaim(const std::string &Id,
@@ -17,7 +17,7 @@
     return Now - Entry.second.Begin_ > ClaimExpiry;
   });
   const auto [It, IsNew] = Claims_.try_emplace(Id, Claim{Now});
-  // The occupant was heard since then, so it is alive.
+  // The occupant has reported since the claim began, so it is alive.
   const bool IsVoid = OccupantHeard > It->second.Begin_;
   if (IsVoid)
     It->second = Claim{Now};
--- a/src/jobs/IncarnationConflicts.h
+++ b/src/jobs/IncarnationConflicts.h
@@ -1,9 +1,9 @@
-//===- IncarnationConflicts.h - Two incarnations, one address --*- C++ -*-===//
+//===- IncarnationConflicts.h - Conflicts over an address -------*- C++ -*-===//
 //
-// A report of an unknown incarnation, at an address where another one was heard
-// lately, comes from a server that crashed and restarted, or is a delayed
-// report of an earlier incarnation. The former keeps reporting while the other
-// one is silent; the latter does not.
+// A report of an unknown incarnation, at an address where another incarnation
+// was heard recently, comes either from a server that crashed and restarted or
+// is a delayed report of an earlier incarnation. A restarted server keeps
+// reporting while the other incarnation is silent.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,18 +17,20 @@
 
 namespace tulipweir::jobs {
 
-/// Not thread-safe.
+/// Decides when an incarnation may replace the one that is registered at its
+/// address. Not thread-safe.
 class IncarnationConflicts {
 public:
   void reset() { Claims_.clear(); }
 
-  /// Takes note of a report of the incarnation Id, which claims an address
-  /// whose present incarnation was last heard at OccupantHeard. True if the
-  /// claim begins: what others keep of the present incarnation's reports is to
-  /// be waited for.
+  /// Records a report of the incarnation Id, which claims an address whose
+  /// registered incarnation was last heard at OccupantHeard. Returns true if
+  /// the claim begins now: the caller then has the relays flush their reports
+  /// of the registered incarnation.
   bool recordClaim(const std::string &Id, TimePoint OccupantHeard,
                    TimePoint Now);
-  /// All relays have flushed their reports for the claim that began then.
+  /// Records that all relays have flushed their reports for the claim that
+  /// began at Begin.
   void recordFlush(const std::string &Id, TimePoint Begin);
 
   /// Whether the incarnation Id has proved to be the newer one.
@@ -38,10 +40,11 @@
 
 private:
   struct Claim {
-    TimePoint Begin_; ///< Since when it reports while the other one is silent.
+    /// Since when it has reported while the other one is silent.
+    TimePoint Begin_;
     bool IsFlushed_ = false;
   };
-  std::map<std::string, Claim> Claims_; ///< By incarnation.
+  std::map<std::string, Claim> Claims_; ///< Keyed by incarnation.
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/JobLeader.cpp
+++ b/src/jobs/JobLeader.cpp
@@ -10,17 +10,19 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-/// How often leadership, leases and due times are looked at.
+/// The interval at which leadership, leases and due times are checked.
 static constexpr Duration TickInterval = 50ms;
-/// How often, and of how many of the first waiting steps, it is said why they
-/// wait.
+/// The interval at which the reasons of waiting steps are logged, and the
+/// number of steps, from the first on, that are examined each time.
 static constexpr Duration WaitLogInterval = 1s;
 static constexpr std::size_t MaxLoggedWaits = 8;
-/// How often what is kept of steps and failures that are over is forgotten.
+/// The interval at which state of ended steps and past failures is pruned.
 static constexpr Duration PruneInterval = 1s;
-/// A server that was told to come again does so within some hundred ms.
+/// How long the leader counts as overloaded after the last sign of it. Servers
+/// whose reports were deferred report again within a few hundred ms.
 static constexpr Duration OverloadPeriod = 2s;
-/// Clocks that are kept in step are slewed by less.
+/// The least jump of the wall clock that is logged. Synchronized clocks are
+/// slewed by less.
 static constexpr Duration MinClockJump = 500ms;
 static constexpr std::uint64_t Percent = 100;
 
@@ -42,7 +44,8 @@
   Dispatcher_.reset();
   Paces_.reset();
   Advice_.reset();
-  // What is known of pairs and loads holds whoever leads.
+  // Learned interference and loads do not depend on who leads, so they are
+  // kept.
   if (Effects_.isFull())
     Effects_.reset();
   Health_.reset();
@@ -67,7 +70,8 @@
   StartedJobs_.clear();
   LoggedWaitReasons_.clear();
   Machine_.read([&](const JobBook &Book) {
-    // An earlier leader's last answer left before this one was elected.
+    // The previous leader sent its last answer before this leader's election,
+    // so the longest lease from now on covers it.
     LiveServers_.reset(Book, Now, getMaxLease());
     PendingStops_.reset(Book, Now);
     for (const auto &[Id, Job] : Book.jobs())
@@ -94,8 +98,9 @@
       encodeCommand(Value), [Weak, &Strand = Strand_, Done = std::move(Done)](
                                 const Outcome<replication::Applied> &Applied) {
         Outcome<CommandResult> Result = fail(ErrorCode::Unavailable, "");
-        // Whoever asked must know the difference: only NotLeader says for sure
-        // that nothing was taken.
+        // Only NotLeader guarantees that the command was not accepted. With any
+        // other error the outcome is unknown, which the caller must be able to
+        // tell.
         if (Applied)
           Result = decodeResult(Applied.value().Result_);
         else if (Applied.error().Code_ == ErrorCode::NotLeader)
@@ -137,7 +142,8 @@
   });
 }
 
-/// Also where another leads: reports that it decides teach this member, too.
+/// Updates the learned loads, also while another member leads: this member
+/// learns from the reports that the other one handles.
 void JobLeader::Impl::updateLoads() {
   const TimePoint Now = Time_.now();
   Loads_.survey(Now);
@@ -150,7 +156,8 @@
   });
 }
 
-/// Due times follow the wall clock, which may be set at any moment.
+/// Logs jumps of the wall clock. Due times follow it, and it may be set at any
+/// moment.
 void JobLeader::Impl::detectClockJump() {
   const Duration Offset =
       Duration(Time_.wallNow()) - Duration(Time_.now().time_since_epoch());
@@ -166,7 +173,7 @@
   Log_.write(Line);
 }
 
-/// Says of the first steps that wait why they do, once for each reason.
+/// Logs why the first waiting steps wait, once for each reason.
 void JobLeader::Impl::logWaitReasons() {
   const TimePoint Now = Time_.now();
   if (Now < NextWaitLog_)
@@ -183,7 +190,7 @@
       std::string Reason =
           Dispatcher_.explainWait(Book, LiveServers_, Step, Now);
       const auto [Place, IsNew] = LoggedWaitReasons_.try_emplace(Step);
-      // A step that came just now mostly starts with the next report.
+      // A step that has just become ready usually starts with the next report.
       if (IsNew || Place->second == Reason)
         continue;
       Place->second = Reason;
@@ -201,9 +208,9 @@
 
 static std::string_view getReason(Departure How) {
   static constexpr std::array<std::string_view, 4> Reasons = {
-      "it left", "its VM is in maintenance",
-      "another incarnation runs at its address",
-      "silent until its lease ran out"};
+      "the server left", "maintenance of its VM has begun",
+      "another incarnation took over its address",
+      "no report until its lease expired"};
   return Reasons.at(static_cast<std::size_t>(How));
 }
 
@@ -238,7 +245,7 @@
           [this, Id, Lost, LastHeard, IsCrash = Crash.IsCrash_,
            Done = std::move(Done)](Outcome<CommandResult> Result) {
             Leaving_.erase(Id);
-            // Unknown or refused: asked again at the next tick.
+            // After a failure or an unknown outcome the next tick retries.
             if (LiveServer *Live = LiveServers_.find(Id))
               Live->IsRemoving_ = false;
             if (Result)
@@ -269,7 +276,7 @@
     }
     return 0;
   });
-  // One that is proposed twice is refused the second time.
+  // The state machine refuses a duplicate proposal.
   for (const OpenOccurrence &Each : Due)
     propose(Each, [](const Outcome<CommandResult> &) {});
 }
--- a/src/jobs/JobLeaderAdvice.cpp
+++ b/src/jobs/JobLeaderAdvice.cpp
@@ -4,10 +4,11 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-/// The service answers one caller's questions in turn: a second one would only
-/// wait behind the first. After an error it is left alone for so long.
+/// The pause after an error of the advice service. The service answers one
+/// caller's questions in turn, so only one question is open at a time.
 static constexpr Duration ErrorPause = 250ms;
-/// Beyond the time that an answer takes by the queue's own figures.
+/// Slack that is added to the time that the queue's policy allows for an
+/// answer.
 static constexpr Duration AnswerSlack = 1s;
 
 void JobLeader::Impl::requestAdvice() {
@@ -53,13 +54,15 @@
   Line.Count_ = Question.Servers_.size();
   if (Answer) {
     Advice_.note(Question, Answer.value(), Time_.now());
-    Line.Outcome_ = std::to_string(Answer.value().Good_.size()) + " may run it";
+    Line.Outcome_ =
+        std::to_string(Answer.value().Good_.size()) + " servers may run it";
   } else {
     NextAdviceRequest_ = Time_.now() + ErrorPause;
     Line.Outcome_ = "none";
     Line.Reason_ = Answer.error().Message_;
   }
   Log_.write(Line);
-  // The next question at once: every step of such a queue waits for one.
+  // Every step of such a queue waits for advice, so the next question is sent
+  // at once.
   requestAdvice();
 }
--- a/src/jobs/JobLeaderCalls.cpp
+++ b/src/jobs/JobLeaderCalls.cpp
@@ -4,7 +4,8 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-/// Told with a refusal that only other settings of this program end.
+/// The retry delay for refusals that last until the settings of this program
+/// change.
 static constexpr std::uint64_t UnsupportedRetryMs = 60'000;
 
 void JobLeader::Impl::call(JobCall Call, Done<JobCallReply> Reply) {
@@ -20,7 +21,9 @@
   }
 }
 
-/// The queue a call is addressed to; the rest of its path is the job's id.
+/// Returns the queue that a call is addressed to, and sets Id to the rest of
+/// the path, which is the job's id. Sets the reply's outcome if there is no
+/// queue.
 static const QueuePolicy *findQueue(const JobBook &Book, const JobCall &Call,
                                     JobCallReply &Reply, std::string &Id) {
   const Configuration &Current = Book.configuration();
@@ -52,8 +55,8 @@
     Result.Outcome_ = CallOutcome::Refused;
     Result.RetryAfterMs_ = UnsupportedRetryMs;
     Result.Reason_ =
-        "the queue needs advice on servers, and the settings name no service "
-        "that gives it";
+        "the queue requires advice on servers, but the settings configure no "
+        "advice service";
     Event Line;
     Line.Kind_ = EventKind::JobRefused;
     Line.Job_ = Call.Spec_.Id_;
@@ -72,32 +75,32 @@
   const std::string Id = Call.Spec_.Id_;
   Command.Spec_ = std::move(Call.Spec_);
   const TimePoint Begin = Time_.now();
-  propose(Command,
-          [this, Id, Begin, Reply](const Outcome<CommandResult> &Applied) {
-            JobCallReply Late;
-            if (!Applied)
-              return Reply(Applied.error());
-            const Verdict Taken = Applied.value().Verdict_;
-            if (Taken == Verdict::NotFound)
-              Late.Outcome_ = CallOutcome::NoQueue;
-            Meter_.add(Taken == Verdict::NotFound ? JobCounter::JobsRefused
-                                                  : JobCounter::JobsAccepted,
-                       Taken == Verdict::AlreadyDone ? 0 : 1);
-            Meter_.record(JobTimer::Acknowledge, Time_.now() - Begin);
-            if (Taken == Verdict::Done)
-              AcceptedAt_.emplace(Id, Begin);
-            Event Line;
-            Line.Kind_ = Taken == Verdict::NotFound ? EventKind::JobRefused
-                                                    : EventKind::JobAccepted;
-            Line.Job_ = Id;
-            Line.Term_ = Term_;
-            if (Taken == Verdict::NotFound)
-              Line.Reason_ = "its queue was dropped meanwhile";
-            if (Taken == Verdict::AlreadyDone)
-              Line.Reason_ = "it was accepted before";
-            Log_.write(Line);
-            Reply(Late);
-          });
+  propose(
+      Command, [this, Id, Begin, Reply](const Outcome<CommandResult> &Applied) {
+        JobCallReply Late;
+        if (!Applied)
+          return Reply(Applied.error());
+        const Verdict Taken = Applied.value().Verdict_;
+        if (Taken == Verdict::NotFound)
+          Late.Outcome_ = CallOutcome::NoQueue;
+        Meter_.add(Taken == Verdict::NotFound ? JobCounter::JobsRefused
+                                              : JobCounter::JobsAccepted,
+                   Taken == Verdict::AlreadyDone ? 0 : 1);
+        Meter_.record(JobTimer::Acknowledge, Time_.now() - Begin);
+        if (Taken == Verdict::Done)
+          AcceptedAt_.emplace(Id, Begin);
+        Event Line;
+        Line.Kind_ = Taken == Verdict::NotFound ? EventKind::JobRefused
+                                                : EventKind::JobAccepted;
+        Line.Job_ = Id;
+        Line.Term_ = Term_;
+        if (Taken == Verdict::NotFound)
+          Line.Reason_ = "its queue has been removed from the configuration";
+        if (Taken == Verdict::AlreadyDone)
+          Line.Reason_ = "the job had already been accepted";
+        Log_.write(Line);
+        Reply(Late);
+      });
 }
 
 void JobLeader::Impl::show(const JobCall &Call,
--- a/src/jobs/JobLeaderCrashes.cpp
+++ b/src/jobs/JobLeaderCrashes.cpp
@@ -6,7 +6,7 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-/// How often it is looked which isolated runs have proved to be harmless.
+/// The interval at which isolated runs are checked for having proved harmless.
 static constexpr Duration ProofCheckInterval = 250ms;
 
 static std::uint64_t toMs(Duration Value) {
@@ -33,7 +33,7 @@
   CrashEvidence Crash;
   const TimePoint Now = Time_.now();
   const LiveServer *Own = LiveServers_.find(Server);
-  // Who said that it would leave may do so without a word.
+  // A server that announced its shutdown may go without notice.
   if (!Own || Own->IsDraining_ || Own->WasEmptying_)
     return Crash;
   Crash.IsCrash_ = true;
@@ -49,7 +49,7 @@
   return Crash;
 }
 
-/// Logs which tasks the book suspects of the crash.
+/// Logs which tasks the replicated state suspects of the crash.
 void JobLeader::Impl::handleCrash(const std::string &Server,
                                   TimePoint LastHeard,
                                   const std::vector<LostRun> &Lost) {
@@ -84,8 +84,8 @@
   Crashes_.note(LastHeard);
 }
 
-/// Stores which suspected runs have proved to be harmless, as another leader
-/// does not see how long they have run.
+/// Stores which suspected runs have proved harmless: another leader does not
+/// see how long they have run.
 void JobLeader::Impl::storeProvedRuns() {
   const TimePoint Now = Time_.now();
   if (IsProving_ || Now < NextProofCheck_)
@@ -120,7 +120,8 @@
     handleJobEnd(Id);
 }
 
-/// Logs and counts the end of a job once; for other jobs it does nothing.
+/// Logs and counts the end of a job once. Does nothing for a job that has not
+/// ended.
 void JobLeader::Impl::handleJobEnd(const std::string &Id) {
   Event Line;
   Line.Kind_ = EventKind::JobEnded;
--- a/src/jobs/JobLeaderExpiry.cpp
+++ b/src/jobs/JobLeaderExpiry.cpp
@@ -6,21 +6,22 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-/// How soon the others are asked again for a server whose lease ran out: two to
-/// three of its reports.
+/// The least time between two checks of a server whose lease has expired, in
+/// which the server sends two to three reports.
 static constexpr Duration RecheckDelay = 1s;
-/// Longest wait for the relays' answers.
+/// The longest wait for the relays' answers.
 static constexpr Duration MaxExpiryRoundTime = 1500ms;
-/// Least time between two rounds while the leader is behind.
+/// The least time between two rounds while the leader is overloaded.
 static constexpr Duration ExpiryRoundInterval = 250ms;
 
 /// Asks the relays for servers whose leases have expired. While the leader is
-/// behind they are asked twice, and the first time before the lease expires.
+/// overloaded the relays are asked twice, and the first time before the lease
+/// expires.
 void JobLeader::Impl::checkExpiredLeases() {
   const TimePoint Now = Time_.now();
   const bool IsOverloaded = Now < OverloadedUntil_;
   endOverdueRounds();
-  // More rounds would only add to the work of a leader that is behind.
+  // More rounds would only add to the load of an overloaded leader.
   if (IsOverloaded && Now < NextExpiryRound_)
     return;
   std::erase_if(ExpiryChecks_, [Now](const auto &Entry) {
@@ -51,8 +52,9 @@
       });
 }
 
-/// Nothing runs on a server without a lease, so a relay that does not answer is
-/// not waited for: it may hold up all servers of a round.
+/// Ends rounds that a relay has not answered in time, as if no relay had heard
+/// the servers. Nothing runs on a server without a lease, and one silent relay
+/// must not delay the removal of all servers of a round.
 void JobLeader::Impl::endOverdueRounds() {
   const TimePoint Now = Time_.now();
   std::vector<std::pair<std::string, std::uint64_t>> Overdue;
@@ -63,10 +65,10 @@
     finishExpiryCheck(Id, Round, false);
 }
 
-/// Keeps a server that a relay has heard, although its lease expired: the next
-/// report tells which runs were done, and these must not start elsewhere.
-/// While the leader is behind a relay may not have read that report yet, so the
-/// relays are asked twice.
+/// Removes the server unless a relay has heard it. A server that was heard is
+/// kept although its lease expired: its next report tells which runs have
+/// finished, and these must not start elsewhere. While the leader is overloaded
+/// a relay may not have read that report yet, so the relays are asked twice.
 void JobLeader::Impl::finishExpiryCheck(const std::string &Id,
                                         std::uint64_t Round, bool IsHeard) {
   const auto It = ExpiryChecks_.find(Id);
--- a/src/jobs/JobLeaderImpl.h
+++ b/src/jobs/JobLeaderImpl.h
@@ -1,12 +1,13 @@
-//===- JobLeaderImpl.h - The leader's side, inside -------------*- C++ -*-===//
+//===- JobLeaderImpl.h - Implementation of JobLeader ------------*- C++ -*-===//
 //
-// The class behind JobLeader. Its functions stand by duty: leadership and what
-// is done by the clock (JobLeader.cpp), clients' calls (JobLeaderCalls.cpp),
-// operators' orders (JobLeaderOperators.cpp), servers' reports
-// (JobLeaderReports.cpp), the orders in their answers (JobLeaderOrders.cpp),
-// servers whose leases expire (JobLeaderExpiry.cpp),
-// waves of maintenance (JobLeaderWaves.cpp), and what is logged, metered and
-// learned of runs (JobLeaderTelemetry.cpp).
+// The class behind JobLeader. Its functions are grouped by duty: leadership
+// and periodic work (JobLeader.cpp), clients' calls (JobLeaderCalls.cpp),
+// operators' orders (JobLeaderOperators.cpp), questions to the advice service
+// (JobLeaderAdvice.cpp), servers' reports (JobLeaderReports.cpp), the orders
+// in their answers (JobLeaderOrders.cpp), servers whose leases expire
+// (JobLeaderExpiry.cpp), crashes of servers and the ends of jobs
+// (JobLeaderCrashes.cpp), waves of maintenance (JobLeaderWaves.cpp), and logs,
+// metrics and the health of servers (JobLeaderTelemetry.cpp).
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,12 +33,12 @@
 
 namespace tulipweir::jobs {
 
-/// How a server went: for good, but for Silent.
+/// Why a server is removed. Only a silent one may come back.
 enum class Departure : std::uint8_t {
   Left,
   Maintained, ///< The maintenance of its VM has begun.
   Replaced,   ///< Another incarnation reports at its address.
-  Silent,     ///< Its lease ran out.
+  Silent,     ///< Its lease expired.
 };
 
 class JobLeader::Impl : public std::enable_shared_from_this<JobLeader::Impl> {
@@ -78,35 +79,35 @@
   using ResultCallback = std::function<void(Outcome<CommandResult>)>;
   static constexpr std::uint64_t NoUncommittedEnd =
       std::numeric_limits<std::uint64_t>::max();
-  /// A report on its way to its answer.
+  /// A report that has not been answered yet.
   struct PendingReport {
     ServerReport Report_;
     Done<ServerOrders> Reply_;
     TimePoint ArrivedAt_;
-    TimePoint SentBy_;        ///< The server sent it no later.
-    bool IsRecorded_ = false; ///< Its server is stored, and it is the newest.
-    bool AwaitsCommit_ =
-        false; ///< Something that came of it is to be committed.
+    TimePoint SentBy_;          ///< When the server sent it at the latest.
+    bool IsRecorded_ = false;   ///< It is its server's newest report.
+    bool AwaitsCommit_ = false; ///< Its answer waits for a commit.
     bool IsAnswered_ = false;
-    /// The number of the first end in it that is still to be committed.
+    /// The number of the first end in it that is not committed.
     std::uint64_t FirstUncommittedEnd_ = NoUncommittedEnd;
   };
   using PendingReportPtr = std::shared_ptr<PendingReport>;
-  /// Whether the relays are asked for a server.
+  /// The state of asking the relays for a server whose lease expires.
   struct ExpiryCheck {
     std::uint64_t Round_ = 0;
-    bool IsOpen_ = false; ///< Their answer has not come.
+    bool IsOpen_ = false; ///< The answer of the relays is outstanding.
     TimePoint AskedAt_{};
-    TimePoint NextAsk_{}; ///< Once that is over.
+    TimePoint NextAsk_{}; ///< The earliest time of the next check.
   };
-  /// A run that is placed on a server that is gone.
+  /// A run on a server that is removed.
   struct LostRun {
     TaskKey Task_;
     std::uint64_t Run_ = 0;
-    Duration Seen_{}; ///< How long reports named it; zero if none did.
+    Duration Seen_{}; ///< How long reports have named it; zero if none has.
   };
 
-  /// How long a server whose clock is slow may count on a lease.
+  /// Returns the longest time for which a server with a slow clock may rely on
+  /// a lease.
   Duration getMaxLease() const;
   void beginLeading(std::uint64_t Term);
   void endLeading();
@@ -130,7 +131,9 @@
   void requestAdvice();
   void handleAdvice(const AdviceQuestion &Question,
                     const Outcome<Advice> &Answer);
-  /// What is known of how the server went, with the runs lost with it.
+  /// Returns the evidence of a crash of the removed server, with the runs that
+  /// were lost with it. No crash is assumed if the server had announced its
+  /// shutdown.
   CrashEvidence assessCrash(const std::string &Server, Departure How,
                             const std::vector<LostRun> &Lost) const;
   void handleCrash(const std::string &Server, TimePoint LastHeard,
@@ -138,11 +141,11 @@
   void storeProvedRuns();
   void handleFailedJobs(const CommandResult &Result);
   void handleJobEnd(const std::string &Id);
-  /// Makes the reports of the servers with its runs urgent.
+  /// Makes the reports of the servers that run tasks of the job urgent.
   void requestStops(const std::string &Job);
   void removeServer(const std::string &Id, Departure How, ResultCallback Done);
   void propose(const Command &Value, ResultCallback Done);
-  /// Says who leads, as far as it is known.
+  /// Returns NotLeader with the leader's name if it is known.
   Error makeNotLeaderError() const;
 
   bool isDataCentre(const std::string &Name) const;
@@ -158,7 +161,7 @@
   void commitEnds(const PendingReportPtr &Pending);
   void startTasks(const PendingReportPtr &Pending);
   void answer(const PendingReportPtr &Pending);
-  /// Its answer waits for a commit from now on.
+  /// Marks the report's answer as waiting for a commit.
   void deferAnswer(const PendingReportPtr &Pending);
   void answerOverdueReports();
   void reply(const PendingReportPtr &Pending, Outcome<ServerOrders> Orders);
@@ -174,7 +177,7 @@
                      const char *Why);
   bool isStalled(const StepSpec &Step, const std::string &Server,
                  const RunProgress &Progress, TimePoint Now) const;
-  /// Stopping: what this very answer stops.
+  /// Stopping lists the runs that the current answer stops.
   bool shouldEvacuate(const JobBook &Book, const StepSpec &Step,
                       const LiveServer &Live, const ServerReport &Report,
                       const RunningTask &Running,
@@ -183,7 +186,7 @@
                 const std::map<TaskKey, std::uint64_t> &Stopping) const;
   bool shouldMove(const StepSpec &Step, const ServerRecord &Server,
                   const RunningTask &Running);
-  /// At: the run's place in the report.
+  /// At is the index of the run in Report.Running_.
   std::string_view
   findStopReason(const JobBook &Book, const StepSpec &Step,
                  const ServerRecord &Server, const LiveServer &Live,
@@ -218,45 +221,47 @@
   IncarnationConflicts Conflicts_;
   PendingStops PendingStops_;
   TimePoint NextProofCheck_{};
-  bool IsProving_ = false;       ///< Proved runs are on their way to the log.
+  bool IsProving_ = false; ///< A proposal with proved runs is outstanding.
   bool IsAdvicePending_ = false; ///< A question to the advice service is open.
   TimePoint NextAdviceRequest_{};
   TimePoint NextPlannerPrune_{};
-  TimePoint NextLoadPrune_{}; ///< Of the loads of what is no more.
+  TimePoint NextLoadPrune_{}; ///< When loads of ended tasks are pruned next.
   WaveKeeper Waves_;
   TimePoint LeadingSince_{};
   TimePoint LastTick_{};
-  /// Until then the relays are asked twice before a server is given up.
+  /// Until then the relays are asked twice before a server is removed.
   TimePoint OverloadedUntil_{};
-  bool IsListing_ = false;  ///< A call to the provider of VMs is open,
-  bool IsOrdering_ = false; ///< and an order to it.
+  bool IsListing_ = false;  ///< A request for the list of VMs is open.
+  bool IsOrdering_ = false; ///< An order to the provider of VMs is open.
   /// Reports that wait for commits, the oldest first.
   std::deque<PendingReportPtr> PendingReports_;
-  /// Servers whose lease expires, while the relays are asked for them and until
-  /// they may be asked again.
+  /// Servers with expiring leases for which the relays are asked, or were asked
+  /// so recently that they may not be asked again yet.
   std::map<std::string, ExpiryCheck> ExpiryChecks_;
   std::uint64_t LastExpiryRound_ = 0;
-  TimePoint NextExpiryRound_{}; ///< When they may be asked while behind.
-  /// Servers that no relay had heard when asked while the leader was behind.
+  TimePoint NextExpiryRound_{}; ///< The next round of an overloaded leader.
+  /// Servers that no relay had heard when asked while the leader was
+  /// overloaded.
   std::set<std::string> Unheard_;
-  /// Incarnations whose end is decided, until that is stored.
+  /// Incarnations that are about to be ended, until that is committed.
   std::set<std::string> Leaving_;
   std::map<std::string, TimePoint> EndedAt_;
-  /// Of open jobs that this leader accepted itself.
+  /// When this leader accepted jobs that have not ended.
   std::map<std::string, TimePoint> AcceptedAt_;
-  std::set<std::string> StartedJobs_; ///< Of these.
-  /// What was last said of steps that wait.
+  std::set<std::string> StartedJobs_; ///< Those that have started.
+  /// The last reason that was logged for each waiting step.
   std::map<ReadyStep, std::string> LoggedWaitReasons_;
   TimePoint NextWaitLog_{};
-  /// Wall time less steady time, when it was last looked at.
+  /// The wall clock minus the steady clock at the last check.
   std::optional<Duration> WallOffset_;
 };
 
-/// A tick that comes so much too late, or a report that takes so long, shows
-/// that there is more work than processor; a commit takes a tenth of it.
+/// The delay of a tick or the handling time of a report that shows an
+/// overloaded processor. A commit takes a tenth of it.
 inline constexpr Duration OverloadDelay = std::chrono::milliseconds(250);
 
-/// Why a run is stopped that stands still; servers where that happens are sick.
+/// The stop reason of stalled runs, which also count against the health of
+/// their server.
 inline constexpr std::string_view StallReason = "it makes no progress";
 
 } // namespace tulipweir::jobs
--- a/src/jobs/JobLeaderOperators.cpp
+++ b/src/jobs/JobLeaderOperators.cpp
@@ -1,4 +1,4 @@
-// Operators' orders but waves of maintenance: the configuration, and
+// Operators' orders except waves of maintenance: the configuration, and
 // evacuations of data centres.
 #include "jobs/JobLeaderImpl.h"
 
@@ -20,7 +20,7 @@
             Line.Version_ = Version;
             Line.Outcome_ = Applied.value().Verdict_ == Verdict::Done
                                 ? "in force"
-                                : "not above the version in force";
+                                : "not newer than the version in force";
             Log_.write(Line);
             Reply(succeed());
           });
@@ -52,7 +52,7 @@
   const bool IsOpen = Machine_.read([&Order](const JobBook &Book) {
     return Book.evacuated().count(Order.DataCentre_) != 0;
   });
-  // One that was begun can be taken back, whatever became of the place.
+  // An evacuation can be ended even if the data centre is no longer known.
   if (!IsOpen && !isDataCentre(Order.DataCentre_))
     return Reply(
         fail(ErrorCode::NotFound, "no such data centre: " + Order.DataCentre_));
--- a/src/jobs/JobLeaderOrders.cpp
+++ b/src/jobs/JobLeaderOrders.cpp
@@ -6,30 +6,32 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-/// A filling task slower than that is moved, if there is room elsewhere, unless
-/// it is nearly done.
+/// A filling task whose pace is below this percentage is moved if there is room
+/// elsewhere, unless its progress has reached the second percentage.
 static constexpr std::uint64_t MinPaceToStay = 40;
 static constexpr std::uint64_t MinPercentToStay = 90;
-/// Without progress for so long a run stands still: usual runs of 0.6 to 3 s
-/// change their percent with every report. Filling ones may have to wait for
-/// idle processors, and those that last for their start.
+/// The time without progress after which a run counts as stalled. Usual runs of
+/// 0.6 to 3 s progress with every report. Filling runs may have to wait for
+/// idle processors, and long-running ones need time to start.
 static constexpr Duration DefaultStallTime = 2s;
 static constexpr Duration FillingStallTime = 6s;
 static constexpr Duration LongRunningStallTime = 4s;
-/// On a server that leaves, what is so far done may end by itself, as long as
-/// there is more time left than a stop and the way of its report take.
+/// On a server that leaves, a run with at least this progress may finish, if
+/// the server has more time left than a stop and its report take.
 static constexpr std::uint64_t MinPercentToFinish = 60;
 static constexpr std::uint64_t MinMsToFinish = 1500;
 static constexpr std::uint64_t Percent = 100;
-/// A server that was silent for longer may have lost its tasks: four reports.
+/// A server that was silent for longer, which is four reports, may have lost
+/// its tasks.
 static constexpr Duration MaxSilence = 2s;
 
-/// A run that makes no progress although nothing holds it back.
+/// Whether the run makes no progress although nothing throttles it.
 bool JobLeader::Impl::isStalled(const StepSpec &Step, const std::string &Server,
                                 const RunProgress &Progress,
                                 TimePoint Now) const {
   const Duration Still = Now - Progress.ChangedAt_;
-  // The least of the three, so that most runs cost no more than this.
+  // The default is the least of the three times, so this check is enough for
+  // most runs.
   if (Still < DefaultStallTime || Step.Gang_)
     return false;
   if (Step.LongRunning_)
@@ -40,7 +42,8 @@
          Paces_.getLeast(Server) == PaceGuard::FullPace;
 }
 
-/// Whether so few others of the step are away that this task may be, too.
+/// Whether so few other tasks of the step are unavailable that this one may be
+/// stopped too.
 bool JobLeader::Impl::canSpare(
     const JobBook &Book, const StepSpec &Step, const TaskKey &Task,
     const std::map<TaskKey, std::uint64_t> &Stopping) const {
@@ -70,7 +73,8 @@
   return Away < std::max<std::uint64_t>(Step.MayMiss_, 1);
 }
 
-/// Whether the work is better saved now, as its server is about to leave.
+/// Whether to stop the run and save its work now, as its server is about to
+/// leave.
 bool JobLeader::Impl::shouldEvacuate(
     const JobBook &Book, const StepSpec &Step, const LiveServer &Live,
     const ServerReport &Report, const RunningTask &Running,
@@ -92,8 +96,9 @@
   return Step.Checkpointing_ && !MayEndInTime;
 }
 
-/// Whether a task that hardly works, as it would disturb, can go on elsewhere.
-/// A stop costs it nothing, for it makes a checkpoint.
+/// Whether a task that is throttled strongly, to protect the tasks beside it,
+/// can continue on another server. The stop loses no work, as the task writes a
+/// checkpoint.
 bool JobLeader::Impl::shouldMove(const StepSpec &Step,
                                  const ServerRecord &Server,
                                  const RunningTask &Running) {
@@ -107,8 +112,8 @@
   return true;
 }
 
-/// The step of a run that is placed on the server and shall go on there;
-/// nullptr for any other run.
+/// Returns the step of a run that is placed on the server and should continue
+/// there; nullptr for any other run.
 static const StepSpec *findWantedStep(const JobBook &Book,
                                       const std::string &Server,
                                       const TaskKey &Task, std::uint64_t Run) {
@@ -126,7 +131,8 @@
   return IsHere ? &Job->Spec_.Steps_[Task.Step_] : nullptr;
 }
 
-/// Why the run, which is wanted where it is, is better stopped; empty if not.
+/// Returns why a run that is placed on its server should be stopped; empty if
+/// it should continue.
 std::string_view JobLeader::Impl::findStopReason(
     const JobBook &Book, const StepSpec &Step, const ServerRecord &Server,
     const LiveServer &Live, const ServerReport &Report, std::size_t At,
@@ -137,14 +143,14 @@
       isStalled(Step, Report.Facts_.Id_, Live.Progress_[At], Time_.now()))
     return StallReason;
   if (shouldEvacuate(Book, Step, Live, Report, Running, Stopping))
-    return "its server is about to leave, or to have its maintenance";
+    return "its server is draining or due for maintenance";
   if (shouldMove(Step, Server, Running))
-    return "it would disturb here and has room elsewhere";
+    return "throttled to protect other tasks, and another server has room";
   return "";
 }
 
-/// The runs that are placed on the server and that its report does not name,
-/// neither as going on nor as ended.
+/// Returns the runs that are placed on the server but named in its report
+/// neither as running nor as ended.
 static std::vector<std::pair<TaskKey, std::uint64_t>>
 listUnreported(const ServerRecord &Server, const ServerReport &Report) {
   std::set<std::pair<TaskKey, std::uint64_t>> Reported;
@@ -194,29 +200,30 @@
       const std::string_view Why =
           Step ? findStopReason(Book, *Step, Server, *Live, Report, At,
                                 StopsSent)
-               : "it is no longer wanted";
+               : "the run is no longer needed";
       if (Why.empty())
         continue;
       Stop(Each.Task_, Each.Run_);
-      const auto Before = Live->StopsSent_.find(Each.Task_);
-      if (Before == Live->StopsSent_.end() || Before->second != Each.Run_)
+      const auto Previous = Live->StopsSent_.find(Each.Task_);
+      if (Previous == Live->StopsSent_.end() || Previous->second != Each.Run_)
         Stopped.emplace_back(Each, Why);
     }
     Live->MayHaveUnplaced_ = AnyUnplaced;
-    // Mostly the report names all that is placed there.
+    // Usually the report names all runs that are placed on the server.
     if (Wanted == Server.Placed_.size())
       return 0;
-    // Where nothing starts any more, what was placed and never seen counts as
-    // unwanted: it is outlawed, and begins elsewhere.
+    // In an evacuated data centre a placed run that was never reported is not
+    // started any more: the server is told to stop it, and it starts elsewhere.
     const bool MayStart = !Book.isEvacuated(Server.Facts_);
     for (const auto &[Task, Run] : listUnreported(Server, Report)) {
       const StepSpec *Step = findWantedStep(Book, Id, Task, Run);
       // The capacity may have shrunk since the task was placed.
       if (!MayStart || !Step || !Step->getReserved().fitsIn(Left)) {
-        const auto Before = Live->StopsSent_.find(Task);
-        // Told to stop in an earlier answer, and still not there: the order to
-        // start it, if one ever left, can't take effect any more.
-        if (Before != Live->StopsSent_.end() && Before->second == Run)
+        const auto Previous = Live->StopsSent_.find(Task);
+        // The server was told in an earlier answer to stop the run and still
+        // does not report it, so an order to start it can no longer take
+        // effect.
+        if (Previous != Live->StopsSent_.end() && Previous->second == Run)
           NeverRan.push_back({Task, Run, RunEnd::NeverRan, ""});
         else
           Stop(Task, Run);
@@ -242,7 +249,7 @@
     Line.Reason_ = Why;
     Log_.write(Line);
     if (Why == StallReason)
-      recordFailedRun(Report.Facts_.Id_, Task.Task_.Job_, "runs stand still");
+      recordFailedRun(Report.Facts_.Id_, Task.Task_.Job_, "runs stalled");
   }
   return Orders;
 }
--- a/src/jobs/JobLeaderReports.cpp
+++ b/src/jobs/JobLeaderReports.cpp
@@ -7,12 +7,12 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-/// A server that refused a start gets none for this time, as its free room
-/// differs from the book's.
+/// A server that refused a start gets no others for this time, as its free
+/// resources differ from those in the replicated state.
 static constexpr Duration RefusalPause = 500ms;
-/// Longest time a response is delayed by pending commits.
+/// The longest time for which pending commits delay an answer.
 static constexpr Duration MaxAnswerDelay = 300ms;
-/// Report interval of an incarnation whose address is still taken.
+/// The report interval of an incarnation whose address is still taken.
 static constexpr std::uint64_t ConflictReportMs = 250;
 
 void JobLeader::Impl::leave(const std::string &ServerId, Done<void> Reply) {
@@ -23,8 +23,8 @@
     const ServerRecord *Server = Book.findServer(ServerId);
     return !Server || Server->Placed_.empty();
   });
-  // A relay may hold the final report. Ends in it must be noted before the
-  // tasks are started elsewhere.
+  // A relay may hold the final report. The ends in it must be recorded before
+  // the tasks are started elsewhere.
   const auto Remove = [Weak = weak_from_this(), ServerId, Reply] {
     const std::shared_ptr<Impl> Self = Weak.lock();
     if (!Self || !Self->isLeading())
@@ -50,8 +50,8 @@
 void JobLeader::Impl::report(ServerReport Report, Done<ServerOrders> Reply) {
   if (!isLeading())
     return Reply(makeNotLeaderError());
-  // A late report of an incarnation that is over: its ends count, but it gets
-  // no orders.
+  // The ends in a late report of an ended incarnation count, but it gets no
+  // orders.
   const std::string &Id = Report.Facts_.Id_;
   const bool IsOver =
       Leaving_.count(Id) != 0 || Machine_.read([&Id](const JobBook &Book) {
@@ -95,8 +95,8 @@
           });
 }
 
-/// Whether the report names an unconfigured service. A server whose service was
-/// dropped goes on.
+/// Whether the report names a service that is not configured. A server whose
+/// service was removed from the configuration continues.
 static bool namesUnknownService(const JobBook &Book, const ServerRecord *Known,
                                 const ServerFacts &Facts) {
   const Configuration &Pending = Book.configuration();
@@ -110,7 +110,7 @@
                       });
 }
 
-/// Registers the server in the log, unless its address is taken.
+/// Registers the server in the replicated state, unless its address is taken.
 void JobLeader::Impl::admit(const PendingReportPtr &Pending) {
   const ServerFacts &Facts = Pending->Report_.Facts_;
   std::string Occupant;
@@ -122,7 +122,7 @@
     IsUnknownService = namesUnknownService(Book, Known, Facts);
     return Known && Known->Facts_ == Facts;
   });
-  // Runs on a known server keep their lease.
+  // An invalid report does not affect the lease of a registered server's runs.
   if (IsUnknownService)
     return reply(Pending, fail(ErrorCode::InvalidArgument,
                                "no such service: " + Facts.Service_));
@@ -141,8 +141,8 @@
   addServer(Pending);
 }
 
-/// Removes the incarnation at the address if the one that reports there is
-/// known to be the later one; else returns false.
+/// Removes the incarnation at the address if the successor is known to be the
+/// later one; otherwise returns false.
 bool JobLeader::Impl::takeOver(const std::string &Occupant,
                                const ServerFacts &Successor) {
   const TimePoint Now = Time_.now();
@@ -159,7 +159,7 @@
     Event Line;
     Line.Kind_ = EventKind::ServerWaits;
     Line.Server_ = Successor.Id_;
-    Line.Reason_ = Occupant + " was heard at its address";
+    Line.Reason_ = Occupant + " is registered at its address";
     if (Live)
       Line.AgeMs_ = std::chrono::duration_cast<std::chrono::milliseconds>(
                         Now - Live->LastHeard_)
@@ -194,7 +194,7 @@
       });
 }
 
-/// Whether the end of a run on the server changes anything.
+/// Whether the end of a run on the server changes the replicated state.
 static bool changesState(const JobBook &Book, const ServerRecord &Server,
                          const TaskEnd &End) {
   const auto Placed = Server.Placed_.find(End.Task_);
@@ -253,8 +253,8 @@
             updateHealth(Command);
             for (const TaskEnd &End : Command.Ends_)
               handleJobEnd(End.Task_.Job_);
-            // After an early answer the starts go with the next one. A later
-            // report is planned for instead.
+            // If the server has reported again since, starts are planned for
+            // the later report, and this answer has none.
             const LiveServer *Live = LiveServers_.find(Command.Server_);
             if (Live && Live->LastSequence_ == Pending->Report_.Sequence_)
               startTasks(Pending);
@@ -306,8 +306,8 @@
     PendingReports_.push_back(Pending);
 }
 
-/// Answers reports whose commits take long, so that leases do not wait. What is
-/// committed later goes with the next answer.
+/// Answers reports whose commits take long, so that leases do not wait for
+/// them. Changes that are committed later go into the next answer.
 void JobLeader::Impl::answerOverdueReports() {
   const TimePoint Now = Time_.now();
   while (!PendingReports_.empty() &&
@@ -335,8 +335,8 @@
   if (!IsKnown)
     return reply(Pending,
                  fail(ErrorCode::Unavailable, "the server is being removed"));
-  // The server has given this report up, as it sent a later one: it will not
-  // see these orders.
+  // The server has sent a later report and no longer waits for this answer, so
+  // it would not see these orders.
   if (Live->LastSequence_ != Report.Sequence_) {
     Meter_.add(JobCounter::ReportsSuperseded, 1);
     return reply(Pending, ServerOrders{});
@@ -357,7 +357,7 @@
           Settings_.ReportInterval_)
           .count());
   Setter_.addPaces(Report, *LiveServers_.find(Id), Orders);
-  // Another member may lead by now.
+  // Another member may have become the leader.
   const TimePoint Now = Time_.now();
   if (Group_.findLeaseTerm(Now) != Term_)
     return reply(Pending, makeNotLeaderError());
--- a/src/jobs/JobLeaderTelemetry.cpp
+++ b/src/jobs/JobLeaderTelemetry.cpp
@@ -74,7 +74,8 @@
     const RunProgress *Seen = Live->findPreviousProgress(End.Task_);
     const StepSpec *Step = Machine_.read(
         [&End](const JobBook &Book) { return Book.findStep(End.Task_); });
-    // What fills goes as fast as others let it, which says nothing of a server.
+    // A filling task runs only as fast as other tasks let it, so its run time
+    // says nothing about the server.
     const bool IsTelling =
         Step && !Step->Fills_ && Seen && Seen->Run_ == End.Run_;
     const bool WasSick =
@@ -84,13 +85,13 @@
         IsTelling ? Now - Seen->SeenAt_ : Duration(0), Now);
     if (IsSick)
       logQuarantine(Ended.Server_, End.Task_.Job_,
-                    "runs take much longer than elsewhere");
+                    "runs take much longer than on other servers");
     else if (WasSick && Health_.getHealthState(Ended.Server_, Now) ==
                             HealthState::Healthy) {
       Event Line;
       Line.Kind_ = EventKind::ServerReturned;
       Line.Server_ = Ended.Server_;
-      Line.Reason_ = "a run was done there";
+      Line.Reason_ = "a run was completed there";
       Log_.write(Line);
     }
   }
--- a/src/jobs/JobLeaderWaves.cpp
+++ b/src/jobs/JobLeaderWaves.cpp
@@ -10,7 +10,7 @@
     return Reply(makeNotLeaderError());
   if (!Provider_.isThere())
     return Reply(fail(ErrorCode::Unavailable,
-                      "the settings name no provider of VMs to order from"));
+                      "the settings configure no provider of VMs"));
   propose(StartWave{Spec},
           [this, Spec, Reply](const Outcome<CommandResult> &Applied) {
             if (!Applied)
@@ -45,8 +45,9 @@
   Log_.write(Line);
 }
 
-/// Orders nothing before an earlier leader's orders can have ended: two that
-/// order in turns would undo each other's plans.
+/// Advances the waves of maintenance. A new leader sends no orders until those
+/// of the previous one have ended, as two leaders that order in turns would
+/// break each other's limits.
 void JobLeader::Impl::advanceWaves() {
   const TimePoint Now = Time_.now();
   if (!Provider_.isThere() || Now - LeadingSince_ < Settings_.HolderLease_)
--- a/src/jobs/LiveServerTable.cpp
+++ b/src/jobs/LiveServerTable.cpp
@@ -6,14 +6,14 @@
 using namespace tulipweir;
 using namespace tulipweir::jobs;
 
-/// Where the run stands in the list; its size if it does not. Looked for from
-/// the place where it is expected.
+/// Returns the index of the run in the list, or the list's size if it is not
+/// there. The search begins at the expected index.
 static std::size_t findRun(const std::vector<RunningTask> &Runs,
                            const TaskKey &Task, std::uint64_t Run,
                            std::size_t Expected) {
   for (std::size_t I = 0; I < Runs.size(); ++I) {
     const std::size_t At = (Expected + I) % Runs.size();
-    // The index differs most often.
+    // The task index differs most often, so it is compared first.
     if (Runs[At].Task_.Index_ == Task.Index_ && Runs[At].Run_ == Run &&
         Runs[At].Task_ == Task)
       return At;
@@ -63,7 +63,7 @@
   Live.LastSequence_ = Report.Sequence_;
   Live.LastHeard_ = Now;
   Live.IsDraining_ = Report.IsDraining_;
-  // What has ended meanwhile is looked at once more.
+  // Runs that have ended since the last report are looked up once more.
   std::swap(Live.Running_, Live.PreviousRunning_);
   std::swap(Live.Progress_, Live.PreviousProgress_);
   Live.Running_ = Report.Running_;
@@ -73,8 +73,8 @@
 
 void LiveServerTable::updateProgress(LiveServer &Live, TimePoint Now) {
   Live.Progress_.clear();
-  // A server lists its runs in the same order each time, but for those that
-  // came or went: the next one is mostly where the last one was found.
+  // A server lists its runs in the same order each time, except for new and
+  // ended ones, so a run usually follows the one that was found before.
   std::size_t Expected = 0;
   for (const RunningTask &Run : Live.Running_) {
     RunProgress Progress{Run.Run_, Run.Percent_, Now, Now};
@@ -136,8 +136,8 @@
   return Used;
 }
 
-/// An incarnation after a crash is stable once it has sent so many reports,
-/// about two a second.
+/// An incarnation after a crash is stable once it has sent this number of
+/// reports, at about two a second.
 static constexpr std::uint64_t StableAfterReports = 100;
 
 bool LiveServerTable::isStable(const ServerRecord &Server) const {
--- a/src/jobs/LiveServerTable.h
+++ b/src/jobs/LiveServerTable.h
@@ -1,9 +1,9 @@
 //===- LiveServerTable.h - Volatile state of live servers -------*- C++ -*-===//
 //
-// Everything about backend servers that is not in the log: when each was last
-// heard, until when work on it may still run, what it last reported. A new
-// leader begins with nothing and grants every server the longest lease that an
-// earlier leader can have given.
+// State of backend servers that is not in the replicated log: when each was
+// last heard, when its lease expires, and its last reports. A new leader
+// starts without it and grants every server the longest lease that an earlier
+// leader can have granted.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,12 +19,12 @@
 
 namespace tulipweir::jobs {
 
-/// How a run on a server gets on.
+/// The progress of a run on a server.
 struct RunProgress {
   std::uint64_t Run_ = 0;
   std::uint64_t Percent_ = 0;
-  TimePoint SeenAt_{};    ///< When it was first reported.
-  TimePoint ChangedAt_{}; ///< When its percent last changed.
+  TimePoint SeenAt_{};    ///< When the run was first reported.
+  TimePoint ChangedAt_{}; ///< When its percentage last changed.
 };
 
 struct PaceSent {
@@ -36,51 +36,55 @@
 struct LiveServer {
   std::uint64_t LastSequence_ = 0;
   TimePoint LastHeard_{};
-  /// Nothing that it was given runs after that.
+  /// No task that the server was given runs after this time.
   TimePoint LeaseEnd_{};
   bool IsDraining_ = false;
-  /// Its removal is proposed: it gets no lease until that is applied.
+  /// Its removal is proposed; it gets no lease until that is committed.
   bool IsRemoving_ = false;
-  /// Its VM is next for maintenance: it is emptied, as far as jobs allow.
+  /// Its VM is next for maintenance: its tasks are moved away as far as their
+  /// jobs allow.
   bool IsEmptying_ = false;
-  /// Its VM was emptied at some time: the server may go without notice.
+  /// Its VM was emptied before, so the server may go without notice.
   bool WasEmptying_ = false;
-  /// A report is being handled; the next one waits for nothing of it.
+  /// The server gets no starts until then, as it refused one.
   TimePoint NoStartsUntil_{};
   std::vector<RunningTask> Running_;
-  std::vector<RunProgress> Progress_; ///< Of these, in their order.
-  // The same of the report before.
+  /// The progress of Running_, in the same order.
+  std::vector<RunProgress> Progress_;
+  // The runs of the previous report.
   std::vector<RunningTask> PreviousRunning_;
   std::vector<RunProgress> PreviousProgress_;
-  /// Runs may go on there that the book does not place there.
+  /// Whether runs may be in progress on the server that are not placed there in
+  /// the replicated state.
   bool MayHaveUnplaced_ = true;
-  /// Runs that were ordered to stop in an earlier answer.
+  /// Runs that an earlier answer ordered to stop.
   std::map<TaskKey, std::uint64_t> StopsSent_;
-  /// The last pace that each run was told, and when.
+  /// The last pace order for each task.
   std::map<TaskKey, PaceSent> PacesSent_;
 
-  /// How the task got on by the last report, or by the one before that;
-  /// nullptr if it was not in it.
+  /// Return the progress of the task in the last report, or in the one before;
+  /// nullptr if the report did not name the task.
   const RunProgress *findProgress(const TaskKey &Task) const;
   const RunProgress *findPreviousProgress(const TaskKey &Task) const;
-  /// How long its reports have named the run; zero if none has.
+  /// Returns how long the server's reports have named the run; zero if none
+  /// has.
   Duration getObservedTime(const TaskKey &Task, std::uint64_t Run) const;
-  /// Whether it is there to stay, for all that is known.
+  /// Whether the server is neither leaving nor being emptied, as far as known.
   bool isInService() const {
     return !IsDraining_ && !IsRemoving_ && !IsEmptying_;
   }
 };
 
-/// Not thread-safe.
+/// The leader's view of all live servers. Not thread-safe.
 class LiveServerTable {
 public:
-  /// Begins anew: all servers of the book count as heard now, with a lease to
-  /// the end of Lease from now.
+  /// Restarts with all registered servers, as if each was heard now and has a
+  /// lease until Now + Lease.
   void reset(const JobBook &Book, TimePoint Now, Duration Lease);
 
-  /// Takes a report in; false if a later one was seen before. A server that
-  /// was not known counts as promised Lease from now: its registration may
-  /// take long to be stored, and until then no answer extends it.
+  /// Records a report; returns false if a later one was recorded before. A new
+  /// server counts as if it had a lease until Now + Lease: its registration may
+  /// take long to commit, and no answer extends the lease until then.
   bool recordReport(const ServerReport &Report, TimePoint Now, Duration Lease);
   void extendLease(const std::string &Id, TimePoint End);
   LiveServer *find(const std::string &Id);
@@ -88,21 +92,23 @@
   void add(const std::string &Id, TimePoint Now, TimePoint LeaseEnd);
   void remove(const std::string &Id);
   const std::map<std::string, LiveServer> &servers() const { return Servers_; }
-  /// Servers whose lease has run out.
+  /// Returns the servers whose lease has expired by Now and whose removal is
+  /// not proposed.
   std::vector<std::string> listExpired(TimePoint Now) const;
-  /// Whether anything may be started on the server at all: whatever plans, asks
-  /// here.
+  /// Whether anything may be started on the server. All planners check this.
   bool acceptsStarts(const JobBook &Book, const ServerRecord &Server) const {
     const LiveServer *Live = find(Server.Facts_.Id_);
     return Live && Live->isInService() && !Book.isEvacuated(Server.Facts_);
   }
-  /// What runs on the server use that the book does not place there, as far as
-  /// their jobs are known.
+  /// Returns the reserved resources of runs that are in progress on the server
+  /// but not placed there in the replicated state, as far as their jobs are
+  /// known.
   Resources sumUnplacedUsage(const JobBook &Book,
                              const ServerRecord &Server) const;
-  /// Whether the server is not known for crashes of late.
+  /// Whether the previous incarnation did not crash, or this one has run for
+  /// long enough since.
   bool isStable(const ServerRecord &Server) const;
-  /// The checkpoints that the server's runs were last seen with.
+  /// Returns the last reported checkpoints of the server's runs.
   std::vector<SavedWork> listCheckpoints(const std::string &Id) const;
 
 private:
--- a/src/jobs/PendingStops.cpp
+++ b/src/jobs/PendingStops.cpp
@@ -6,7 +6,7 @@
 using namespace tulipweir;
 using namespace tulipweir::jobs;
 
-/// Longest list in one reply, which bounds its size.
+/// The limit of a list, which bounds the size of a reply.
 static constexpr std::size_t MaxListed = 128;
 
 void PendingStops::reset(const JobBook &Book, TimePoint Now) {
--- a/src/jobs/PendingStops.h
+++ b/src/jobs/PendingStops.h
@@ -1,8 +1,8 @@
-//===- PendingStops.h - Servers with runs to be stopped --------*- C++ -*-===//
+//===- PendingStops.h - Servers that must stop runs -------------*- C++ -*-===//
 //
-// Remembers which servers have runs of cancelled jobs, and since when. Stop
-// orders travel in answers to reports, so while the leader is behind the
-// reports of these servers must not wait for their leases' turn.
+// Records which servers have runs of ended jobs, and since when. Stop orders
+// travel in answers to reports, so while the leader is overloaded the reports
+// of these servers take precedence over the order of leases.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,26 +23,26 @@
 public:
   // Commands.
 
-  /// Begins anew with the runs of ended jobs that the book still has.
+  /// Restarts with the placed runs of jobs that have ended.
   void reset(const JobBook &Book, TimePoint Now);
-  /// The job was cancelled.
+  /// Adds the servers that run tasks of an ended job.
   void add(const JobRecord &Job, TimePoint Now);
-  /// A server was answered. One with stop orders waits on, as the answer may be
-  /// lost: its next report shows whether it has stopped them. Returns how long
-  /// it waited for its first stop order.
+  /// Records an answer to a server. A server with stop orders stays pending, as
+  /// the answer may be lost: its next report shows whether it has stopped the
+  /// runs. Returns how long the server waited for its first stop order.
   std::optional<Duration> recordAnswer(const std::string &Server, bool HasStops,
                                        TimePoint Now);
   void forget(const std::string &Server) { Servers_.erase(Server); }
 
   // Queries.
 
-  /// The servers that have waited for the longest.
+  /// Returns the servers that have waited longest.
   std::vector<ServerAwaitingStop> list(TimePoint Now) const;
 
 private:
   struct PendingStop {
     TimePoint Since_;
-    bool IsSent_ = false; ///< An answer with a stop order was sent.
+    bool IsSent_ = false; ///< Whether an answer with a stop order was sent.
   };
   std::map<std::string, PendingStop> Servers_;
 };
--- a/src/jobs/ReadyTimes.h
+++ b/src/jobs/ReadyTimes.h
@@ -1,4 +1,4 @@
-//===- ReadyTimes.h - Since when steps wait --------------------*- C++ -*-===//
+//===- ReadyTimes.h - How long steps have been ready ------------*- C++ -*-===//
 
 #ifndef TULIPWEIR_SRC_JOBS_READYTIMES_H
 #define TULIPWEIR_SRC_JOBS_READYTIMES_H
@@ -13,19 +13,21 @@
 /// Not thread-safe.
 class ReadyTimes {
 public:
-  /// Work that lasts and has waited so long goes first, and room is kept for
-  /// it: short work comes without end and leaves gaps that are too small.
-  /// Whoever lasts must not be away for more than some seconds.
+  /// Long-running work that has waited for this time takes precedence, and room
+  /// is reserved for it: a steady stream of short work leaves only gaps that
+  /// are too small. Long-running tasks must not be down for more than some
+  /// seconds.
   static constexpr Duration MaxLongRunningWait = std::chrono::seconds(2);
 
   // Commands.
 
   void reset() { Since_.clear(); }
-  /// How long the step has been ready; a new one counts from now on.
+  /// Returns how long the step has been ready. The time of an unknown step
+  /// starts now.
   Duration getWait(const ReadyStep &Step, TimePoint Now) {
     return Now - Since_.try_emplace(Step, Now).first->second;
   }
-  /// Forgets steps that are no longer ready.
+  /// Removes steps that are no longer ready.
   void prune(const JobBook &Book) {
     std::erase_if(Since_, [&Book](const auto &Entry) {
       return Book.readySteps().count(Entry.first) == 0;
--- a/src/jobs/ServerHealth.cpp
+++ b/src/jobs/ServerHealth.cpp
@@ -7,21 +7,24 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-/// Single runs fail by themselves in some percent of cases; three in a row of
-/// two jobs on one server hardly ever.
+/// A few percent of single runs fail for reasons of their own. Three failures
+/// in a row, of two jobs on one server, are very unlikely without a fault of
+/// the server.
 static constexpr std::uint64_t MinFailures = 3;
 static constexpr std::size_t MinJobs = 2;
-/// About as long as servers stay sick; doubled each time up to the longest.
+/// About as long as faults of servers last. The time doubles with each
+/// quarantine in a row, up to the limit.
 static constexpr Duration FirstQuarantine = 3s;
 static constexpr std::uint64_t MaxDoublings = 2;
-/// A server is slow when its runs take so many times as long as those of the
-/// same steps elsewhere, which scatter by a third; sick ones are four times and
-/// more slower.
+/// A server is slow when its runs take this many times as long as runs of the
+/// same steps on other servers. Run times on healthy servers vary by a third;
+/// faulty servers are at least four times slower.
 static const double MinSlowLogRatio = std::log(2.2);
 static constexpr std::uint64_t MinSamples = 3;
 static constexpr std::uint64_t MinRunsElsewhere = 2;
 static constexpr double NewestWeight = 0.4;
-/// Steps whose times are kept; some hundred are under way at a time.
+/// The number of steps whose run times are kept. A few hundred are in progress
+/// at a time.
 static constexpr std::size_t MaxSteps = 512;
 
 void ServerHealth::reset() {
@@ -41,8 +44,9 @@
   Health.SlowJobs_.clear();
 }
 
-/// How much longer than elsewhere, as a logarithm; nothing while too few runs
-/// of the step were done on other servers.
+/// Returns how much longer the run took than runs of the step on other servers,
+/// as a logarithm of the ratio; nothing while too few runs of the step have
+/// finished on other servers.
 std::optional<double>
 ServerHealth::compareElsewhere(const std::string &ServerId, const StepKey &Step,
                                double LogRunTime) {
--- a/src/jobs/ServerHealth.h
+++ b/src/jobs/ServerHealth.h
@@ -1,12 +1,12 @@
-//===- ServerHealth.h - Servers that fail, stall or crawl ------*- C++ -*-===//
+//===- ServerHealth.h - Detection of faulty servers -------------*- C++ -*-===//
 //
-// Tells sick servers from sick jobs by what ends on them. A server is put into
-// quarantine when runs of several different jobs failed or stalled there one
-// after another with none done between, or when runs of several jobs took many
-// times as long there as runs of the same steps did elsewhere; what was
-// declared is too far off to compare with. One poisonous job never does that.
-// After its time a server is on probation: one task at a time, until one is
-// done. Pure.
+// Tells faulty servers from faulty jobs by the runs that end on them. A server
+// is quarantined when runs of several jobs failed or stalled there in a row,
+// without a completed one between, or when runs of several jobs took many
+// times as long there as runs of the same steps on other servers. Declared run
+// times are too inaccurate to compare with. A single faulty job never causes a
+// quarantine. After its quarantine a server is on probation: it gets one task
+// at a time until one is completed. The class has no clock and does no I/O.
 //
 //===----------------------------------------------------------------------===//
 
@@ -34,12 +34,12 @@
 
   void reset();
   void forget(const std::string &ServerId) { Servers_.erase(ServerId); }
-  /// A run of the step was done in Took; zero if that says nothing. True if
-  /// that put the server into quarantine.
+  /// Records that a run of the step was completed in RunTime; zero if the time
+  /// cannot be compared. Returns true if that puts the server into quarantine.
   bool recordCompletion(const std::string &ServerId, const std::string &Job,
                         std::uint64_t Step, Duration RunTime, TimePoint Now);
-  /// A run failed or made no progress. True if that put the server into
-  /// quarantine.
+  /// Records that a run failed or stalled. Returns true if that puts the server
+  /// into quarantine.
   bool recordFailure(const std::string &ServerId, const std::string &Job,
                      TimePoint Now);
 
@@ -49,16 +49,19 @@
 
 private:
   struct Record {
-    std::uint64_t Failures_ = 0;  ///< Since the last run that was done.
-    std::set<std::string> Jobs_;  ///< Of these.
-    double SmoothedLogRatio_ = 0; ///< Smoothed logarithm of took over usual.
+    std::uint64_t Failures_ = 0; ///< Failures since the last completed run.
+    std::set<std::string> Jobs_; ///< The jobs of these failures.
+    /// Smoothed logarithm of the run time over that on other servers.
+    double SmoothedLogRatio_ = 0;
     std::uint64_t Samples_ = 0;
-    std::set<std::string> SlowJobs_; ///< Whose runs were slow here, in a row.
-    std::uint64_t QuarantineCount_ = 0; ///< In a row.
+    /// Jobs whose last runs in a row were slow here.
+    std::set<std::string> SlowJobs_;
+    std::uint64_t QuarantineCount_ = 0; ///< Quarantines in a row.
     bool IsOnProbation_ = false;
-    TimePoint Until_{}; ///< Of the quarantine.
+    TimePoint Until_{}; ///< The end of the quarantine.
   };
-  /// The runs of one step, by server: sums of logarithms of what they took.
+  /// The sums of the logarithms of the run times of one step, in total and by
+  /// server.
   struct StepTimes {
     double Sum_ = 0;
     std::uint64_t Count_ = 0;
@@ -73,7 +76,7 @@
 
   std::map<std::string, Record> Servers_;
   std::map<StepKey, StepTimes> Steps_;
-  std::deque<StepKey> StepOrder_; ///< Of Steps_, the oldest first.
+  std::deque<StepKey> StepOrder_; ///< The keys of Steps_, the oldest first.
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/ServerIncarnations.cpp
+++ b/src/jobs/ServerIncarnations.cpp
@@ -5,11 +5,11 @@
 using namespace tulipweir;
 using namespace tulipweir::jobs;
 
-/// Three times the servers of the largest deployment in docs/CAPACITY.md; some
-/// 100 bytes each.
+/// Three times the servers of the largest supported deployment
+/// (docs/CAPACITY.md). An entry takes about 100 bytes.
 static constexpr std::size_t MaxAddresses = 4096;
-/// Late reports come within seconds; this is more than all servers of the
-/// largest deployment restarted three times over.
+/// Late reports arrive within seconds. This is more than three restarts of all
+/// servers of the largest supported deployment.
 static constexpr std::size_t MaxEndedIncarnations = 4096;
 
 std::string
--- a/tests/jobs/DepartingServersTest.cpp
+++ b/tests/jobs/DepartingServersTest.cpp
@@ -1,16 +1,12 @@
-//===- DepartingServersTest.cpp - Order of a server's last words
-//-------------===//
+//===- DepartingServersTest.cpp - Tests of final reports of servers -------===//
 //
-// What happened: a run was done at 27.412 s and began again at 27.697 s on
-// another server (grown bhf, trouble-1, seed 566615086255). The server left,
-// and its leaving went straight to the leader, which waited 500 ms, at that
-// time 150, for the last report; that report, with the end, was kept by a relay
-// and came later. The time was a guess: a relay keeps a report for 350 ms and
-// then waits for its answer, longer where the leader is behind or the relay
-// slow. The same guess stood behind silence: a server that a relay heard all
-// the while was given up, as the leader had not answered it for a lease (TWICE
-// 7, 8 and 4 on large days: runs that were done began again 5 to 6 s later, one
-// lease).
+// Guards against a run that has finished and starts again elsewhere. Its final
+// report is still buffered by a relay when the leader removes the server,
+// because the server left or because its lease expired while the leader could
+// not answer it in time. A fixed delay does not help: a relay buffers a report
+// for up to 350 ms and then waits for the leader's answer, which takes longer
+// if the leader is overloaded or the relay is slow. Waiting 150 to 500 ms for
+// the final report was too short.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +22,7 @@
 class DepartingServersTest : public JobLeaderTest {
 protected:
   DepartingServersTest() { Relays_.AnswersAutomatically_ = false; }
-  /// One run on s1.
+  /// Starts one run on s1.
   StartOrder startRun() {
     call(CallKind::Submit, "j", {makeStep(1, 100)});
     const ServerOrders Orders = report(makeReport("s1"));
@@ -56,7 +52,7 @@
 
 } // namespace
 
-TEST_F(DepartingServersTest, ALeavingWaitsForWhatARelayKeepsHoweverLong) {
+TEST_F(DepartingServersTest, LeaveWaitsForBufferedReports) {
   const StartOrder Run = startRun();
   leave();
   Strand_.advance(2s);
@@ -68,7 +64,7 @@
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
-TEST_F(DepartingServersTest, ALeavingIsDoneAsSoonAsNobodyKeepsAnything) {
+TEST_F(DepartingServersTest, LeaveEndsOnceTheRelaysHaveFlushed) {
   startRun();
   leave();
   EXPECT_FALSE(HasLeft_);
@@ -78,7 +74,7 @@
   EXPECT_TRUE(isStartedElsewhere());
 }
 
-TEST_F(DepartingServersTest, AServerThatARelayHearsIsNotGivenUp) {
+TEST_F(DepartingServersTest, ServerThatARelayHearsIsKept) {
   const StartOrder Run = startRun();
   expireLease();
   Relays_.answer({"s1"});
@@ -89,19 +85,19 @@
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
-TEST_F(DepartingServersTest, ASilentServerIsGivenUpOnceNobodyHearsIt) {
+TEST_F(DepartingServersTest, SilentServerIsRemovedOnceNoRelayHearsIt) {
   startRun();
   expireLease();
   EXPECT_FALSE(isStartedElsewhere()) << "the relays are being asked";
   Relays_.answer({"s1"});
-  // Heard at that time; asked again, nobody has heard it any more.
+  // A relay had heard the server then. When they are asked again, none has.
   Strand_.advance(2s);
   Relays_.answer();
   Strand_.runAll();
   EXPECT_TRUE(isStartedElsewhere());
 }
 
-TEST_F(DepartingServersTest, AServerThatReportsWhileOthersAreAskedStays) {
+TEST_F(DepartingServersTest, ServerThatReportsDuringTheCheckIsKept) {
   const StartOrder Run = startRun();
   expireLease();
   ServerReport Alive = makeReport("s1");
@@ -112,7 +108,7 @@
   EXPECT_FALSE(isStartedElsewhere());
 }
 
-TEST_F(DepartingServersTest, ANewLifeWaitsForWhatIsKeptOfTheOldOne) {
+TEST_F(DepartingServersTest, NewIncarnationWaitsForReportsOfTheOldOne) {
   const StartOrder Run = startRun();
   for (int I = 0; I < 6; ++I) {
     EXPECT_EQ(report(makeIncarnationReport("s1-again", "s1")).LeaseMs_, 0U);
--- a/tests/jobs/JobEvacuationTest.cpp
+++ b/tests/jobs/JobEvacuationTest.cpp
@@ -1,4 +1,4 @@
-//===- JobEvacuationTest.cpp - Data centres in which nothing starts -------===//
+//===- JobEvacuationTest.cpp - Tests of evacuations of data centres -------===//
 
 #include "jobs/LeaderFixture.h"
 
@@ -18,23 +18,25 @@
   }
 
   Outcome<void> evacuate(const std::string &DataCentre, bool IsBegun) {
-    auto Got = std::make_shared<std::optional<Outcome<void>>>();
-    tryEvacuate(DataCentre, IsBegun, Got);
-    return Got->value_or(fail(ErrorCode::Internal, "no reply"));
+    auto Answer = std::make_shared<std::optional<Outcome<void>>>();
+    tryEvacuate(DataCentre, IsBegun, Answer);
+    return Answer->value_or(fail(ErrorCode::Internal, "no reply"));
   }
-  void tryEvacuate(const std::string &DataCentre, bool IsBegun,
-                   const std::shared_ptr<std::optional<Outcome<void>>> &Got) {
-    Leader_.evacuate({DataCentre, IsBegun},
-                     [Got](const Outcome<void> &Result) { *Got = Result; });
+  void
+  tryEvacuate(const std::string &DataCentre, bool IsBegun,
+              const std::shared_ptr<std::optional<Outcome<void>>> &Answer) {
+    Leader_.evacuate(
+        {DataCentre, IsBegun},
+        [Answer](const Outcome<void> &Result) { *Answer = Result; });
     Strand_.runAll();
   }
-  /// The next report of a server in the other data centre.
+  /// Returns the next report of a server in dc2.
   ServerReport makeReportFromDc2(const std::string &Id) {
     ServerReport Report = makeReport(Id);
     Report.Facts_.DataCentre_ = "dc2";
     return Report;
   }
-  /// As another process comes to lead after a restart: from a snapshot.
+  /// Restarts the leader from a snapshot, in the next term.
   void changeLeader() {
     const std::string Snapshot = Machine_.takeSnapshot();
     ASSERT_TRUE(Machine_.restoreSnapshot(Snapshot));
@@ -48,7 +50,7 @@
 
 } // namespace
 
-TEST_F(JobEvacuationTest, NothingStartsThereUntilItIsTakenBack) {
+TEST_F(JobEvacuationTest, NothingStartsUntilTheEvacuationEnds) {
   report(makeReport("s1"));
   ASSERT_TRUE(evacuate("dc1", true));
   call(CallKind::Submit, "j", {makeStep(1, 100)});
@@ -60,7 +62,7 @@
   EXPECT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
 }
 
-TEST_F(JobEvacuationTest, WhatRunsThereGoesOn) {
+TEST_F(JobEvacuationTest, RunningTasksContinue) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
   ASSERT_TRUE(evacuate("dc1", true));
@@ -75,19 +77,19 @@
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
-TEST_F(JobEvacuationTest, AnOrderIsAcknowledgedOnceItIsCommitted) {
+TEST_F(JobEvacuationTest, EvacuationIsAcknowledgedOnceCommitted) {
   report(makeReport("s1"));
   Group_.IsHeld_ = true;
-  const auto Got = std::make_shared<std::optional<Outcome<void>>>();
-  tryEvacuate("dc1", true, Got);
-  EXPECT_FALSE(Got->has_value());
+  const auto Answer = std::make_shared<std::optional<Outcome<void>>>();
+  tryEvacuate("dc1", true, Answer);
+  EXPECT_FALSE(Answer->has_value());
   Group_.commitAll();
   Strand_.runAll();
-  ASSERT_TRUE(Got->has_value());
-  EXPECT_TRUE(**Got);
+  ASSERT_TRUE(Answer->has_value());
+  EXPECT_TRUE(**Answer);
 }
 
-TEST_F(JobEvacuationTest, TheSameOrderAgainIsAcknowledgedAgain) {
+TEST_F(JobEvacuationTest, RepeatedEvacuationIsIdempotent) {
   report(makeReport("s1"));
   EXPECT_TRUE(evacuate("dc1", false)) << "nothing was begun";
   EXPECT_TRUE(evacuate("dc1", true));
@@ -99,17 +101,17 @@
   EXPECT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
 }
 
-TEST_F(JobEvacuationTest, APlaceThatNobodyKnowsIsRefusedAndNotKept) {
-  const Outcome<void> Got = evacuate("dc9", true);
-  ASSERT_FALSE(Got);
-  EXPECT_EQ(Got.error().Code_, ErrorCode::NotFound);
+TEST_F(JobEvacuationTest, UnknownDataCentreIsRejectedAndNotStored) {
+  const Outcome<void> Answer = evacuate("dc9", true);
+  ASSERT_FALSE(Answer);
+  EXPECT_EQ(Answer.error().Code_, ErrorCode::NotFound);
   EXPECT_EQ(evacuate("", true).error().Code_, ErrorCode::NotFound);
   EXPECT_TRUE(
       Machine_.read([](const JobBook &Book) { return Book.evacuated(); })
           .empty());
 }
 
-TEST_F(JobEvacuationTest, ADataCentreOfTheDeploymentNeedsNoServerToBeKnown) {
+TEST_F(JobEvacuationTest, ConfiguredDataCentreIsKnownWithoutServers) {
   JobLeader Own(makeSettings(), Time_, Strand_, Group_, Machine_, Advisor_,
                 Provider_, Relays_, Log_, Meter_);
   Own.start();
@@ -120,25 +122,24 @@
   });
   Strand_.runAll();
   EXPECT_TRUE(IsDone);
-  // Servers that come later are under the same order.
+  // The evacuation also applies to servers that register later.
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   EXPECT_TRUE(report(makeReportFromDc2("s2")).Starts_.empty());
 }
 
-TEST_F(JobEvacuationTest, AMemberThatDoesNotLeadSaysWhoDoes) {
+TEST_F(JobEvacuationTest, FollowerNamesTheLeader) {
   report(makeReport("s1"));
   Group_.IsLeader_ = false;
   Group_.LeaderName_ = "other";
-  const Outcome<void> Got = evacuate("dc1", true);
-  ASSERT_FALSE(Got);
-  EXPECT_EQ(Got.error().Code_, ErrorCode::NotLeader);
-  EXPECT_EQ(Got.error().Message_, "other");
+  const Outcome<void> Answer = evacuate("dc1", true);
+  ASSERT_FALSE(Answer);
+  EXPECT_EQ(Answer.error().Code_, ErrorCode::NotLeader);
+  EXPECT_EQ(Answer.error().Message_, "other");
 }
 
-TEST_F(JobEvacuationTest,
-       AStartThatWasNeverSeenThereIsOutlawedAndGoesElsewhere) {
+TEST_F(JobEvacuationTest, UnreportedStartIsStoppedAndMovedElsewhere) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
-  // The answer with this order is lost on its way.
+  // The answer with this order is lost.
   ASSERT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
   ASSERT_TRUE(evacuate("dc1", true));
   const ServerOrders Stopping = report(makeReport("s1"));
@@ -152,13 +153,14 @@
   EXPECT_GT(Elsewhere.Starts_[0].Run_, Stopping.Stops_[0].Run_);
 }
 
-TEST_F(JobEvacuationTest, AStartOnItsWayWhenTheOrderComesIsNotGivenOut) {
+TEST_F(JobEvacuationTest, StartCommittedAfterTheEvacuationIsNotOrdered) {
   report(makeReport("s1"));
   call(CallKind::Submit, "j", {makeStep(1, 100)});
-  // Planned before the order is committed, and committed after it.
+  // The start is planned before the evacuation is committed, and committed
+  // after it.
   Group_.IsHeld_ = true;
-  auto Got = std::make_shared<std::optional<Outcome<void>>>();
-  tryEvacuate("dc1", true, Got);
+  auto Answer = std::make_shared<std::optional<Outcome<void>>>();
+  tryEvacuate("dc1", true, Answer);
   auto Orders = std::make_shared<std::optional<Outcome<ServerOrders>>>();
   Leader_.report(makeReport("s1"), [Orders](Outcome<ServerOrders> Reply) {
     *Orders = std::move(Reply);
@@ -167,14 +169,14 @@
   EXPECT_FALSE(Orders->has_value()) << "its start waits for the commit";
   Group_.commitAll();
   Strand_.runAll();
-  ASSERT_TRUE(*Got && **Got);
+  ASSERT_TRUE(*Answer && **Answer);
   ASSERT_TRUE(*Orders && **Orders);
   EXPECT_TRUE((*Orders)->value().Starts_.empty());
   Group_.IsHeld_ = false;
   EXPECT_EQ(report(makeReportFromDc2("s2")).Starts_.size(), 1U);
 }
 
-TEST_F(JobEvacuationTest, ItOutlivesTheLeaderAndItsSnapshot) {
+TEST_F(JobEvacuationTest, EvacuationSurvivesLeaderChangeAndSnapshot) {
   report(makeReport("s1"));
   ASSERT_TRUE(evacuate("dc1", true));
   changeLeader();
@@ -185,7 +187,7 @@
   EXPECT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
 }
 
-TEST_F(JobEvacuationTest, AGangGoesWhereAllOfItMayRun) {
+TEST_F(JobEvacuationTest, GangIsPlacedOutsideTheEvacuatedDataCentre) {
   report(makeReport("s1"));
   report(makeReportFromDc2("s2"));
   ASSERT_TRUE(evacuate("dc1", true));
@@ -197,7 +199,7 @@
   EXPECT_EQ(report(makeReportFromDc2("s2")).Starts_.size(), 3U);
 }
 
-TEST_F(JobEvacuationTest, NoCopyOfALateRunIsStartedThere) {
+TEST_F(JobEvacuationTest, NoSpeculativeCopyStartsInTheEvacuatedDataCentre) {
   StepSpec Step = makeStep(1, 100);
   Step.Speculative_ = true;
   Step.EstimateMs_ = 100;
@@ -218,7 +220,7 @@
       << "it was late all the while";
 }
 
-TEST_F(JobEvacuationTest, TheLogSaysWhyWorkWaits) {
+TEST_F(JobEvacuationTest, WaitReasonIsLogged) {
   report(makeReport("s1"));
   ASSERT_TRUE(evacuate("dc1", true));
   EXPECT_EQ(Log_.count(EventKind::Evacuation), 1U);
@@ -232,7 +234,7 @@
             "1 in a data centre that is being evacuated");
 }
 
-TEST_F(JobBookTest, AnEvacuationStandsInTheSnapshot) {
+TEST_F(JobBookTest, SnapshotIncludesEvacuations) {
   EXPECT_EQ(apply(EvacuateDataCentre{"dc1", true}).Verdict_, Verdict::Done);
   EXPECT_EQ(apply(EvacuateDataCentre{"dc1", true}).Verdict_,
             Verdict::AlreadyDone);
--- a/tests/jobs/JobLeaderServersTest.cpp
+++ b/tests/jobs/JobLeaderServersTest.cpp
@@ -1,4 +1,4 @@
-//===- JobLeaderServersTest.cpp - Servers that come, go and fall silent ---===//
+//===- JobLeaderServersTest.cpp - Tests of servers that come and go -------===//
 
 #include "jobs/LeaderFixture.h"
 
@@ -7,7 +7,7 @@
 using namespace tulipweir::jobs::test;
 using namespace std::chrono_literals;
 
-TEST_F(JobLeaderTest, AReportOfAServiceThatNobodyConfiguredNamesNoServer) {
+TEST_F(JobLeaderTest, ReportOfUnknownServiceIsRejected) {
   ServerReport Strange = makeReport("s1");
   Strange.Facts_.Service_ = "unheard-of";
   const auto Got = tryReport(Strange);
@@ -17,7 +17,7 @@
       [](const JobBook &Book) { return Book.servers().empty(); }));
 }
 
-TEST_F(JobLeaderTest, AStrangeReportOfAKnownServerCostsItNothing) {
+TEST_F(JobLeaderTest, RejectedReportLeavesTheServersLease) {
   call(CallKind::Submit, "j", {makeStep(2, 2500)});
   const ServerOrders Orders = report(makeReport("s1"));
   ASSERT_EQ(Orders.Starts_.size(), 1U);
@@ -25,7 +25,7 @@
   Strange.Facts_.Service_ = "unheard-of";
   const auto Got = tryReport(Strange);
   ASSERT_TRUE(Got && !*Got) << "it is given nothing";
-  // What runs there keeps its lease, and goes on.
+  // The runs there keep their lease and continue.
   Strand_.advance(3s);
   ServerReport After = makeReport("s1");
   After.Running_ = {makeRunning(Orders.Starts_[0])};
@@ -34,7 +34,7 @@
   EXPECT_GT(Later.LeaseMs_, 0U);
 }
 
-TEST_F(JobLeaderTest, AServerWhoseServiceWasDroppedGoesOn) {
+TEST_F(JobLeaderTest, ServerOfARemovedServiceContinues) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
   Configuration Without = makeConfiguration(2);
@@ -47,7 +47,7 @@
   EXPECT_GT(report(After).LeaseMs_, 0U);
 }
 
-TEST_F(JobLeaderTest, ALateReportGetsNoLeaseAndChangesNothing) {
+TEST_F(JobLeaderTest, LateReportGetsNoLeaseAndChangesNothing) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerReport Late = makeReport("s1");
   const ServerOrders Orders = report(makeReport("s1"));
@@ -55,10 +55,10 @@
   EXPECT_EQ(report(Late), ServerOrders{});
 }
 
-// A relay passes on the ends in a report that was not delivered. The server may
-// be gone: were it a sign of life, its tasks would begin elsewhere a lease
-// later.
-TEST_F(JobLeaderTest, EndsThatAreDeliveredLateCountButProlongNoLease) {
+// A relay passes on the ends in a report that was not delivered. Its server may
+// be down: if the report counted as a heartbeat, the server's tasks would
+// restart elsewhere a lease later.
+TEST_F(JobLeaderTest, LateEndsCountButExtendNoLease) {
   call(CallKind::Submit, "j", {makeStep(2, 1000)});
   const ServerOrders Orders = report(makeReport("s1"));
   ASSERT_EQ(Orders.Starts_.size(), 2U);
@@ -81,7 +81,7 @@
   EXPECT_EQ(GetState(Orders.Starts_[1].Task_), TaskState::Waiting);
 }
 
-TEST_F(JobLeaderTest, AReportThatALaterOneOvertookIsToldNothing) {
+TEST_F(JobLeaderTest, SupersededReportGetsNoOrders) {
   call(CallKind::Submit, "a", {makeStep(1, 100)});
   call(CallKind::Submit, "b", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
@@ -97,7 +97,7 @@
     Strand_.runAll();
     return Got;
   };
-  // Its entry hangs, so the server gives the report up and asks again.
+  // The commit hangs, so the server abandons the report and sends another one.
   Group_.IsHeld_ = true;
   const auto First = ReportEnd();
   const auto Second = ReportEnd();
@@ -109,7 +109,7 @@
   EXPECT_EQ((*Second)->value().EndsNoted_, 1U);
 }
 
-TEST_F(JobLeaderTest, ASilentServersWorkMovesOnlyAfterItsLease) {
+TEST_F(JobLeaderTest, TasksOfASilentServerMoveOnlyAfterItsLease) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   ServerReport Report = makeReport("s1");
   const ServerOrders Orders = report(Report);
@@ -126,7 +126,7 @@
   EXPECT_EQ(Elsewhere.Starts_[0].Checkpoint_, "at 4");
 }
 
-TEST_F(JobLeaderTest, ALeaderThatIsBehindGivesNoServerUpForItsOwnDelay) {
+TEST_F(JobLeaderTest, OverloadedLeaderKeepsServersThatRelaysHear) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
   ASSERT_EQ(Orders.Starts_.size(), 1U);
@@ -149,7 +149,7 @@
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
-TEST_F(JobLeaderTest, AServerThatIsSilentIsGivenUpInTheEndAlsoWhileBehind) {
+TEST_F(JobLeaderTest, OverloadedLeaderRemovesASilentServer) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   ASSERT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
   const Duration Until = Settings_.Lease_ * 5 / 2;
@@ -160,8 +160,8 @@
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
 }
 
-// Its tasks that last would otherwise be without a run for two leases.
-TEST_F(JobLeaderTest, AServerThatNoRelayHearsIsGivenUpInTimeAlsoWhileBehind) {
+// Guards against long-running tasks without a run for two leases.
+TEST_F(JobLeaderTest, OverloadedLeaderRemovesASilentServerInTime) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   ASSERT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
   const Duration Until = Settings_.Lease_ + 2s;
@@ -172,8 +172,9 @@
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
 }
 
-// One answer may cross a report that its relay has not read yet.
-TEST_F(JobLeaderTest, ALeaderThatIsBehindAsksTheRelaysTwice) {
+// The first answer may be sent before the relay has read a report that has
+// arrived.
+TEST_F(JobLeaderTest, OverloadedLeaderAsksTheRelaysTwice) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   ASSERT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
   Relays_.AnswersAutomatically_ = false;
@@ -196,31 +197,31 @@
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
 }
 
-TEST_F(JobLeaderTest, ANewLifeAtTheSameAddressEndsTheOldOne) {
+TEST_F(JobLeaderTest, NewIncarnationAtAnAddressEndsTheOldOne) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   report(makeReport("s1"));
-  // Once it has reported for a second while the old one was silent: the first
-  // report alone could be one that was held up on its way.
+  // The new incarnation takes over once it has reported for a second while the
+  // old one was silent. Its first report alone could be a delayed one.
   EXPECT_EQ(report(makeIncarnationReport("s1-again", "s1")).LeaseMs_, 0U);
   Strand_.advance(1s);
   report(makeIncarnationReport("s1-again", "s1"));
   const ServerOrders Orders = report(makeIncarnationReport("s1-again", "s1"));
   ASSERT_EQ(Orders.Starts_.size(), 1U);
   EXPECT_EQ(Orders.Starts_[0].Run_, 2U);
-  // A report of the old life that was on its way brings nothing back.
+  // A delayed report of the old incarnation changes nothing.
   EXPECT_EQ(report(makeReport("s1")), ServerOrders{});
   EXPECT_EQ(
       Machine_.read([](const JobBook &Book) { return Book.findServer("s1"); }),
       nullptr);
 }
 
-TEST_F(JobLeaderTest, ALateReportOfAnEarlierLifeDisplacesNobody) {
+TEST_F(JobLeaderTest, LateReportOfAnEndedIncarnationReplacesNone) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
   ASSERT_EQ(Orders.Starts_.size(), 1U);
   std::uint64_t Percent = 0;
-  // Reports of a life that never came through while it lived, held up by a cut:
-  // one now, one much later.
+  // Two delayed reports of an incarnation that has ended without being
+  // registered, one now and one much later.
   for (int I = 0; I < 2; ++I) {
     EXPECT_EQ(report(makeIncarnationReport("s0", "s1")).LeaseMs_, 0U);
     for (int Reports = 0; Reports < 4; ++Reports) {
@@ -239,9 +240,10 @@
             1U);
 }
 
-TEST_F(JobLeaderTest, ALifeThatIsOverStaysSoUnderANewLeader) {
+TEST_F(JobLeaderTest, EndedIncarnationStaysEndedUnderANewLeader) {
   report(makeReport("s1"));
-  Strand_.advance(Settings_.Lease_ * 2); // Silent until its lease ran out.
+  Strand_.advance(Settings_.Lease_ *
+                  2); // The server is silent until its lease expires.
   report(makeIncarnationReport("s1-again", "s1"));
   Group_.IsLeader_ = false;
   Strand_.advance(100ms);
@@ -256,7 +258,7 @@
   EXPECT_EQ(report(makeIncarnationReport("s1-again", "s1")).Starts_.size(), 1U);
 }
 
-TEST_F(JobLeaderTest, ADrainingServerGetsNothingNew) {
+TEST_F(JobLeaderTest, DrainingServerGetsNoStarts) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   ServerReport Leaving = makeReport("s1");
   Leaving.IsDraining_ = true;
@@ -265,7 +267,7 @@
   EXPECT_GT(Orders.LeaseMs_, 0U) << "what runs there goes on";
 }
 
-TEST_F(JobLeaderTest, AServerThatLeavesGivesItsWorkBackAtOnce) {
+TEST_F(JobLeaderTest, TasksOfALeavingServerMoveAtOnce) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   report(makeReport("s1"));
   bool IsDone = false;
@@ -277,7 +279,7 @@
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
 }
 
-TEST_F(JobLeaderTest, AServerThatRefusedIsLeftAloneForAMoment) {
+TEST_F(JobLeaderTest, ServerThatRefusedGetsNoStartsForAWhile) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
   ServerReport After = makeReport("s1");
@@ -286,7 +288,7 @@
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
 }
 
-TEST_F(JobLeaderTest, AnEndThatCrossesTheLeavingIsNoted) {
+TEST_F(JobLeaderTest, EndThatArrivesDuringALeaveIsRecorded) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
   bool HasLeft = false;
@@ -294,7 +296,7 @@
     HasLeft = Result.has_value();
   });
   Strand_.runAll();
-  // Its last report was overtaken by the word that it leaves.
+  // The final report arrives after the leave request.
   ServerReport Last = makeReport("s1");
   Last.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunEnd::Done)};
   report(Last);
@@ -304,7 +306,7 @@
   EXPECT_TRUE(report(makeReport("s2")).Starts_.empty());
 }
 
-TEST_F(JobLeaderTest, AnEndThatARelayKeptBehindTheLeavingIsNotDoneTwice) {
+TEST_F(JobLeaderTest, TaskWhoseEndARelayDelayedIsNotRunTwice) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
   Leader_.leave("s1", [](const Outcome<void> &) {});
@@ -318,7 +320,7 @@
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
-TEST_F(JobLeaderTest, AServerThatLeavesEmptyIsNotWaitedFor) {
+TEST_F(JobLeaderTest, LeaveOfAnIdleServerIsImmediate) {
   report(makeReport("s1"));
   bool HasLeft = false;
   Leader_.leave("s1", [&HasLeft](const Outcome<void> &Result) {
@@ -328,7 +330,7 @@
   EXPECT_TRUE(HasLeft);
 }
 
-TEST_F(JobLeaderTest, AnEndThatComesAfterTheLeavingIsNoted) {
+TEST_F(JobLeaderTest, EndThatArrivesAfterALeaveIsRecorded) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
   Leader_.leave("s1", [](const Outcome<void> &) {});
@@ -339,8 +341,9 @@
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
-// Guards against stops that relays do not know of, and so serve last.
-TEST_F(JobLeaderTest, ServersWithRunsOfACancelledJobAreListedUntilTheyStop) {
+// Guards against pending stops that relays do not know of and so do not treat
+// as urgent.
+TEST_F(JobLeaderTest, ServersOfACancelledJobAreListedUntilTheyStop) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
   ASSERT_EQ(Orders.Starts_.size(), 1U);
@@ -360,7 +363,7 @@
   EXPECT_TRUE(Leader_.listAwaitingStop().empty());
 }
 
-TEST_F(JobLeaderTest, ANewLeaderKnowsTheStopsThatAreDue) {
+TEST_F(JobLeaderTest, NewLeaderListsPendingStops) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   ASSERT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
   call(CallKind::Cancel, "j");
@@ -373,9 +376,9 @@
   EXPECT_EQ(Leader_.listAwaitingStop()[0].Server_, "s1");
 }
 
-// Guards against a relay that does not answer and so holds up the tasks of all
+// Guards against a relay that does not answer and so delays the tasks of all
 // lost servers.
-TEST_F(JobLeaderTest, ALostServerIsGivenUpAlsoIfARelayDoesNotAnswer) {
+TEST_F(JobLeaderTest, LostServerIsRemovedThoughARelayIsSilent) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   ASSERT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
   Relays_.AnswersAutomatically_ = false;
@@ -383,15 +386,15 @@
   EXPECT_TRUE(report(makeReport("s2")).Starts_.empty());
   Strand_.advance(1s);
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
-  // The answer that comes at last finds nothing to decide.
+  // The late answer has no effect.
   Relays_.answer();
   Strand_.advance(100ms);
   EXPECT_EQ(Log_.count(EventKind::ServerGone), 1U);
 }
 
-// Guards against a second lease for a server whose last report waited long on
-// its way: its lease counts from the sending.
-TEST_F(JobLeaderTest, ALeaseCountsFromTheSendingOfTheReport) {
+// Guards against a second lease for a server whose last report was delayed: the
+// lease counts from the sending of the report.
+TEST_F(JobLeaderTest, LeaseCountsFromTheSendingOfTheReport) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   ServerReport Waited = makeReport("s1");
   ASSERT_EQ(report(Waited).Starts_.size(), 1U);
@@ -403,9 +406,9 @@
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
 }
 
-// A leader that is behind asks the relays early, so that the second answer is
-// there when the lease expires.
-TEST_F(JobLeaderTest, ALostServersTasksDoNotWaitForTheSecondAnswer) {
+// An overloaded leader asks the relays early, so that it has the second answer
+// when the lease expires.
+TEST_F(JobLeaderTest, TasksOfALostServerMoveWhenItsLeaseExpires) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   ASSERT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
   const Duration Until = Settings_.Lease_ * 103 / 100 + 500ms;
--- a/tests/jobs/JobLeaderTest.cpp
+++ b/tests/jobs/JobLeaderTest.cpp
@@ -1,4 +1,4 @@
-//===- JobLeaderTest.cpp - Calls, orders, leadership and time -------------===//
+//===- JobLeaderTest.cpp - Tests of calls, orders and leadership ----------===//
 
 #include "jobs/LeaderFixture.h"
 
@@ -7,7 +7,7 @@
 using namespace tulipweir::jobs::test;
 using namespace std::chrono_literals;
 
-TEST_F(JobLeaderTest, AJobRunsToItsEnd) {
+TEST_F(JobLeaderTest, JobRunsToCompletion) {
   EXPECT_EQ(call(CallKind::Submit, "j", {makeStep(2, 100)}).Outcome_,
             CallOutcome::Done);
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Queued);
@@ -26,7 +26,7 @@
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
-TEST_F(JobLeaderTest, UnknownQueuesAndJobsAreToldApart) {
+TEST_F(JobLeaderTest, UnknownQueueAndUnknownJobDiffer) {
   EXPECT_EQ(call(CallKind::Show, "j").Outcome_, CallOutcome::NoJob);
   EXPECT_EQ(call(CallKind::Cancel, "j").Outcome_, CallOutcome::NoJob);
   JobCallReply Reply;
@@ -37,7 +37,7 @@
   EXPECT_EQ(Reply.Outcome_, CallOutcome::NoQueue);
 }
 
-TEST_F(JobLeaderTest, AnEndIsNotedOnlyOnceItIsCommitted) {
+TEST_F(JobLeaderTest, EndIsRecordedOnlyOnceCommitted) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
   Group_.IsHeld_ = true;
@@ -50,7 +50,7 @@
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
-TEST_F(JobLeaderTest, AJobIsAcceptedOnlyOnceItIsCommitted) {
+TEST_F(JobLeaderTest, JobIsAcceptedOnlyOnceCommitted) {
   Group_.IsHeld_ = true;
   EXPECT_FALSE(tryCall(CallKind::Submit, "j", {makeStep(1, 100)}).has_value());
   Group_.commitAll();
@@ -58,7 +58,7 @@
   EXPECT_EQ(call(CallKind::Show, "j").Outcome_, CallOutcome::Done);
 }
 
-TEST_F(JobLeaderTest, AnOpenOutcomeIsNeverCalledNotTaken) {
+TEST_F(JobLeaderTest, UnknownOutcomeIsNotReportedAsNotLeader) {
   Group_.IsHeld_ = true;
   auto Got = std::make_shared<std::optional<Outcome<JobCallReply>>>();
   Leader_.call({CallKind::Submit, Host, std::string(Prefix) + "j",
@@ -71,7 +71,7 @@
   EXPECT_EQ((*Got)->error().Code_, ErrorCode::Timeout);
 }
 
-TEST_F(JobLeaderTest, AStartThatDidNotArriveIsOrderedAgain) {
+TEST_F(JobLeaderTest, LostStartIsOrderedAgain) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders First = report(makeReport("s1"));
   const ServerOrders Second = report(makeReport("s1"));
@@ -82,7 +82,7 @@
   EXPECT_TRUE(report(Third).Starts_.empty());
 }
 
-TEST_F(JobLeaderTest, ACancelledJobsRunsAreStopped) {
+TEST_F(JobLeaderTest, RunsOfACancelledJobAreStopped) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
   call(CallKind::Cancel, "j");
@@ -95,12 +95,13 @@
   EXPECT_TRUE(Stopping.Starts_.empty());
 }
 
-TEST_F(JobLeaderTest, RoomIsFreeAgainOnceAStartCertainlyNeverArrived) {
+TEST_F(JobLeaderTest, ResourcesOfALostStartAreFreedAfterItsStop) {
   call(CallKind::Submit, "j", {makeStep(1, 4000)});
   report(makeReport("s1"));
   call(CallKind::Cancel, "j");
   call(CallKind::Submit, "k", {makeStep(1, 4000)});
-  // The start may still be on its way: first the stop, which outlaws the run.
+  // The start order may still be in transit, so the server is told first to
+  // stop the run, which makes it ignore the start.
   const ServerOrders Stopping = report(makeReport("s1"));
   EXPECT_EQ(Stopping.Stops_.size(), 1U);
   EXPECT_TRUE(Stopping.Starts_.empty());
@@ -110,7 +111,7 @@
   EXPECT_EQ(After.Starts_[0].Task_.Job_, "k");
 }
 
-TEST_F(JobLeaderTest, AnUnknownRunIsStopped) {
+TEST_F(JobLeaderTest, UnknownRunIsStopped) {
   ServerReport Report = makeReport("s1");
   Report.Running_ = {{{"ghost", 0, 0, 0}, 3, "", 10, 0}};
   const ServerOrders Orders = report(Report);
@@ -118,7 +119,7 @@
   EXPECT_EQ(Orders.Stops_[0].Task_.Job_, "ghost");
 }
 
-TEST_F(JobLeaderTest, ANewLeaderGrantsEveryServerAWholeLease) {
+TEST_F(JobLeaderTest, NewLeaderAssumesAFullLeaseForEveryServer) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   report(makeReport("s1"));
   Strand_.advance(Settings_.Lease_ * 9 / 10);
@@ -134,7 +135,7 @@
   EXPECT_EQ(Orders.FencingToken_, 2U);
 }
 
-TEST_F(JobLeaderTest, WhoDoesNotLeadDecidesNothing) {
+TEST_F(JobLeaderTest, FollowerRejectsCallsAndReports) {
   Group_.IsLeader_ = false;
   Group_.LeaderName_ = "other";
   Strand_.advance(100ms);
@@ -146,7 +147,7 @@
   EXPECT_EQ(Reported->error().Code_, ErrorCode::NotLeader);
 }
 
-TEST_F(JobLeaderTest, ALeaseLostMeanwhileTakesTheAnswerBack) {
+TEST_F(JobLeaderTest, LostLeaderLeaseWithdrawsTheAnswer) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   report(makeReport("s1"));
   Group_.IsHeld_ = true;
@@ -165,7 +166,7 @@
   EXPECT_FALSE(**Got) << "another may lead by now";
 }
 
-TEST_F(JobLeaderTest, WhyAStepWaitsIsSaidOnce) {
+TEST_F(JobLeaderTest, WaitReasonIsLoggedOnce) {
   report(makeReport("s1"));
   call(CallKind::Submit, "j", {makeStep(1, 9000)});
   Strand_.advance(5s);
@@ -173,7 +174,7 @@
   EXPECT_EQ(Log_.last(EventKind::TaskWaiting).Reason_, "1 full");
 }
 
-TEST_F(JobLeaderTest, AClockThatIsSetIsNoticed) {
+TEST_F(JobLeaderTest, ClockJumpIsLogged) {
   Strand_.advance(1s);
   EXPECT_EQ(Log_.count(EventKind::ClockJumped), 0U);
   Time_.setWall(Time_.wallNow() + 3s);
@@ -182,7 +183,7 @@
   EXPECT_EQ(Log_.last(EventKind::ClockJumped).AgeMs_, 3000);
 }
 
-TEST_F(JobLeaderTest, ATimedJobStartsWhenItIsDueAndNotBefore) {
+TEST_F(JobLeaderTest, TimedJobStartsWhenDueAndNotBefore) {
   JobCall Call{CallKind::Submit, Host, std::string(Prefix) + "t",
                makeJob("", {makeStep(1, 100)})};
   Call.Spec_.RepeatCount_ = 2;
@@ -199,7 +200,7 @@
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
 }
 
-TEST_F(JobLeaderTest, AGangGoesOutToAllItsServers) {
+TEST_F(JobLeaderTest, GangStartsOnAllItsServers) {
   StepSpec Gang = makeStep(2, 3000);
   Gang.Gang_ = true;
   report(makeReport("s1"));
@@ -213,7 +214,7 @@
   EXPECT_EQ(First.Starts_[0].Run_, Second.Starts_[0].Run_);
 }
 
-TEST_F(JobLeaderTest, EndedJobsAreKnownForTheirTimeAndThenForgotten) {
+TEST_F(JobLeaderTest, EndedJobsAreKeptForTheRetentionTime) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   call(CallKind::Cancel, "j");
   Strand_.advance(Settings_.Retention_ - 1s);
@@ -222,7 +223,7 @@
   EXPECT_EQ(call(CallKind::Show, "j").Outcome_, CallOutcome::NoJob);
 }
 
-TEST_F(JobLeaderTest, AConfigurationIsReadAsItWasSent) {
+TEST_F(JobLeaderTest, ConfigurationIsReadAsStored) {
   std::string Source;
   Leader_.readConfiguration([&Source](const Outcome<Configuration> &Value) {
     Source = Value.value().Source_;
--- a/tests/jobs/LeaderDelayTest.cpp
+++ b/tests/jobs/LeaderDelayTest.cpp
@@ -1,12 +1,10 @@
-//===- LeaderDelayTest.cpp - A leader whose commits take long -------------===//
+//===- LeaderDelayTest.cpp - Tests of a leader whose commits take long ----===//
 //
-// What happened: the answer to a report waits for two commits one after the
-// other where a run has ended and another one starts, and so did the lease of
-// all else that runs on that server. At a leader short of processor each commit
-// took 70 to 120 ms (up to 330), and a whole batch of reports got no answer at
-// all for those that were not decided within 300 to 550 ms: no lease, though
-// nothing but the starts needed a commit. Seen in a probe of a leader slowed by
-// three: "endc 80 ms, startc 80 ms, total 150 to 620 ms".
+// Guards against leases that wait for commits. The answer to a report with an
+// end and a start waits for two commits, one after the other, and the lease of
+// the server's other runs would wait with it. On an overloaded leader a commit
+// takes 70 to 120 ms (up to 330 ms), so reports that were not handled within
+// 300 to 550 ms got no answer and no lease.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +19,7 @@
 
 class LeaderDelayTest : public JobLeaderTest {
 protected:
-  /// An answer, once it is there.
+  /// The answer to a report once it has arrived.
   using Got = std::shared_ptr<std::optional<Outcome<ServerOrders>>>;
 
   Got send(const ServerReport &Report) {
@@ -33,8 +31,8 @@
     Strand_.runAll();
     return Answer;
   }
-  /// Two runs on a server, the first of which has ended and is reported while
-  /// nothing commits.
+  /// Starts two runs on a server and reports the end of the first while nothing
+  /// commits.
   Got reportEndWithoutCommits(RunEnd How = RunEnd::Done) {
     call(CallKind::Submit, "j", {makeStep(2, 1000)});
     Started_ = report(makeReport("s1")).Starts_;
@@ -50,7 +48,8 @@
     Group_.commitAll();
     Strand_.runAll();
   }
-  /// Well before a server gives an answer up, with its way to and fro.
+  /// Well below the time after which a server abandons a report, round trip
+  /// included.
   static constexpr Duration Soon = 400ms;
 
   std::vector<StartOrder> Started_;
@@ -58,18 +57,18 @@
 
 } // namespace
 
-TEST_F(LeaderDelayTest, ALeaseDoesNotWaitForACommitThatHangs) {
+TEST_F(LeaderDelayTest, LeaseDoesNotWaitForAHangingCommit) {
   const Got Answer = reportEndWithoutCommits();
   Strand_.advance(Soon);
   ASSERT_TRUE(Answer->has_value() && **Answer);
   EXPECT_GT((*Answer)->value().LeaseMs_, 0U);
-  // What the server was promised is kept to.
+  // The lease that was granted is honoured.
   Strand_.advance(Settings_.Lease_ - Soon);
   commit();
   EXPECT_TRUE(report(makeReport("s2")).Starts_.empty());
 }
 
-TEST_F(LeaderDelayTest, AnAnswerBeforeTheCommitNotesNoEndAndStartsNothing) {
+TEST_F(LeaderDelayTest, EarlyAnswerAcknowledgesNoEndAndStartsNothing) {
   const Got Answer = reportEndWithoutCommits();
   Strand_.advance(Soon);
   ASSERT_TRUE(Answer->has_value() && **Answer);
@@ -79,28 +78,28 @@
   EXPECT_TRUE((*Answer)->value().Stops_.empty());
 }
 
-TEST_F(LeaderDelayTest, WhatWasCommittedLateComesWithTheNextAnswer) {
+TEST_F(LeaderDelayTest, LateCommitsAreInTheNextAnswer) {
   reportEndWithoutCommits(RunEnd::Failed);
   Strand_.advance(Soon);
   commit();
   ServerReport Next = makeReport("s1");
   Next.Ended_ = {makeEnded(1, Started_.at(0), RunEnd::Failed)};
   Next.Running_ = {makeRunning(Started_.at(1))};
-  // Its failed run may go on where it failed only after a moment.
+  // The failed run may be retried on the same server only after a pause.
   const ServerOrders Orders = report(Next);
   EXPECT_EQ(Orders.EndsNoted_, 1U);
   EXPECT_GT(Orders.LeaseMs_, 0U);
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
 }
 
-TEST_F(LeaderDelayTest, EndsUpToTheFirstOpenOneAreNoted) {
+TEST_F(LeaderDelayTest, EndsBeforeTheFirstUncommittedOneAreAcknowledged) {
   call(CallKind::Submit, "j", {makeStep(2, 1000)});
   const ServerOrders Orders = report(makeReport("s1"));
   ServerReport First = makeReport("s1");
   First.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunEnd::Done)};
   First.Running_ = {makeRunning(Orders.Starts_.at(1))};
   report(First);
-  // The server has not got that answer.
+  // The server did not receive that answer.
   Group_.IsHeld_ = true;
   ServerReport Second = makeReport("s1");
   Second.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunEnd::Done),
@@ -111,7 +110,7 @@
   EXPECT_EQ((*Answer)->value().EndsNoted_, 1U);
 }
 
-TEST_F(LeaderDelayTest, AServerThatIsNotStoredYetIsPromisedNothing) {
+TEST_F(LeaderDelayTest, UnregisteredServerGetsNoLease) {
   Group_.IsHeld_ = true;
   const Got Answer = send(makeReport("s1"));
   Strand_.advance(Soon);
@@ -119,14 +118,14 @@
                (*Answer)->value().LeaseMs_ > 0);
 }
 
-TEST_F(LeaderDelayTest, AnAnswerBeforeTheCommitTakesTheLeadersLeaseAsWell) {
+TEST_F(LeaderDelayTest, EarlyAnswerNeedsTheLeadersLease) {
   const Got Answer = reportEndWithoutCommits();
   Group_.HasLease_ = false;
   Strand_.advance(Soon);
   EXPECT_FALSE(Answer->has_value() && **Answer) << "another may lead by now";
 }
 
-TEST_F(LeaderDelayTest, RoomThatIsFreeLateIsFilledWithTheNextAnswer) {
+TEST_F(LeaderDelayTest, ResourcesFreedLateAreUsedInTheNextAnswer) {
   call(CallKind::Submit, "j", {makeStep(2, 2500)});
   const ServerOrders First = report(makeReport("s1"));
   ASSERT_EQ(First.Starts_.size(), 1U) << "there is room for one";
@@ -136,7 +135,7 @@
   const Got Answer = send(After);
   Strand_.advance(Soon);
   ASSERT_TRUE(Answer->has_value());
-  // The end is committed, then the start that takes its room.
+  // The end is committed, then the start that uses its resources.
   Group_.commitAll();
   Strand_.runAll();
   commit();
@@ -148,10 +147,10 @@
   EXPECT_EQ((*Later)->value().Starts_.size(), 1U);
 }
 
-// Found in reading the round again: an end that changes nothing any more, such
-// as that of a lasting task which was already begun again, counted as open for
-// ever, and no later end of its server was noted.
-TEST_F(LeaderDelayTest, AnEndThatCountsForNothingIsNotedAllTheSame) {
+// Guards against ends that stay unacknowledged for ever and block the
+// acknowledgement of all later ones: an end that changes nothing, such as that
+// of a long-running task that has been restarted, counted as uncommitted.
+TEST_F(LeaderDelayTest, EndWithoutEffectIsAcknowledged) {
   StepSpec Lasting = makeStep(1, 1000);
   Lasting.LongRunning_ = true;
   call(CallKind::Submit, "j", {Lasting});
@@ -165,7 +164,7 @@
   First.Ended_ = {makeEnded(1, Last, RunEnd::Done)};
   First.Running_ = {makeRunning(Other)};
   EXPECT_EQ(report(First).EndsNoted_, 1U);
-  // The server has not got that answer.
+  // The server did not receive that answer.
   ServerReport Second = makeReport("s1");
   Second.Ended_ = {makeEnded(1, Last, RunEnd::Done),
                    makeEnded(2, Other, RunEnd::Done)};
--- a/tests/jobs/LeaderFixture.h
+++ b/tests/jobs/LeaderFixture.h
@@ -1,4 +1,4 @@
-//===- LeaderFixture.h - A leader over a replica driven by hand -----------===//
+//===- LeaderFixture.h - A leader over a manual replica ---------*- C++ -*-===//
 
 #ifndef TULIPWEIR_TESTS_JOBS_LEADERFIXTURE_H
 #define TULIPWEIR_TESTS_JOBS_LEADERFIXTURE_H
@@ -12,7 +12,7 @@
 
 namespace tulipweir::jobs::test {
 
-/// Runs what was posted when told to.
+/// An executor that runs posted tasks only when told to.
 class ManualExecutor final : public Executor {
 public:
   explicit ManualExecutor(ManualClock &Time) : Time_(Time) {}
@@ -30,7 +30,8 @@
       Next();
     }
   }
-  /// Moves the clock in small steps and runs what becomes due.
+  /// Advances the clock in steps of at most 10 ms and runs the tasks that
+  /// become due.
   void advance(Duration By) {
     const TimePoint End = Time_.now() + By;
     while (Time_.now() < End) {
@@ -50,7 +51,7 @@
   std::multimap<TimePoint, std::function<void()>> Later_;
 };
 
-/// Commits at once, or when told to; leads as it is told.
+/// A replica that commits at once or when told to, and leads when told to.
 class ManualReplica final : public replication::Replica {
 public:
   explicit ManualReplica(JobMachine &Machine) : Machine_(Machine) {}
@@ -71,7 +72,8 @@
                                 Machine_.apply({Term_, Index_, Command})});
     }
   }
-  /// What waits is left open: it may or may not be committed.
+  /// Fails all waiting proposals with an unknown outcome: they are committed or
+  /// not, as told.
   void loseAll(bool AreCommitted) {
     while (!Waiting_.empty()) {
       auto [Command, Done] = std::move(Waiting_.front());
@@ -120,7 +122,7 @@
   std::deque<std::pair<std::string, AppliedCallback>> Waiting_;
 };
 
-/// Keeps what was written.
+/// An event log that stores all events.
 class RecordingEventLog final : public EventLog {
 public:
   void write(const Event &Value) override { Events_.push_back(Value); }
@@ -141,7 +143,7 @@
   std::vector<Event> Events_;
 };
 
-/// Keeps what it was asked until it is told to answer.
+/// An advisor that stores questions until the test answers them.
 class ManualAdvisor final : public Advisor {
 public:
   struct Question {
@@ -159,8 +161,7 @@
   std::vector<Question> Asked_;
 };
 
-/// Other members that keep what they may for as long as they usually do, or
-/// until they are told to answer.
+/// Relays that answer after their usual delay, or only when told to.
 class ManualRelays final : public ReportRelays {
 public:
   explicit ManualRelays(ManualExecutor &Strand) : Strand_(Strand) {}
@@ -176,7 +177,7 @@
       return Strand_.post([Done = std::move(Done)] { Done({}); });
     Asked_.push_back(std::move(Done));
   }
-  /// Answers all that was asked: Servers were heard.
+  /// Answers all open requests: the relays have heard Servers.
   void answer(const Heard &Servers = {}) {
     for (const auto &Each : std::exchange(Asked_, {}))
       Each(Servers);
@@ -185,14 +186,15 @@
   bool AnswersAutomatically_ = true;
 
 private:
-  /// Longer than a relay keeps a report for its turn.
+  /// Longer than a relay buffers a report.
   static constexpr Duration Kept = std::chrono::milliseconds(450);
 
   ManualExecutor &Strand_;
   std::vector<std::function<void(Heard)>> Asked_;
 };
 
-/// Lists what it is given, and keeps orders until it is told to answer.
+/// A provider that lists the given VMs and stores orders until the test answers
+/// them.
 class ManualVmProvider final : public VmProvider {
 public:
   struct Order {
@@ -240,14 +242,15 @@
     Strand_.runAll();
     return *Got;
   }
-  /// The next report of a server, with what runs and has ended on it.
+  /// Returns the next report of a server, with no running or ended tasks.
   ServerReport makeReport(const std::string &Id) {
     ServerReport Report;
     Report.Facts_ = makeServer(Id);
     Report.Sequence_ = ++Sequences_[Id];
     return Report;
   }
-  /// The next report of a life at the address of the server Place.
+  /// Returns the next report of the incarnation Id at the address of the server
+  /// Place.
   ServerReport makeIncarnationReport(const std::string &Id,
                                      const std::string &Place) {
     ServerReport Report = makeReport(Id);
--- a/tests/jobs/LiveServerTableTest.cpp
+++ b/tests/jobs/LiveServerTableTest.cpp
@@ -15,9 +15,9 @@
   return Report;
 }
 
-// Its registration may take long to be stored, as after a power loss; until
-// it was promised a lease, one counts from its first report.
-TEST(LiveServerTableTest, ServerHeardFirstHasNotLapsedBeforeItsFirstAnswer) {
+// The registration may take long to commit, for example after a power loss.
+// Until an answer grants a lease, one counts from the first report.
+TEST(LiveServerTableTest, NewServerHasALeaseBeforeItsFirstAnswer) {
   LiveServerTable Board;
   ASSERT_TRUE(Board.recordReport(makeReport(1), Start, Lease));
   EXPECT_TRUE(Board.listExpired(Start + Lease / 2).empty());
@@ -25,8 +25,8 @@
             std::vector<std::string>{"server-1"});
 }
 
-// Only an answer promises more time.
-TEST(LiveServerTableTest, LaterReportAloneExtendsNoLease) {
+// Only an answer extends the lease.
+TEST(LiveServerTableTest, ReportAloneExtendsNoLease) {
   LiveServerTable Board;
   ASSERT_TRUE(Board.recordReport(makeReport(1), Start, Lease));
   ASSERT_TRUE(Board.recordReport(makeReport(2), Start + Lease / 2, Lease));
@@ -35,7 +35,7 @@
   EXPECT_TRUE(Board.listExpired(Start + Lease).empty());
 }
 
-TEST(LiveServerTableTest, EarlierReportThatComesLateIsPassedOver) {
+TEST(LiveServerTableTest, LateReportIsIgnored) {
   LiveServerTable Board;
   ASSERT_TRUE(Board.recordReport(makeReport(2), Start, Lease));
   EXPECT_FALSE(Board.recordReport(makeReport(1), Start, Lease));
--- a/tests/jobs/ServerHealthTest.cpp
+++ b/tests/jobs/ServerHealthTest.cpp
@@ -1,5 +1,4 @@
-//===- ServerHealthTest.cpp
-//-------------------------------------------------===//
+//===- ServerHealthTest.cpp - Tests of the detection of faulty servers ----===//
 
 #include "jobs/ServerHealth.h"
 
@@ -30,20 +29,20 @@
 
 } // namespace
 
-TEST_F(ServerHealthTest, FailuresOfSeveralJobsPutAServerAside) {
+TEST_F(ServerHealthTest, FailuresOfSeveralJobsQuarantineAServer) {
   EXPECT_FALSE(failJob("a"));
   EXPECT_FALSE(failJob("b"));
   EXPECT_TRUE(failJob("a"));
   EXPECT_EQ(healthState(), HealthState::Quarantined);
 }
 
-TEST_F(ServerHealthTest, OnePoisonousJobDoesNot) {
+TEST_F(ServerHealthTest, FailuresOfOneJobDoNotQuarantineAServer) {
   for (int I = 0; I < 50; ++I)
     EXPECT_FALSE(failJob("poison"));
   EXPECT_EQ(healthState(), HealthState::Healthy);
 }
 
-TEST_F(ServerHealthTest, ARunThatIsDoneSpeaksForTheServer) {
+TEST_F(ServerHealthTest, CompletedRunResetsTheFailures) {
   for (int I = 0; I < 20; ++I) {
     EXPECT_FALSE(failJob("a"));
     EXPECT_FALSE(failJob("b"));
@@ -52,7 +51,7 @@
   EXPECT_EQ(healthState(), HealthState::Healthy);
 }
 
-TEST_F(ServerHealthTest, ProbationEndsWithARunThatIsDone) {
+TEST_F(ServerHealthTest, ProbationEndsWithACompletedRun) {
   failJob("a");
   failJob("b");
   failJob("c");
@@ -62,7 +61,7 @@
   EXPECT_EQ(healthState(), HealthState::Healthy);
 }
 
-TEST_F(ServerHealthTest, OneFailureOnProbationIsEnoughAndCostsMore) {
+TEST_F(ServerHealthTest, FailureOnProbationDoublesTheQuarantine) {
   failJob("a");
   failJob("b");
   failJob("c");
@@ -74,7 +73,7 @@
   EXPECT_EQ(healthState(), HealthState::Probation);
 }
 
-TEST_F(ServerHealthTest, ASlowServerIsToldFromLongJobs) {
+TEST_F(ServerHealthTest, SlowServerIsToldFromLongJobs) {
   const char *const Jobs[] = {"a", "b", "c"};
   for (const char *Job : Jobs)
     for (int I = 0; I < 3; ++I)
@@ -90,7 +89,7 @@
   EXPECT_EQ(healthState("other"), HealthState::Healthy);
 }
 
-TEST_F(ServerHealthTest, OneOddJobMakesNoServerSlow) {
+TEST_F(ServerHealthTest, OneSlowJobDoesNotQuarantineAServer) {
   for (int I = 0; I < 4; ++I)
     completeRun("other", 500ms, "odd");
   for (int I = 0; I < 10; ++I)
@@ -98,7 +97,7 @@
   EXPECT_EQ(healthState(), HealthState::Healthy);
 }
 
-TEST_F(ServerHealthTest, WithoutRunsElsewhereNothingIsSaid) {
+TEST_F(ServerHealthTest, RunsAreNotComparedWithoutOtherServers) {
   for (int I = 0; I < 10; ++I)
     EXPECT_FALSE(completeRun("s", 9000ms, I % 2 == 0 ? "a" : "b"));
 }
