--- a/include/tulipweir/jobs/JobLeader.h
+++ b/include/tulipweir/jobs/JobLeader.h
@@ -26,6 +26,7 @@
 
 namespace tulipweir::jobs {
 
+/// The settings of a leader.
 struct JobLeaderSettings {
   /// The time for which a server may run tasks after the report that renewed
   /// its lease was sent.
@@ -79,17 +80,16 @@
   void markOverloaded();
   /// Removes a server that has left for good.
   void leave(const std::string &ServerId, Done<void> Reply);
-  /// Stores a configuration. Reply succeeds once it is in force or superseded
-  /// by a later version; it fails with Conflict if the same version has another
-  /// content.
+  /// Stores a configuration unless one with the same or a later version is in
+  /// force. Reply succeeds in both cases, once that is committed.
   void putConfiguration(Configuration Value, Done<void> Reply);
   /// Starts a wave of maintenance. Reply succeeds once the wave is stored, also
   /// if it was stored before.
   void startWave(const WaveSpec &Spec, Done<void> Reply);
 
   /// Begins or ends the evacuation of a data centre. From the reply to the
-  /// first on, nothing starts in the data centre; running tasks go on. Reply is
-  /// NotFound for an unknown data centre.
+  /// first on, nothing starts in the data centre; running tasks continue. Reply
+  /// is NotFound for an unknown data centre.
   void evacuate(const EvacuateDataCentre &Order, Done<void> Reply);
 
   // Queries.
--- a/include/tulipweir/jobs/JobMeter.h
+++ b/include/tulipweir/jobs/JobMeter.h
@@ -15,6 +15,7 @@
 
 namespace tulipweir::jobs {
 
+/// Durations that a leader records.
 enum class JobTimer : std::uint8_t {
   Acknowledge, ///< From a submission's arrival to its commit.
   FirstStart,  ///< From the acceptance to the first start.
@@ -25,6 +26,7 @@
   Heartbeat,    ///< From a report's arrival to its answer.
 };
 
+/// Events that a leader counts.
 enum class JobCounter : std::uint8_t {
   JobsAccepted,
   JobsRefused,
@@ -59,8 +61,8 @@
 class JobMeter {
 public:
   virtual ~JobMeter() = default;
-  virtual void add(JobCounter What, std::uint64_t By) = 0;
-  virtual void record(JobTimer What, Duration Took) = 0;
+  virtual void add(JobCounter Counter, std::uint64_t Increment) = 0;
+  virtual void record(JobTimer Timer, Duration Elapsed) = 0;
 };
 
 class NoJobMeter final : public JobMeter {
--- a/include/tulipweir/jobs/ReportBatch.h
+++ b/include/tulipweir/jobs/ReportBatch.h
@@ -1,7 +1,7 @@
-//===- ReportBatch.h - Servers' reports on their way to the leader *- C++ -*-=//
+//===- ReportBatch.h - Batches of servers' reports --------------*- C++ -*-===//
 //
-// What a control that does not lead has gathered of reports, and the leader's
-// answers to them.
+// Reports that a control which does not lead passes on to the leader, and the
+// leader's answers to them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,6 +12,7 @@
 
 namespace tulipweir::jobs {
 
+/// Reports that a relay passes on to the leader.
 struct ReportBatch {
   std::vector<ServerReport> Reports_;
   /// Whether the relay has deferred reports recently, as the leader was
@@ -55,6 +56,7 @@
   Expired = 4,   ///< Not handled, as it had waited too long at the leader.
 };
 
+/// The answer to one report in a batch.
 struct ReportAnswer {
   ReportVerdict Verdict_ = ReportVerdict::Failed;
   ServerOrders Orders_; ///< Set if Verdict_ is Answered.
@@ -74,6 +76,7 @@
   bool operator==(const ServerAwaitingStop &) const = default;
 };
 
+/// The answers to a batch of reports.
 struct ReportBatchReply {
   std::vector<ReportAnswer> Answers_; ///< One answer for each report, in order.
   /// The controls that relay reports to the leader: all that it hears, except
@@ -87,11 +90,11 @@
   bool operator==(const ReportBatchReply &) const = default;
 };
 
-std::string encodeReports(const ReportBatch &Value);
+std::string encodeReports(const ReportBatch &Batch);
 Outcome<ReportBatch> decodeReports(std::string_view Bytes);
-std::string encodeFlushRequest(const FlushRequest &Value);
+std::string encodeFlushRequest(const FlushRequest &Request);
 Outcome<FlushRequest> decodeFlushRequest(std::string_view Bytes);
-std::string encodeReportReply(const ReportBatchReply &Value);
+std::string encodeReportReply(const ReportBatchReply &Reply);
 Outcome<ReportBatchReply> decodeReportReply(std::string_view Bytes);
 
 } // namespace tulipweir::jobs
--- a/include/tulipweir/jobs/ServerReport.h
+++ b/include/tulipweir/jobs/ServerReport.h
@@ -37,6 +37,7 @@
   bool operator==(const EndedTask &) const = default;
 };
 
+/// The heartbeat of a server.
 struct ServerReport {
   ServerFacts Facts_;
   bool IsDraining_ = false;
@@ -52,6 +53,7 @@
   bool operator==(const ServerReport &) const = default;
 };
 
+/// Starts a run.
 struct StartOrder {
   TaskKey Task_;
   std::uint64_t Run_ = 0;
@@ -62,6 +64,7 @@
   bool operator==(const StartOrder &) const = default;
 };
 
+/// Stops a run.
 struct StopOrder {
   TaskKey Task_;
   std::uint64_t Run_ = 0;
@@ -76,6 +79,7 @@
   bool operator==(const PaceOrder &) const = default;
 };
 
+/// The answer to a report.
 struct ServerOrders {
   /// The lease, which the server counts from the sending of its report; 0 does
   /// not extend it.
--- a/src/jobs/JobLeader.cpp
+++ b/src/jobs/JobLeader.cpp
@@ -180,20 +180,20 @@
     return;
   NextWaitLog_ = Now + WaitLogInterval;
   Machine_.read([&](const JobBook &Book) {
-    std::erase_if(LoggedWaitReasons_, [&Book](const auto &Each) {
-      return Book.readySteps().count(Each.first) == 0;
+    std::erase_if(LoggedWaitReasons_, [&Book](const auto &Entry) {
+      return Book.readySteps().count(Entry.first) == 0;
     });
-    std::size_t Looked = 0;
+    std::size_t Examined = 0;
     for (const ReadyStep &Step : Book.readySteps()) {
-      if (++Looked > MaxLoggedWaits)
+      if (++Examined > MaxLoggedWaits)
         break;
       std::string Reason =
           Dispatcher_.explainWait(Book, LiveServers_, Step, Now);
-      const auto [Place, IsNew] = LoggedWaitReasons_.try_emplace(Step);
+      const auto [It, IsNew] = LoggedWaitReasons_.try_emplace(Step);
       // A step that has just become ready usually starts with the next report.
-      if (IsNew || Place->second == Reason)
+      if (IsNew || It->second == Reason)
         continue;
-      Place->second = Reason;
+      It->second = Reason;
       Event Line;
       Line.Kind_ = EventKind::TaskWaiting;
       Line.Job_ = Step.Job_;
@@ -277,8 +277,8 @@
     return 0;
   });
   // The state machine refuses a duplicate proposal.
-  for (const OpenOccurrence &Each : Due)
-    propose(Each, [](const Outcome<CommandResult> &) {});
+  for (const OpenOccurrence &Occurrence : Due)
+    propose(Occurrence, [](const Outcome<CommandResult> &) {});
 }
 
 void JobLeader::Impl::startGang() {
--- a/src/jobs/JobLeaderCalls.cpp
+++ b/src/jobs/JobLeaderCalls.cpp
@@ -77,12 +77,12 @@
   const TimePoint Begin = Time_.now();
   propose(
       Command, [this, Id, Begin, Reply](const Outcome<CommandResult> &Applied) {
-        JobCallReply Late;
+        JobCallReply Answer;
         if (!Applied)
           return Reply(Applied.error());
         const Verdict Taken = Applied.value().Verdict_;
         if (Taken == Verdict::NotFound)
-          Late.Outcome_ = CallOutcome::NoQueue;
+          Answer.Outcome_ = CallOutcome::NoQueue;
         Meter_.add(Taken == Verdict::NotFound ? JobCounter::JobsRefused
                                               : JobCounter::JobsAccepted,
                    Taken == Verdict::AlreadyDone ? 0 : 1);
@@ -99,7 +99,7 @@
         if (Taken == Verdict::AlreadyDone)
           Line.Reason_ = "the job had already been accepted";
         Log_.write(Line);
-        Reply(Late);
+        Reply(Answer);
       });
 }
 
@@ -138,9 +138,9 @@
       CancelJob{Id}, [this, Id, Reply](const Outcome<CommandResult> &Applied) {
         if (!Applied)
           return Reply(Applied.error());
-        JobCallReply Late;
+        JobCallReply Answer;
         if (Applied.value().Verdict_ == Verdict::NotFound)
-          Late.Outcome_ = CallOutcome::NoJob;
+          Answer.Outcome_ = CallOutcome::NoJob;
         else if (EndedAt_.try_emplace(Id, Time_.now()).second) {
           meterJobEnd(Id, JobCounter::JobsCancelled);
           requestStops(Id);
@@ -151,6 +151,6 @@
         Line.Outcome_ = Applied.value().Verdict_ == Verdict::Done ? "cancelled"
                                                                   : "no change";
         Log_.write(Line);
-        Reply(Late);
+        Reply(Answer);
       });
 }
--- a/src/jobs/JobLeaderCrashes.cpp
+++ b/src/jobs/JobLeaderCrashes.cpp
@@ -32,9 +32,9 @@
                              const std::vector<LostRun> &Lost) const {
   CrashEvidence Crash;
   const TimePoint Now = Time_.now();
-  const LiveServer *Own = LiveServers_.find(Server);
+  const LiveServer *Live = LiveServers_.find(Server);
   // A server that announced its shutdown may go without notice.
-  if (!Own || Own->IsDraining_ || Own->WasEmptying_)
+  if (!Live || Live->IsDraining_ || Live->WasEmptying_)
     return Crash;
   Crash.IsCrash_ = true;
   Crash.IsConfirmed_ = How == Departure::Replaced;
@@ -43,9 +43,9 @@
     const ServerRecord *Record = Book.findServer(Server);
     return Record && LiveServers_.isStable(*Record);
   });
-  for (const LostRun &Each : Lost)
-    if (Each.Seen_ > Duration(0))
-      Crash.Seen_.push_back({Each.Task_, toMs(Each.Seen_)});
+  for (const LostRun &Run : Lost)
+    if (Run.Seen_ > Duration(0))
+      Crash.Seen_.push_back({Run.Task_, toMs(Run.Seen_)});
   return Crash;
 }
 
@@ -55,8 +55,8 @@
                                   const std::vector<LostRun> &Lost) {
   std::vector<Event> Lines;
   Machine_.read([&](const JobBook &Book) {
-    for (const LostRun &Each : Lost) {
-      const TaskRecord *Task = Book.findTask(Each.Task_);
+    for (const LostRun &Run : Lost) {
+      const TaskRecord *Task = Book.findTask(Run.Task_);
       const bool IsSuspected = Task && !Task->Crashes_.empty() &&
                                Task->Crashes_.back().Server_ == Server &&
                                needsIsolation(Task->Crashes_);
@@ -64,12 +64,12 @@
         continue;
       Event Line;
       Line.Kind_ = EventKind::TaskSuspected;
-      Line.Job_ = Each.Task_.Job_;
-      Line.Task_ = toText(Each.Task_);
-      Line.Attempt_ = Each.Run_;
+      Line.Job_ = Run.Task_.Job_;
+      Line.Task_ = toText(Run.Task_);
+      Line.Attempt_ = Run.Run_;
       Line.Server_ = Server;
       Line.Count_ = Task->Crashes_.size();
-      Line.AgeMs_ = static_cast<std::int64_t>(toMs(Each.Seen_));
+      Line.AgeMs_ = static_cast<std::int64_t>(toMs(Run.Seen_));
       Line.Outcome_ =
           Task->Crashes_.back().IsConclusive_ ? "conclusive" : "open";
       Line.Reason_ = "servers crashed: " + listServers(Task->Crashes_);
@@ -95,15 +95,15 @@
   Machine_.read([&](const JobBook &Book) {
     for (const auto &[Key, Servers] : Book.crashSuspects()) {
       const TaskRecord &Task = *Book.findTask(Key);
-      for (const Placement &Each : Task.Placements_) {
-        const LiveServer *Live = LiveServers_.find(Each.Server_);
+      for (const Placement &Placed : Task.Placements_) {
+        const LiveServer *Live = LiveServers_.find(Placed.Server_);
         const std::uint64_t Seen =
-            Live ? toMs(Live->getObservedTime(Key, Each.Run_)) : 0;
+            Live ? toMs(Live->getObservedTime(Key, Placed.Run_)) : 0;
         const bool IsHarmless = Seen >= HarmlessAfterMs;
         const bool IsProved = Seen >= getIsolationMs(Task.Crashes_) &&
-                              Task.ProvedRun_ != Each.Run_;
+                              Task.ProvedRun_ != Placed.Run_;
         if (IsHarmless || IsProved)
-          Command.Runs_.push_back({Key, Each.Run_, IsHarmless});
+          Command.Runs_.push_back({Key, Placed.Run_, IsHarmless});
       }
     }
     return 0;
--- a/src/jobs/JobLeaderImpl.h
+++ b/src/jobs/JobLeaderImpl.h
@@ -84,7 +84,7 @@
     ServerReport Report_;
     Done<ServerOrders> Reply_;
     TimePoint ArrivedAt_;
-    TimePoint SentBy_;          ///< When the server sent it at the latest.
+    TimePoint SentBy_;          ///< Upper bound of the sending time.
     bool IsRecorded_ = false;   ///< It is its server's newest report.
     bool AwaitsCommit_ = false; ///< Its answer waits for a commit.
     bool IsAnswered_ = false;
@@ -127,7 +127,7 @@
   void handleMaintenanceReply(const MaintenanceOrder &Order,
                               const Outcome<MaintenanceReply> &Reply);
   void logWave(std::uint64_t Wave, const std::string &Vm,
-               const std::string &What, const std::string &Why);
+               const std::string &Result, const std::string &Reason);
   void requestAdvice();
   void handleAdvice(const AdviceQuestion &Question,
                     const Outcome<Advice> &Answer);
@@ -172,9 +172,9 @@
   void logLostRuns(const std::string &Server, const std::vector<LostRun> &Lost);
   void updateHealth(const EndTasks &Ended);
   void recordFailedRun(const std::string &Server, const std::string &Job,
-                       const char *Why);
+                       const char *Reason);
   void logQuarantine(const std::string &Server, const std::string &Job,
-                     const char *Why);
+                     const char *Reason);
   bool isStalled(const StepSpec &Step, const std::string &Server,
                  const RunProgress &Progress, TimePoint Now) const;
   /// Stopping lists the runs that the current answer stops.
--- a/src/jobs/JobLeaderOperators.cpp
+++ b/src/jobs/JobLeaderOperators.cpp
@@ -39,8 +39,8 @@
     return true;
   return Machine_.read([&Name](const JobBook &Book) {
     return std::any_of(Book.servers().begin(), Book.servers().end(),
-                       [&Name](const auto &Each) {
-                         return Each.second.Facts_.DataCentre_ == Name;
+                       [&Name](const auto &Entry) {
+                         return Entry.second.Facts_.DataCentre_ == Name;
                        });
   });
 }
--- a/src/jobs/JobLeaderOrders.cpp
+++ b/src/jobs/JobLeaderOrders.cpp
@@ -29,16 +29,16 @@
 bool JobLeader::Impl::isStalled(const StepSpec &Step, const std::string &Server,
                                 const RunProgress &Progress,
                                 TimePoint Now) const {
-  const Duration Still = Now - Progress.ChangedAt_;
+  const Duration StalledFor = Now - Progress.ChangedAt_;
   // The default is the least of the three times, so this check is enough for
   // most runs.
-  if (Still < DefaultStallTime || Step.Gang_)
+  if (StalledFor < DefaultStallTime || Step.Gang_)
     return false;
   if (Step.LongRunning_)
-    return Progress.Percent_ < Percent && Still >= LongRunningStallTime;
+    return Progress.Percent_ < Percent && StalledFor >= LongRunningStallTime;
   if (!Step.Fills_)
     return true;
-  return Still >= FillingStallTime &&
+  return StalledFor >= FillingStallTime &&
          Paces_.getLeast(Server) == PaceGuard::FullPace;
 }
 
@@ -47,14 +47,14 @@
 bool JobLeader::Impl::canSpare(
     const JobBook &Book, const StepSpec &Step, const TaskKey &Task,
     const std::map<TaskKey, std::uint64_t> &Stopping) const {
-  const auto IsAtWork = [&](const TaskKey &Other, const TaskRecord &Record) {
-    for (const Placement &Each : Record.Placements_) {
-      const LiveServer *Live = LiveServers_.find(Each.Server_);
+  const auto IsAvailable = [&](const TaskKey &Other, const TaskRecord &Record) {
+    for (const Placement &Placed : Record.Placements_) {
+      const LiveServer *Live = LiveServers_.find(Placed.Server_);
       if (!Live || Time_.now() - Live->LastHeard_ > MaxSilence)
         continue;
       const RunProgress *Seen = Live->findProgress(Other);
       const bool IsSeen =
-          Seen && Seen->Run_ == Each.Run_ && Seen->Percent_ >= Percent;
+          Seen && Seen->Run_ == Placed.Run_ && Seen->Percent_ >= Percent;
       if (IsSeen && Live->StopsSent_.count(Other) == 0 &&
           Stopping.count(Other) == 0)
         return true;
@@ -65,12 +65,12 @@
                                              ->findOccurrence(Task.Occurrence_)
                                              ->Steps_[Task.Step_]
                                              .Tasks_;
-  std::uint64_t Away = 0;
+  std::uint64_t Unavailable = 0;
   TaskKey Other = Task;
   for (Other.Index_ = 0; Other.Index_ < Tasks.size(); ++Other.Index_)
-    if (Other.Index_ != Task.Index_ && !IsAtWork(Other, Tasks[Other.Index_]))
-      ++Away;
-  return Away < std::max<std::uint64_t>(Step.MayMiss_, 1);
+    if (Other.Index_ != Task.Index_ && !IsAvailable(Other, Tasks[Other.Index_]))
+      ++Unavailable;
+  return Unavailable < std::max<std::uint64_t>(Step.MayMiss_, 1);
 }
 
 /// Whether to stop the run and save its work now, as its server is about to
@@ -84,10 +84,10 @@
   if (!Report.IsDraining_) {
     if (!Step.LongRunning_)
       return Step.Checkpointing_ && Running.Percent_ < MinPercentToFinish;
-    const auto Told = Live.StopsSent_.find(Running.Task_);
-    const bool IsTold =
-        Told != Live.StopsSent_.end() && Told->second == Running.Run_;
-    return IsTold || canSpare(Book, Step, Running.Task_, Stopping);
+    const auto Sent = Live.StopsSent_.find(Running.Task_);
+    const bool IsSent =
+        Sent != Live.StopsSent_.end() && Sent->second == Running.Run_;
+    return IsSent || canSpare(Book, Step, Running.Task_, Stopping);
   }
   if (Step.LongRunning_)
     return true;
@@ -125,8 +125,8 @@
   const bool IsHere =
       IsOpen &&
       std::any_of(Record->Placements_.begin(), Record->Placements_.end(),
-                  [&](const Placement &Each) {
-                    return Each.Run_ == Run && Each.Server_ == Server;
+                  [&](const Placement &Placed) {
+                    return Placed.Run_ == Run && Placed.Server_ == Server;
                   });
   return IsHere ? &Job->Spec_.Steps_[Task.Step_] : nullptr;
 }
@@ -154,14 +154,14 @@
 static std::vector<std::pair<TaskKey, std::uint64_t>>
 listUnreported(const ServerRecord &Server, const ServerReport &Report) {
   std::set<std::pair<TaskKey, std::uint64_t>> Reported;
-  for (const RunningTask &Each : Report.Running_)
-    Reported.emplace(Each.Task_, Each.Run_);
-  for (const EndedTask &Each : Report.Ended_)
-    Reported.emplace(Each.End_.Task_, Each.End_.Run_);
+  for (const RunningTask &Running : Report.Running_)
+    Reported.emplace(Running.Task_, Running.Run_);
+  for (const EndedTask &Ended : Report.Ended_)
+    Reported.emplace(Ended.End_.Task_, Ended.End_.Run_);
   std::vector<std::pair<TaskKey, std::uint64_t>> Missing;
-  for (const auto &Each : Server.Placed_)
-    if (Reported.count(Each) == 0)
-      Missing.emplace_back(Each);
+  for (const auto &Placed : Server.Placed_)
+    if (Reported.count(Placed) == 0)
+      Missing.emplace_back(Placed);
   return Missing;
 }
 
@@ -188,25 +188,27 @@
     };
     std::size_t Wanted = 0;
     bool AnyUnplaced = false;
-    Resources Left = Report.Facts_.Capacity_;
+    Resources Available = Report.Facts_.Capacity_;
     for (std::size_t At = 0; At < Report.Running_.size(); ++At) {
-      const RunningTask &Each = Report.Running_[At];
-      const StepSpec *Step = findWantedStep(Book, Id, Each.Task_, Each.Run_);
+      const RunningTask &Running = Report.Running_[At];
+      const StepSpec *Step =
+          findWantedStep(Book, Id, Running.Task_, Running.Run_);
       Wanted += Step ? 1 : 0;
-      AnyUnplaced =
-          AnyUnplaced || (!Step && !Server.isPlaced(Each.Task_, Each.Run_));
-      if (const StepSpec *Known = Step ? Step : Book.findStep(Each.Task_))
-        Left = Left - Known->getReserved();
-      const std::string_view Why =
+      AnyUnplaced = AnyUnplaced ||
+                    (!Step && !Server.isPlaced(Running.Task_, Running.Run_));
+      if (const StepSpec *Known = Step ? Step : Book.findStep(Running.Task_))
+        Available = Available - Known->getReserved();
+      const std::string_view Reason =
           Step ? findStopReason(Book, *Step, Server, *Live, Report, At,
                                 StopsSent)
                : "the run is no longer needed";
-      if (Why.empty())
+      if (Reason.empty())
         continue;
-      Stop(Each.Task_, Each.Run_);
-      const auto Previous = Live->StopsSent_.find(Each.Task_);
-      if (Previous == Live->StopsSent_.end() || Previous->second != Each.Run_)
-        Stopped.emplace_back(Each, Why);
+      Stop(Running.Task_, Running.Run_);
+      const auto Previous = Live->StopsSent_.find(Running.Task_);
+      if (Previous == Live->StopsSent_.end() ||
+          Previous->second != Running.Run_)
+        Stopped.emplace_back(Running, Reason);
     }
     Live->MayHaveUnplaced_ = AnyUnplaced;
     // Usually the report names all runs that are placed on the server.
@@ -218,7 +220,7 @@
     for (const auto &[Task, Run] : listUnreported(Server, Report)) {
       const StepSpec *Step = findWantedStep(Book, Id, Task, Run);
       // The capacity may have shrunk since the task was placed.
-      if (!MayStart || !Step || !Step->getReserved().fitsIn(Left)) {
+      if (!MayStart || !Step || !Step->getReserved().fitsIn(Available)) {
         const auto Previous = Live->StopsSent_.find(Task);
         // The server was told in an earlier answer to stop the run and still
         // does not report it, so an order to start it can no longer take
@@ -229,7 +231,7 @@
           Stop(Task, Run);
         continue;
       }
-      Left = Left - Step->getReserved();
+      Available = Available - Step->getReserved();
       const std::string *Ticket = Advice_.findTicket(
           {Task.Job_, Task.Occurrence_, Task.Step_}, Id, Time_.now());
       Orders.Starts_.push_back(
@@ -239,16 +241,16 @@
     return 0;
   });
   Live->StopsSent_ = std::move(StopsSent);
-  for (const auto &[Task, Why] : Stopped) {
+  for (const auto &[Task, Reason] : Stopped) {
     Event Line;
     Line.Kind_ = EventKind::TaskStopped;
     Line.Job_ = Task.Task_.Job_;
     Line.Task_ = toText(Task.Task_);
     Line.Attempt_ = Task.Run_;
     Line.Server_ = Report.Facts_.Id_;
-    Line.Reason_ = Why;
+    Line.Reason_ = Reason;
     Log_.write(Line);
-    if (Why == StallReason)
+    if (Reason == StallReason)
       recordFailedRun(Report.Facts_.Id_, Task.Task_.Job_, "runs stalled");
   }
   return Orders;
--- a/src/jobs/JobLeaderReports.cpp
+++ b/src/jobs/JobLeaderReports.cpp
@@ -74,11 +74,11 @@
     return Reply(makeNotLeaderError());
   EndTasks Command{Report.Facts_.Id_, {}};
   Machine_.read([&](const JobBook &Book) {
-    for (const EndedTask &Each : Report.Ended_) {
-      const TaskRecord *Task = Book.findTask(Each.End_.Task_);
-      const bool IsNews = Task && Task->State_ != TaskState::Done;
-      if (Each.End_.How_ == RunEnd::Done && IsNews)
-        Command.Ends_.push_back(Each.End_);
+    for (const EndedTask &Ended : Report.Ended_) {
+      const TaskRecord *Task = Book.findTask(Ended.End_.Task_);
+      const bool IsOpen = Task && Task->State_ != TaskState::Done;
+      if (Ended.End_.How_ == RunEnd::Done && IsOpen)
+        Command.Ends_.push_back(Ended.End_);
     }
     return 0;
   });
@@ -99,14 +99,14 @@
 /// service was removed from the configuration continues.
 static bool namesUnknownService(const JobBook &Book, const ServerRecord *Known,
                                 const ServerFacts &Facts) {
-  const Configuration &Pending = Book.configuration();
+  const Configuration &Current = Book.configuration();
   const bool KeepsItsService =
       Known && Known->Facts_.Service_ == Facts.Service_;
-  if (KeepsItsService || Pending.Version_ == 0)
+  if (KeepsItsService || Current.Version_ == 0)
     return false;
-  return std::none_of(Pending.Services_.begin(), Pending.Services_.end(),
-                      [&Facts](const ServicePolicy &Each) {
-                        return Each.Name_ == Facts.Service_;
+  return std::none_of(Current.Services_.begin(), Current.Services_.end(),
+                      [&Facts](const ServicePolicy &Service) {
+                        return Service.Name_ == Facts.Service_;
                       });
 }
 
@@ -228,11 +228,11 @@
     const ServerRecord *Server = Book.findServer(Id);
     if (!Server)
       return 0;
-    for (const EndedTask &Each : Report.Ended_)
-      if (changesState(Book, *Server, Each.End_)) {
-        Command.Ends_.push_back(Each.End_);
+    for (const EndedTask &Ended : Report.Ended_)
+      if (changesState(Book, *Server, Ended.End_)) {
+        Command.Ends_.push_back(Ended.End_);
         Pending->FirstUncommittedEnd_ =
-            std::min(Pending->FirstUncommittedEnd_, Each.Number_);
+            std::min(Pending->FirstUncommittedEnd_, Ended.Number_);
       }
     return 0;
   });
@@ -349,9 +349,9 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(Settings_.Lease_)
           .count());
   Orders.FencingToken_ = Term_;
-  for (const EndedTask &Each : Report.Ended_)
-    if (Each.Number_ < Pending->FirstUncommittedEnd_)
-      Orders.EndsNoted_ = std::max(Orders.EndsNoted_, Each.Number_);
+  for (const EndedTask &Ended : Report.Ended_)
+    if (Ended.Number_ < Pending->FirstUncommittedEnd_)
+      Orders.EndsNoted_ = std::max(Orders.EndsNoted_, Ended.Number_);
   Orders.NextReportMs_ = static_cast<std::uint64_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(
           Settings_.ReportInterval_)
--- a/src/jobs/JobLeaderTelemetry.cpp
+++ b/src/jobs/JobLeaderTelemetry.cpp
@@ -51,10 +51,10 @@
 
 void JobLeader::Impl::logLostRuns(const std::string &Server,
                                   const std::vector<LostRun> &Lost) {
-  for (const LostRun &Each : Lost) {
-    Event Line = makeTaskEnded(Server, Each.Task_, Each.Run_, RunEnd::Lapsed);
+  for (const LostRun &Run : Lost) {
+    Event Line = makeTaskEnded(Server, Run.Task_, Run.Run_, RunEnd::Lapsed);
     Line.AgeMs_ =
-        std::chrono::duration_cast<std::chrono::milliseconds>(Each.Seen_)
+        std::chrono::duration_cast<std::chrono::milliseconds>(Run.Seen_)
             .count();
     Log_.write(Line);
   }
@@ -80,10 +80,10 @@
         Step && !Step->Fills_ && Seen && Seen->Run_ == End.Run_;
     const bool WasSick =
         Health_.getHealthState(Ended.Server_, Now) != HealthState::Healthy;
-    const bool IsSick = Health_.recordCompletion(
+    const bool IsFaulty = Health_.recordCompletion(
         Ended.Server_, End.Task_.Job_, End.Task_.Step_,
         IsTelling ? Now - Seen->SeenAt_ : Duration(0), Now);
-    if (IsSick)
+    if (IsFaulty)
       logQuarantine(Ended.Server_, End.Task_.Job_,
                     "runs take much longer than on other servers");
     else if (WasSick && Health_.getHealthState(Ended.Server_, Now) ==
@@ -98,17 +98,19 @@
 }
 
 void JobLeader::Impl::recordFailedRun(const std::string &Server,
-                                      const std::string &Job, const char *Why) {
+                                      const std::string &Job,
+                                      const char *Reason) {
   if (Health_.recordFailure(Server, Job, Time_.now()))
-    logQuarantine(Server, Job, Why);
+    logQuarantine(Server, Job, Reason);
 }
 
 void JobLeader::Impl::logQuarantine(const std::string &Server,
-                                    const std::string &Job, const char *Why) {
+                                    const std::string &Job,
+                                    const char *Reason) {
   Event Line;
   Line.Kind_ = EventKind::ServerQuarantined;
   Line.Server_ = Server;
   Line.Job_ = Job;
-  Line.Reason_ = Why;
+  Line.Reason_ = Reason;
   Log_.write(Line);
 }
--- a/src/jobs/JobLeaderWaves.cpp
+++ b/src/jobs/JobLeaderWaves.cpp
@@ -27,20 +27,21 @@
   if (!isLeading())
     return Reply(makeNotLeaderError());
   Reply(Machine_.read([&](const JobBook &Book) -> Outcome<WaveRecord> {
-    if (const WaveRecord *Found = Book.waves().find(Wave))
-      return *Found;
+    if (const WaveRecord *Record = Book.waves().find(Wave))
+      return *Record;
     return fail(ErrorCode::NotFound, "no such wave");
   }));
 }
 
 void JobLeader::Impl::logWave(std::uint64_t Wave, const std::string &Vm,
-                              const std::string &What, const std::string &Why) {
+                              const std::string &Result,
+                              const std::string &Reason) {
   Event Line;
   Line.Kind_ = EventKind::Maintenance;
   Line.Count_ = Wave;
   Line.Server_ = Vm;
-  Line.Outcome_ = What;
-  Line.Reason_ = Why;
+  Line.Outcome_ = Result;
+  Line.Reason_ = Reason;
   Line.Term_ = Term_;
   Log_.write(Line);
 }
@@ -98,14 +99,14 @@
 void JobLeader::Impl::handleMaintenanceReply(
     const MaintenanceOrder &Order, const Outcome<MaintenanceReply> &Reply) {
   IsOrdering_ = false;
-  const bool IsSettled = Waves_.noteReply(Order, Reply, Time_.now());
+  const bool IsFinal = Waves_.noteReply(Order, Reply, Time_.now());
   static constexpr std::array<const char *, 5> Names = {
       "begun", "fenced", "busy", "not in the wave", "no such VM"};
   logWave(Order.Wave_, Order.Vm_,
           Reply ? Names.at(static_cast<std::size_t>(Reply.value()))
                 : "not answered",
           Reply ? "" : Reply.error().Message_);
-  if (!IsSettled)
+  if (!IsFinal)
     return;
   propose(NoteMaintenance{Order.Wave_, Order.Vm_},
           [](const Outcome<CommandResult> &) {});
--- a/src/jobs/LiveServerTable.h
+++ b/src/jobs/LiveServerTable.h
@@ -27,12 +27,14 @@
   TimePoint ChangedAt_{}; ///< When its percentage last changed.
 };
 
+/// The last pace order that was sent for a run.
 struct PaceSent {
   std::uint64_t Run_ = 0;
   std::uint64_t Percent_ = 100;
   TimePoint At_{};
 };
 
+/// The volatile state of one server.
 struct LiveServer {
   std::uint64_t LastSequence_ = 0;
   TimePoint LastHeard_{};
@@ -62,7 +64,7 @@
   /// The last pace order for each task.
   std::map<TaskKey, PaceSent> PacesSent_;
 
-  /// Return the progress of the task in the last report, or in the one before;
+  /// Returns the progress of the task in the last report, or in the one before;
   /// nullptr if the report did not name the task.
   const RunProgress *findProgress(const TaskKey &Task) const;
   const RunProgress *findPreviousProgress(const TaskKey &Task) const;
--- a/src/jobs/ReportBatch.cpp
+++ b/src/jobs/ReportBatch.cpp
@@ -76,20 +76,20 @@
   return fail(ErrorCode::Unavailable, std::move(Text_));
 }
 
-std::string jobs::encodeReports(const ReportBatch &Value) {
-  return packing::pack(Value);
+std::string jobs::encodeReports(const ReportBatch &Batch) {
+  return packing::pack(Batch);
 }
 Outcome<ReportBatch> jobs::decodeReports(std::string_view Bytes) {
   return packing::unpack<ReportBatch>(Bytes, "a batch of reports");
 }
-std::string jobs::encodeFlushRequest(const FlushRequest &Value) {
-  return packing::pack(Value);
+std::string jobs::encodeFlushRequest(const FlushRequest &Request) {
+  return packing::pack(Request);
 }
 Outcome<FlushRequest> jobs::decodeFlushRequest(std::string_view Bytes) {
   return packing::unpack<FlushRequest>(Bytes, "a flush request");
 }
-std::string jobs::encodeReportReply(const ReportBatchReply &Value) {
-  return packing::pack(Value);
+std::string jobs::encodeReportReply(const ReportBatchReply &Reply) {
+  return packing::pack(Reply);
 }
 Outcome<ReportBatchReply> jobs::decodeReportReply(std::string_view Bytes) {
   return packing::unpack<ReportBatchReply>(Bytes, "answers to reports");
--- a/src/jobs/ServerHealth.cpp
+++ b/src/jobs/ServerHealth.cpp
@@ -110,9 +110,9 @@
   ++Health.Failures_;
   Health.Jobs_.insert(Job);
   const bool IsRelapse = Health.IsOnProbation_ && Now >= Health.Until_;
-  const bool IsSick =
+  const bool IsFaulty =
       Health.Failures_ >= MinFailures && Health.Jobs_.size() >= MinJobs;
-  if (!IsRelapse && !IsSick)
+  if (!IsRelapse && !IsFaulty)
     return false;
   const bool IsNew = Now >= Health.Until_;
   startQuarantine(Health, Now);
--- a/src/jobs/ServerHealth.h
+++ b/src/jobs/ServerHealth.h
@@ -25,6 +25,7 @@
 
 namespace tulipweir::jobs {
 
+/// Whether a server gets tasks: all, one at a time, or none.
 enum class HealthState : std::uint8_t { Healthy, Probation, Quarantined };
 
 /// Not thread-safe.
--- a/tests/jobs/DepartingServersTest.cpp
+++ b/tests/jobs/DepartingServersTest.cpp
@@ -81,7 +81,7 @@
   Strand_.advance(500ms);
   EXPECT_FALSE(isStartedElsewhere());
   report(makeFinalReport(Run));
-  EXPECT_FALSE(isStartedElsewhere()) << "it is done";
+  EXPECT_FALSE(isStartedElsewhere()) << "the task is completed";
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
--- a/tests/jobs/JobAdviceTest.cpp
+++ b/tests/jobs/JobAdviceTest.cpp
@@ -18,8 +18,8 @@
     Strand_.runAll();
   }
   void answer(const Outcome<Advice> &Answer) {
-    ASSERT_FALSE(Advisor_.Asked_.empty());
-    Advisor_.Asked_.back().Reply_(Answer);
+    ASSERT_FALSE(Advisor_.Questions_.empty());
+    Advisor_.Questions_.back().Reply_(Answer);
     Strand_.runAll();
   }
 };
@@ -32,9 +32,9 @@
   call(CallKind::Submit, "j", {makeStep(1, 1000)});
   EXPECT_TRUE(report(makeReport("s1")).Starts_.empty()) << "nobody was asked";
   Strand_.advance(60ms);
-  ASSERT_EQ(Advisor_.Asked_.size(), 1U);
-  EXPECT_EQ(Advisor_.Asked_[0].Step_, (StepKey{"j", 0, 0}));
-  EXPECT_EQ(Advisor_.Asked_[0].Servers_,
+  ASSERT_EQ(Advisor_.Questions_.size(), 1U);
+  EXPECT_EQ(Advisor_.Questions_[0].Step_, (StepKey{"j", 0, 0}));
+  EXPECT_EQ(Advisor_.Questions_[0].Servers_,
             (std::vector<std::string>{"s1", "s2"}));
   answer(Advice{{{"s2", "t-2"}}, 3s});
   EXPECT_TRUE(report(makeReport("s1")).Starts_.empty()) << "s1 may not";
@@ -48,10 +48,10 @@
   call(CallKind::Submit, "j", {makeStep(1, 1000)});
   call(CallKind::Submit, "k", {makeStep(1, 1000)});
   Strand_.advance(500ms);
-  EXPECT_EQ(Advisor_.Asked_.size(), 1U);
+  EXPECT_EQ(Advisor_.Questions_.size(), 1U);
   answer(Advice{{{"s1", "t"}}, 3s});
-  ASSERT_EQ(Advisor_.Asked_.size(), 2U) << "the next one follows at once";
-  EXPECT_EQ(Advisor_.Asked_[1].Step_.Job_, "k");
+  ASSERT_EQ(Advisor_.Questions_.size(), 2U) << "the next one follows at once";
+  EXPECT_EQ(Advisor_.Questions_[1].Step_.Job_, "k");
 }
 
 TEST_F(JobAdviceTest, AfterAnErrorItIsAskedAgainALittleLater) {
@@ -59,10 +59,10 @@
   call(CallKind::Submit, "j", {makeStep(1, 1000)});
   Strand_.advance(60ms);
   answer(fail(ErrorCode::Overfull, "too many"));
-  EXPECT_EQ(Advisor_.Asked_.size(), 1U);
+  EXPECT_EQ(Advisor_.Questions_.size(), 1U);
   EXPECT_EQ(Log_.last(EventKind::AdviceTaken).Reason_, "too many");
   Strand_.advance(500ms);
-  EXPECT_EQ(Advisor_.Asked_.size(), 2U);
+  EXPECT_EQ(Advisor_.Questions_.size(), 2U);
 }
 
 TEST_F(JobAdviceTest, AnAnswerToAnEarlierTermIsDropped) {
@@ -71,9 +71,9 @@
   Strand_.advance(60ms);
   Group_.Term_ = 2;
   Strand_.advance(200ms);
-  const std::size_t Asked = Advisor_.Asked_.size();
+  const std::size_t Asked = Advisor_.Questions_.size();
   ASSERT_GE(Asked, 2U) << "the new term asks for itself";
-  Advisor_.Asked_.front().Reply_(Advice{{{"s1", "old"}}, 3s});
+  Advisor_.Questions_.front().Reply_(Advice{{{"s1", "old"}}, 3s});
   Strand_.runAll();
   EXPECT_TRUE(report(makeReport("s1")).Starts_.empty());
 }
@@ -85,5 +85,5 @@
   EXPECT_EQ(Reply.Outcome_, CallOutcome::Refused);
   EXPECT_GT(Reply.RetryAfterMs_, 0U);
   Strand_.advance(500ms);
-  EXPECT_TRUE(Advisor_.Asked_.empty());
+  EXPECT_TRUE(Advisor_.Questions_.empty());
 }
--- a/tests/jobs/JobEvacuationTest.cpp
+++ b/tests/jobs/JobEvacuationTest.cpp
@@ -56,7 +56,7 @@
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   EXPECT_TRUE(report(makeReport("s1")).Starts_.empty());
   EXPECT_EQ(report(makeReportFromDc2("s2")).Starts_.size(), 1U)
-      << "work goes where it may";
+      << "other data centres still get work";
   call(CallKind::Submit, "k", {makeStep(1, 100)});
   ASSERT_TRUE(evacuate("dc1", false));
   EXPECT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
@@ -91,7 +91,7 @@
 
 TEST_F(JobEvacuationTest, RepeatedEvacuationIsIdempotent) {
   report(makeReport("s1"));
-  EXPECT_TRUE(evacuate("dc1", false)) << "nothing was begun";
+  EXPECT_TRUE(evacuate("dc1", false)) << "no evacuation was in progress";
   EXPECT_TRUE(evacuate("dc1", true));
   EXPECT_TRUE(evacuate("dc1", true));
   EXPECT_EQ(Log_.last(EventKind::Evacuation).Outcome_, "no change");
@@ -112,12 +112,12 @@
 }
 
 TEST_F(JobEvacuationTest, ConfiguredDataCentreIsKnownWithoutServers) {
-  JobLeader Own(makeSettings(), Time_, Strand_, Group_, Machine_, Advisor_,
-                Provider_, Relays_, Log_, Meter_);
-  Own.start();
+  JobLeader Leader(makeSettings(), Time_, Strand_, Group_, Machine_, Advisor_,
+                   Provider_, Relays_, Log_, Meter_);
+  Leader.start();
   Strand_.advance(100ms);
   bool IsDone = false;
-  Own.evacuate({"dc2", true}, [&IsDone](const Outcome<void> &Result) {
+  Leader.evacuate({"dc2", true}, [&IsDone](const Outcome<void> &Result) {
     IsDone = static_cast<bool>(Result);
   });
   Strand_.runAll();
@@ -143,10 +143,10 @@
   ASSERT_EQ(report(makeReport("s1")).Starts_.size(), 1U);
   ASSERT_TRUE(evacuate("dc1", true));
   const ServerOrders Stopping = report(makeReport("s1"));
-  EXPECT_TRUE(Stopping.Starts_.empty()) << "it is not ordered again";
+  EXPECT_TRUE(Stopping.Starts_.empty()) << "the start is not ordered again";
   ASSERT_EQ(Stopping.Stops_.size(), 1U);
   EXPECT_TRUE(report(makeReportFromDc2("s2")).Starts_.empty())
-      << "it may run on s1 yet";
+      << "the run may still be on s1";
   report(makeReport("s1"));
   const ServerOrders Elsewhere = report(makeReportFromDc2("s2"));
   ASSERT_EQ(Elsewhere.Starts_.size(), 1U);
@@ -217,7 +217,7 @@
   }
   ASSERT_TRUE(evacuate("dc1", false));
   EXPECT_EQ(report(makeReport("s1")).Starts_.size(), 1U)
-      << "it was late all the while";
+      << "the run was late all the time";
 }
 
 TEST_F(JobEvacuationTest, WaitReasonIsLogged) {
--- a/tests/jobs/JobLeaderServersTest.cpp
+++ b/tests/jobs/JobLeaderServersTest.cpp
@@ -8,11 +8,11 @@
 using namespace std::chrono_literals;
 
 TEST_F(JobLeaderTest, ReportOfUnknownServiceIsRejected) {
-  ServerReport Strange = makeReport("s1");
-  Strange.Facts_.Service_ = "unheard-of";
-  const auto Got = tryReport(Strange);
-  ASSERT_TRUE(Got && !*Got);
-  EXPECT_EQ(Got->error().Code_, ErrorCode::InvalidArgument);
+  ServerReport Invalid = makeReport("s1");
+  Invalid.Facts_.Service_ = "unheard-of";
+  const auto Answer = tryReport(Invalid);
+  ASSERT_TRUE(Answer && !*Answer);
+  EXPECT_EQ(Answer->error().Code_, ErrorCode::InvalidArgument);
   EXPECT_TRUE(Machine_.read(
       [](const JobBook &Book) { return Book.servers().empty(); }));
 }
@@ -21,10 +21,10 @@
   call(CallKind::Submit, "j", {makeStep(2, 2500)});
   const ServerOrders Orders = report(makeReport("s1"));
   ASSERT_EQ(Orders.Starts_.size(), 1U);
-  ServerReport Strange = makeReport("s1");
-  Strange.Facts_.Service_ = "unheard-of";
-  const auto Got = tryReport(Strange);
-  ASSERT_TRUE(Got && !*Got) << "it is given nothing";
+  ServerReport Invalid = makeReport("s1");
+  Invalid.Facts_.Service_ = "unheard-of";
+  const auto Answer = tryReport(Invalid);
+  ASSERT_TRUE(Answer && !*Answer) << "the report is rejected";
   // The runs there keep their lease and continue.
   Strand_.advance(3s);
   ServerReport After = makeReport("s1");
@@ -49,10 +49,10 @@
 
 TEST_F(JobLeaderTest, LateReportGetsNoLeaseAndChangesNothing) {
   call(CallKind::Submit, "j", {makeStep(1, 100)});
-  const ServerReport Late = makeReport("s1");
+  const ServerReport Delayed = makeReport("s1");
   const ServerOrders Orders = report(makeReport("s1"));
   ASSERT_EQ(Orders.Starts_.size(), 1U);
-  EXPECT_EQ(report(Late), ServerOrders{});
+  EXPECT_EQ(report(Delayed), ServerOrders{});
 }
 
 // A relay passes on the ends in a report that was not delivered. Its server may
@@ -62,15 +62,16 @@
   call(CallKind::Submit, "j", {makeStep(2, 1000)});
   const ServerOrders Orders = report(makeReport("s1"));
   ASSERT_EQ(Orders.Starts_.size(), 2U);
-  ServerReport Late = makeReport("s1");
-  Late.Running_ = {makeRunning(Orders.Starts_[1])};
-  Late.Ended_ = {makeEnded(1, Orders.Starts_[0], RunEnd::Done)};
+  ServerReport Delayed = makeReport("s1");
+  Delayed.Running_ = {makeRunning(Orders.Starts_[1])};
+  Delayed.Ended_ = {makeEnded(1, Orders.Starts_[0], RunEnd::Done)};
   Strand_.advance(5s);
-  std::optional<ServerOrders> Got;
-  Leader_.recordLateEnds(
-      Late, [&Got](Outcome<ServerOrders> Reply) { Got = Reply.value(); });
+  std::optional<ServerOrders> Answer;
+  Leader_.recordLateEnds(Delayed, [&Answer](Outcome<ServerOrders> Reply) {
+    Answer = Reply.value();
+  });
   Strand_.runAll();
-  EXPECT_EQ(Got, ServerOrders{});
+  EXPECT_EQ(Answer, ServerOrders{});
   const auto GetState = [this](const TaskKey &Task) {
     return Machine_.read(
         [&Task](const JobBook &Book) { return Book.findTask(Task)->State_; });
@@ -90,12 +91,12 @@
     ServerReport Report = makeReport("s1");
     Report.Ended_ = {makeEnded(1, Orders.Starts_[0], RunEnd::Done)};
     Report.Running_ = {makeRunning(Orders.Starts_[1])};
-    auto Got = std::make_shared<std::optional<Outcome<ServerOrders>>>();
-    Leader_.report(Report, [Got](Outcome<ServerOrders> Reply) {
-      *Got = std::move(Reply);
+    auto Answer = std::make_shared<std::optional<Outcome<ServerOrders>>>();
+    Leader_.report(Report, [Answer](Outcome<ServerOrders> Reply) {
+      *Answer = std::move(Reply);
     });
     Strand_.runAll();
-    return Got;
+    return Answer;
   };
   // The commit hangs, so the server abandons the report and sends another one.
   Group_.IsHeld_ = true;
@@ -118,7 +119,7 @@
   report(Report);
   Strand_.advance(Settings_.Lease_);
   EXPECT_TRUE(report(makeReport("s2")).Starts_.empty())
-      << "its clock may be slow";
+      << "the server's clock may be slow";
   Strand_.advance(Settings_.Lease_ / 10);
   const ServerOrders Elsewhere = report(makeReport("s2"));
   ASSERT_EQ(Elsewhere.Starts_.size(), 1U);
@@ -142,10 +143,10 @@
     Relays_.answer({"s1"});
   }
   EXPECT_FALSE(IsMoved());
-  ServerReport Late = makeReport("s1");
-  Late.Ended_ = {makeEnded(1, Orders.Starts_[0], RunEnd::Done)};
-  EXPECT_EQ(report(Late).EndsNoted_, 1U);
-  EXPECT_FALSE(IsMoved()) << "it is done";
+  ServerReport Delayed = makeReport("s1");
+  Delayed.Ended_ = {makeEnded(1, Orders.Starts_[0], RunEnd::Done)};
+  EXPECT_EQ(report(Delayed).EndsNoted_, 1U);
+  EXPECT_FALSE(IsMoved()) << "the task is completed";
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
@@ -242,8 +243,7 @@
 
 TEST_F(JobLeaderTest, EndedIncarnationStaysEndedUnderANewLeader) {
   report(makeReport("s1"));
-  Strand_.advance(Settings_.Lease_ *
-                  2); // The server is silent until its lease expires.
+  Strand_.advance(Settings_.Lease_ * 2); // Its lease expires.
   report(makeIncarnationReport("s1-again", "s1"));
   Group_.IsLeader_ = false;
   Strand_.advance(100ms);
@@ -252,7 +252,7 @@
   Strand_.advance(100ms);
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   for (int I = 0; I < 4; ++I) {
-    EXPECT_EQ(report(makeReport("s1")), ServerOrders{}) << "held up on its way";
+    EXPECT_EQ(report(makeReport("s1")), ServerOrders{}) << "a delayed report";
     Strand_.advance(500ms);
   }
   EXPECT_EQ(report(makeIncarnationReport("s1-again", "s1")).Starts_.size(), 1U);
@@ -264,7 +264,7 @@
   Leaving.IsDraining_ = true;
   const ServerOrders Orders = report(Leaving);
   EXPECT_TRUE(Orders.Starts_.empty());
-  EXPECT_GT(Orders.LeaseMs_, 0U) << "what runs there goes on";
+  EXPECT_GT(Orders.LeaseMs_, 0U) << "running tasks continue";
 }
 
 TEST_F(JobLeaderTest, TasksOfALeavingServerMoveAtOnce) {
@@ -337,7 +337,8 @@
   Strand_.advance(1s);
   ServerReport Last = makeReport("s1");
   Last.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunEnd::Done)};
-  EXPECT_EQ(report(Last), ServerOrders{}) << "no lease for one that has left";
+  EXPECT_EQ(report(Last), ServerOrders{})
+      << "a server that has left gets no lease";
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
 }
 
--- a/tests/jobs/JobLeaderTest.cpp
+++ b/tests/jobs/JobLeaderTest.cpp
@@ -30,9 +30,10 @@
   EXPECT_EQ(call(CallKind::Show, "j").Outcome_, CallOutcome::NoJob);
   EXPECT_EQ(call(CallKind::Cancel, "j").Outcome_, CallOutcome::NoJob);
   JobCallReply Reply;
-  Leader_.call(
-      {CallKind::Show, "other.example", "/x", {}},
-      [&Reply](const Outcome<JobCallReply> &Got) { Reply = Got.value(); });
+  Leader_.call({CallKind::Show, "other.example", "/x", {}},
+               [&Reply](const Outcome<JobCallReply> &Answer) {
+                 Reply = Answer.value();
+               });
   Strand_.runAll();
   EXPECT_EQ(Reply.Outcome_, CallOutcome::NoQueue);
 }
@@ -60,15 +61,15 @@
 
 TEST_F(JobLeaderTest, UnknownOutcomeIsNotReportedAsNotLeader) {
   Group_.IsHeld_ = true;
-  auto Got = std::make_shared<std::optional<Outcome<JobCallReply>>>();
+  auto Answer = std::make_shared<std::optional<Outcome<JobCallReply>>>();
   Leader_.call({CallKind::Submit, Host, std::string(Prefix) + "j",
                 makeJob("", {makeStep(1, 100)})},
-               [Got](Outcome<JobCallReply> Reply) { *Got = Reply; });
+               [Answer](Outcome<JobCallReply> Reply) { *Answer = Reply; });
   Group_.loseAll(/*AreCommitted=*/true);
   Strand_.runAll();
-  ASSERT_TRUE(Got->has_value());
-  ASSERT_FALSE(**Got);
-  EXPECT_EQ((*Got)->error().Code_, ErrorCode::Timeout);
+  ASSERT_TRUE(Answer->has_value());
+  ASSERT_FALSE(**Answer);
+  EXPECT_EQ((*Answer)->error().Code_, ErrorCode::Timeout);
 }
 
 TEST_F(JobLeaderTest, LostStartIsOrderedAgain) {
@@ -154,16 +155,16 @@
   call(CallKind::Submit, "k", {makeStep(1, 100)});
   Group_.commitAll();
   Strand_.runAll();
-  auto Got = std::make_shared<std::optional<Outcome<ServerOrders>>>();
-  Leader_.report(makeReport("s1"), [Got](Outcome<ServerOrders> Reply) {
-    *Got = std::move(Reply);
+  auto Answer = std::make_shared<std::optional<Outcome<ServerOrders>>>();
+  Leader_.report(makeReport("s1"), [Answer](Outcome<ServerOrders> Reply) {
+    *Answer = std::move(Reply);
   });
   Strand_.runAll();
   Group_.HasLease_ = false;
   Group_.commitAll();
   Strand_.runAll();
-  ASSERT_TRUE(Got->has_value());
-  EXPECT_FALSE(**Got) << "another may lead by now";
+  ASSERT_TRUE(Answer->has_value());
+  EXPECT_FALSE(**Answer) << "another member may be the leader";
 }
 
 TEST_F(JobLeaderTest, WaitReasonIsLoggedOnce) {
@@ -234,5 +235,5 @@
   Leader_.readConfiguration([&IsRefused](const Outcome<Configuration> &Value) {
     IsRefused = !Value;
   });
-  EXPECT_TRUE(IsRefused) << "another may hold a newer one";
+  EXPECT_TRUE(IsRefused) << "another member may hold a newer one";
 }
--- a/tests/jobs/LeaderDelayTest.cpp
+++ b/tests/jobs/LeaderDelayTest.cpp
@@ -20,10 +20,10 @@
 class LeaderDelayTest : public JobLeaderTest {
 protected:
   /// The answer to a report once it has arrived.
-  using Got = std::shared_ptr<std::optional<Outcome<ServerOrders>>>;
+  using AnswerPtr = std::shared_ptr<std::optional<Outcome<ServerOrders>>>;
 
-  Got send(const ServerReport &Report) {
-    Got Answer = std::make_shared<std::optional<Outcome<ServerOrders>>>();
+  AnswerPtr send(const ServerReport &Report) {
+    AnswerPtr Answer = std::make_shared<std::optional<Outcome<ServerOrders>>>();
     Leader_.report(Report, [Answer](Outcome<ServerOrders> Reply) {
       EXPECT_FALSE(Answer->has_value()) << "answered twice";
       *Answer = std::move(Reply);
@@ -33,7 +33,7 @@
   }
   /// Starts two runs on a server and reports the end of the first while nothing
   /// commits.
-  Got reportEndWithoutCommits(RunEnd How = RunEnd::Done) {
+  AnswerPtr reportEndWithoutCommits(RunEnd How = RunEnd::Done) {
     call(CallKind::Submit, "j", {makeStep(2, 1000)});
     Started_ = report(makeReport("s1")).Starts_;
     EXPECT_EQ(Started_.size(), 2U);
@@ -50,7 +50,7 @@
   }
   /// Well below the time after which a server abandons a report, round trip
   /// included.
-  static constexpr Duration Soon = 400ms;
+  static constexpr Duration AnswerDelay = 400ms;
 
   std::vector<StartOrder> Started_;
 };
@@ -58,19 +58,19 @@
 } // namespace
 
 TEST_F(LeaderDelayTest, LeaseDoesNotWaitForAHangingCommit) {
-  const Got Answer = reportEndWithoutCommits();
-  Strand_.advance(Soon);
+  const AnswerPtr Answer = reportEndWithoutCommits();
+  Strand_.advance(AnswerDelay);
   ASSERT_TRUE(Answer->has_value() && **Answer);
   EXPECT_GT((*Answer)->value().LeaseMs_, 0U);
   // The lease that was granted is honoured.
-  Strand_.advance(Settings_.Lease_ - Soon);
+  Strand_.advance(Settings_.Lease_ - AnswerDelay);
   commit();
   EXPECT_TRUE(report(makeReport("s2")).Starts_.empty());
 }
 
 TEST_F(LeaderDelayTest, EarlyAnswerAcknowledgesNoEndAndStartsNothing) {
-  const Got Answer = reportEndWithoutCommits();
-  Strand_.advance(Soon);
+  const AnswerPtr Answer = reportEndWithoutCommits();
+  Strand_.advance(AnswerDelay);
   ASSERT_TRUE(Answer->has_value() && **Answer);
   EXPECT_EQ((*Answer)->value().EndsNoted_, 0U);
   EXPECT_TRUE((*Answer)->value().Starts_.empty())
@@ -80,7 +80,7 @@
 
 TEST_F(LeaderDelayTest, LateCommitsAreInTheNextAnswer) {
   reportEndWithoutCommits(RunEnd::Failed);
-  Strand_.advance(Soon);
+  Strand_.advance(AnswerDelay);
   commit();
   ServerReport Next = makeReport("s1");
   Next.Ended_ = {makeEnded(1, Started_.at(0), RunEnd::Failed)};
@@ -104,25 +104,26 @@
   ServerReport Second = makeReport("s1");
   Second.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunEnd::Done),
                    makeEnded(2, Orders.Starts_.at(1), RunEnd::Done)};
-  const Got Answer = send(Second);
-  Strand_.advance(Soon);
+  const AnswerPtr Answer = send(Second);
+  Strand_.advance(AnswerDelay);
   ASSERT_TRUE(Answer->has_value() && **Answer);
   EXPECT_EQ((*Answer)->value().EndsNoted_, 1U);
 }
 
 TEST_F(LeaderDelayTest, UnregisteredServerGetsNoLease) {
   Group_.IsHeld_ = true;
-  const Got Answer = send(makeReport("s1"));
-  Strand_.advance(Soon);
+  const AnswerPtr Answer = send(makeReport("s1"));
+  Strand_.advance(AnswerDelay);
   EXPECT_FALSE(Answer->has_value() && **Answer &&
                (*Answer)->value().LeaseMs_ > 0);
 }
 
 TEST_F(LeaderDelayTest, EarlyAnswerNeedsTheLeadersLease) {
-  const Got Answer = reportEndWithoutCommits();
+  const AnswerPtr Answer = reportEndWithoutCommits();
   Group_.HasLease_ = false;
-  Strand_.advance(Soon);
-  EXPECT_FALSE(Answer->has_value() && **Answer) << "another may lead by now";
+  Strand_.advance(AnswerDelay);
+  EXPECT_FALSE(Answer->has_value() && **Answer)
+      << "another member may be the leader";
 }
 
 TEST_F(LeaderDelayTest, ResourcesFreedLateAreUsedInTheNextAnswer) {
@@ -132,8 +133,8 @@
   Group_.IsHeld_ = true;
   ServerReport After = makeReport("s1");
   After.Ended_ = {makeEnded(1, First.Starts_[0], RunEnd::Done)};
-  const Got Answer = send(After);
-  Strand_.advance(Soon);
+  const AnswerPtr Answer = send(After);
+  Strand_.advance(AnswerDelay);
   ASSERT_TRUE(Answer->has_value());
   // The end is committed, then the start that uses its resources.
   Group_.commitAll();
@@ -142,7 +143,7 @@
   Group_.IsHeld_ = true;
   ServerReport Next = makeReport("s1");
   Next.Ended_ = After.Ended_;
-  const Got Later = send(Next);
+  const AnswerPtr Later = send(Next);
   ASSERT_TRUE(Later->has_value()) << "nothing is left to commit";
   EXPECT_EQ((*Later)->value().Starts_.size(), 1U);
 }
--- a/tests/jobs/LeaderFixture.h
+++ b/tests/jobs/LeaderFixture.h
@@ -129,14 +129,14 @@
   std::size_t count(EventKind Kind) const {
     return static_cast<std::size_t>(std::count_if(
         Events_.begin(), Events_.end(),
-        [Kind](const Event &Each) { return Each.Kind_ == Kind; }));
+        [Kind](const Event &Entry) { return Entry.Kind_ == Kind; }));
   }
   Event last(EventKind Kind) const {
-    Event Found;
-    for (const Event &Each : Events_)
-      if (Each.Kind_ == Kind)
-        Found = Each;
-    return Found;
+    Event Last;
+    for (const Event &Entry : Events_)
+      if (Entry.Kind_ == Kind)
+        Last = Entry;
+    return Last;
   }
 
 private:
@@ -154,11 +154,11 @@
   bool isThere() const override { return IsThere_; }
   void ask(const StepKey &Step, const std::vector<std::string> &Servers,
            Duration, Done Reply) override {
-    Asked_.push_back({Step, Servers, std::move(Reply)});
+    Questions_.push_back({Step, Servers, std::move(Reply)});
   }
 
   bool IsThere_ = true;
-  std::vector<Question> Asked_;
+  std::vector<Question> Questions_;
 };
 
 /// Relays that answer after their usual delay, or only when told to.
@@ -168,29 +168,29 @@
 
   void flush(const std::string &, std::function<void()> Done) override {
     if (AnswersAutomatically_)
-      return Strand_.postAfter(Kept, std::move(Done));
-    Asked_.push_back([Done = std::move(Done)](const Heard &) { Done(); });
+      return Strand_.postAfter(FlushDelay, std::move(Done));
+    Requests_.push_back([Done = std::move(Done)](const Heard &) { Done(); });
   }
   void findHeard(const std::vector<std::string> &,
                  std::function<void(Heard)> Done) override {
     if (AnswersAutomatically_)
       return Strand_.post([Done = std::move(Done)] { Done({}); });
-    Asked_.push_back(std::move(Done));
+    Requests_.push_back(std::move(Done));
   }
   /// Answers all open requests: the relays have heard Servers.
   void answer(const Heard &Servers = {}) {
-    for (const auto &Each : std::exchange(Asked_, {}))
-      Each(Servers);
+    for (const auto &Callback : std::exchange(Requests_, {}))
+      Callback(Servers);
   }
 
   bool AnswersAutomatically_ = true;
 
 private:
   /// Longer than a relay buffers a report.
-  static constexpr Duration Kept = std::chrono::milliseconds(450);
+  static constexpr Duration FlushDelay = std::chrono::milliseconds(450);
 
   ManualExecutor &Strand_;
-  std::vector<std::function<void(Heard)>> Asked_;
+  std::vector<std::function<void(Heard)>> Requests_;
 };
 
 /// A provider that lists the given VMs and stores orders until the test answers
@@ -231,16 +231,16 @@
 
   JobCallReply call(CallKind Kind, const std::string &Id,
                     std::vector<StepSpec> Steps = {}) {
-    std::optional<Outcome<JobCallReply>> Got = tryCall(Kind, Id, Steps);
-    return Got && *Got ? Got->value() : JobCallReply{};
+    std::optional<Outcome<JobCallReply>> Answer = tryCall(Kind, Id, Steps);
+    return Answer && *Answer ? Answer->value() : JobCallReply{};
   }
   std::optional<Outcome<JobCallReply>>
   tryCall(CallKind Kind, const std::string &Id, std::vector<StepSpec> Steps) {
-    auto Got = std::make_shared<std::optional<Outcome<JobCallReply>>>();
+    auto Answer = std::make_shared<std::optional<Outcome<JobCallReply>>>();
     Leader_.call({Kind, Host, Prefix + Id, makeJob("", std::move(Steps))},
-                 [Got](Outcome<JobCallReply> Reply) { *Got = Reply; });
+                 [Answer](Outcome<JobCallReply> Reply) { *Answer = Reply; });
     Strand_.runAll();
-    return *Got;
+    return *Answer;
   }
   /// Returns the next report of a server, with no running or ended tasks.
   ServerReport makeReport(const std::string &Id) {
@@ -250,25 +250,25 @@
     return Report;
   }
   /// Returns the next report of the incarnation Id at the address of the server
-  /// Place.
+  /// OldServer.
   ServerReport makeIncarnationReport(const std::string &Id,
-                                     const std::string &Place) {
+                                     const std::string &OldServer) {
     ServerReport Report = makeReport(Id);
-    Report.Facts_.Address_ = makeServer(Place).Address_;
+    Report.Facts_.Address_ = makeServer(OldServer).Address_;
     return Report;
   }
   std::optional<Outcome<ServerOrders>> tryReport(const ServerReport &Report) {
-    auto Got = std::make_shared<std::optional<Outcome<ServerOrders>>>();
-    Leader_.report(Report, [Got](Outcome<ServerOrders> Reply) {
-      *Got = std::move(Reply);
+    auto Answer = std::make_shared<std::optional<Outcome<ServerOrders>>>();
+    Leader_.report(Report, [Answer](Outcome<ServerOrders> Reply) {
+      *Answer = std::move(Reply);
     });
     Strand_.runAll();
-    return *Got;
+    return *Answer;
   }
   ServerOrders report(const ServerReport &Report) {
-    auto Got = tryReport(Report);
-    EXPECT_TRUE(Got && *Got);
-    return Got && *Got ? Got->value() : ServerOrders{};
+    auto Answer = tryReport(Report);
+    EXPECT_TRUE(Answer && *Answer);
+    return Answer && *Answer ? Answer->value() : ServerOrders{};
   }
   static RunningTask makeRunning(const StartOrder &Start,
                                  const std::string &Checkpoint = "") {
