--- a/bench/jobs/JobsBench.cpp
+++ b/bench/jobs/JobsBench.cpp
@@ -1,9 +1,9 @@
-//===- JobsBench.cpp - Ratios of the jobs' hot paths ----------------------===//
+//===- JobsBench.cpp - Cost ratios of job hot paths -----------------------===//
 //
-// Prints, from one run: committing 100 starts in one command against 100
-// commands, with real syncs; and the cost of a planned start with 350 servers
-// and 5,000 waiting tasks against 48 and 700. Bounds are ratios, so that they
-// hold on any machine.
+// Compares, within one run, committing 100 starts in one command with
+// committing them in 100 commands, with real disk syncs; and planning one
+// start with 350 servers and 5,000 waiting tasks with planning it with 48 and
+// 700. Bounds are ratios, so that they hold on any machine.
 //
 //===----------------------------------------------------------------------===//
 
@@ -88,7 +88,8 @@
   return Done.get_future().get();
 }
 
-/// Microseconds for one command with all starts, and for one command each.
+/// Adds up microseconds for one command with all starts and for one command per
+/// start.
 static bool measureCommit(double &Batched, double &Single) {
   const std::filesystem::path Directory =
       std::filesystem::temp_directory_path() /
@@ -129,7 +130,7 @@
   return true;
 }
 
-/// Microseconds for each start that is planned while servers ask in turn.
+/// Returns the microseconds per planned start while all servers ask in turn.
 static double measurePlan(std::uint64_t Servers, std::uint64_t Waiting) {
   constexpr std::uint64_t TasksPerJob = 10;
   double Total = 0;
@@ -149,7 +150,8 @@
     ServerHealth Health;
     AdviceBook Advice;
     Dispatcher Planner(Effects, Loads, Paces, Health, Advice);
-    Planner.survey(Registry, Board, now()); // As at every tick.
+    // The leader surveys at every tick, too.
+    Planner.survey(Registry, Board, now());
     for (std::uint64_t I = 0; I < Servers; ++I) {
       const Instant Begin = now();
       const auto Plan = Planner.plan(Registry, Board, makeServer(I, 0).Id_,
--- a/include/tulipweir/jobs/Commands.h
+++ b/include/tulipweir/jobs/Commands.h
@@ -1,7 +1,7 @@
-//===- Commands.h - Entries of the jobs' log --------------------*- C++ -*-===//
+//===- Commands.h - Commands of the job log --------------------*- C++ -*-===//
 //
-// Everything that changes the replicated state of jobs. A command that is not
-// allowed changes nothing and says so in its result.
+// Every change to the replicated state of jobs is one of these commands. A
+// command that is not permitted changes nothing and reports so in its result.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,7 @@
 
 namespace tulipweir::jobs {
 
-/// One task of one occurrence of a job.
+/// Identifies one task of one occurrence of a job.
 struct TaskKey {
   std::string Job_;
   std::uint64_t Occurrence_ = 0;
@@ -31,40 +31,41 @@
   auto operator<=>(const TaskKey &) const = default;
 };
 
-/// A task as logs name it within its job: occurrence.step.index.
+/// Formats the task for logs, within its job, as "occurrence.step.index".
 std::string toText(const TaskKey &Task);
 
 /// How a run ended.
 enum class RunOutcome : std::uint8_t {
   Done = 0,
-  Failed = 1,          ///< By its own fault or its server's.
-  Stopped = 2,         ///< On an order of ours.
-  LeaseExpired = 3,    ///< Its lease ran out.
+  Failed = 1,          ///< The task or its server failed.
+  Stopped = 2,         ///< The scheduler ordered it to stop.
+  LeaseExpired = 3,    ///< The server's lease expired.
   GangMemberEnded = 4, ///< Another member of its gang ended.
-  GangTimedOut = 5, ///< It waited too long for the other members of its gang.
-  Refused = 6,      ///< The server did not start it.
-  NeverRan = 7,     ///< The order to start it certainly never arrived.
+  GangTimedOut = 5,    ///< The other members of its gang did not start in time.
+  Refused = 6,         ///< The server declined to start it.
+  NeverRan = 7,        ///< The start order is known not to have arrived.
 };
 
-/// What a backend server says of itself when it appears.
+/// What a backend server declares about itself when it registers.
 struct ServerFacts {
-  std::string Id_; ///< Of this incarnation; never used again.
+  std::string Id_; ///< Unique to this incarnation; never reused.
   std::string Service_;
   std::string DataCentre_;
   std::string Rack_;
   std::vector<std::string> Labels_;
-  std::string Address_; ///< One live server an address.
+  std::string Address_; ///< At most one live server per address.
   Resources Capacity_;
   bool operator==(const ServerFacts &) const = default;
 
-  /// Also for an empty label, which any server has.
+  /// Returns whether the server carries the label. The empty label matches
+  /// every server.
   bool hasLabel(const std::string &Label) const {
     return Label.empty() ||
            std::find(Labels_.begin(), Labels_.end(), Label) != Labels_.end();
   }
 };
 
-/// A higher version than the one held takes its place.
+/// Replaces the configuration if its version is higher than the current one.
 struct PutConfiguration {
   Configuration Configuration_;
   bool operator==(const PutConfiguration &) const = default;
@@ -72,9 +73,9 @@
 
 struct SubmitJob {
   std::string Host_;
-  std::string PathPrefix_; ///< Of the queue; must be in force when applied.
+  std::string PathPrefix_; ///< Queue prefix; must exist when applied.
   JobSpec Spec_;
-  std::uint64_t AcceptedMs_ = 0; ///< Wall time; orders jobs, nothing else.
+  std::uint64_t AcceptedMs_ = 0; ///< Wall time; used only to order jobs.
   bool operator==(const SubmitJob &) const = default;
 };
 
@@ -83,20 +84,21 @@
   bool operator==(const CancelJob &) const = default;
 };
 
-/// Makes an occurrence's tasks ready; proposed once it is due.
+/// Makes the tasks of an occurrence ready; proposed once the occurrence is due.
 struct OpenOccurrence {
   std::string Job_;
   std::uint64_t Occurrence_ = 0;
   bool operator==(const OpenOccurrence &) const = default;
 };
 
-/// Refused for an incarnation that is over, and while another has its address.
+/// Registers a server. Refused if its incarnation has ended or another server
+/// holds its address.
 struct AddServer {
   ServerFacts Facts_;
   bool operator==(const AddServer &) const = default;
 };
 
-/// A checkpoint that was seen while the run was going on.
+/// A checkpoint that was reported while the run was in progress.
 struct SavedCheckpoint {
   TaskKey Task_;
   std::uint64_t Run_ = 0;
@@ -104,43 +106,45 @@
   bool operator==(const SavedCheckpoint &) const = default;
 };
 
-/// How long the reports of a server named a run.
+/// How long a server's reports listed a run.
 struct ReportedRun {
   TaskKey Task_;
   std::uint64_t AgeMs_ = 0;
   bool operator==(const ReportedRun &) const = default;
 };
 
-/// The circumstances under which a server went, as its leader saw them.
+/// How a server disappeared, as observed by the leader.
 struct CrashEvidence {
-  bool IsCrash_ = false;      ///< It went without notice.
+  bool IsCrash_ = false;      ///< The server vanished without notice.
   bool IsConfirmed_ = false;  ///< Another incarnation reports at its address.
-  bool IsCorrelated_ = false; ///< Others went at the same moment.
-  bool IsStable_ = false;     ///< No other crash at its address is unexplained.
-  /// The runs that were placed on it and reported, ordered by task.
+  bool IsCorrelated_ = false; ///< Many other servers vanished at the same time.
+  bool IsStable_ = false;     ///< No other unexplained crash at its address.
+  /// The runs that were placed on the server and appeared in its reports,
+  /// ordered by task.
   std::vector<ReportedRun> ReportedRuns_;
   bool operator==(const CrashEvidence &) const = default;
 };
 
-/// The server has left, or nothing it was given can still be running. All its
+/// Removes a server that has left, or whose runs must all have ended. All its
 /// tasks wait again.
 struct RemoveServer {
   std::string Id_;
   std::vector<SavedCheckpoint> Checkpoints_;
-  bool IsFinal_ = false; ///< It left for good; else it may come back.
+  bool IsFinal_ = false; ///< It left for good; otherwise it may return.
   CrashEvidence Evidence_{};
   bool operator==(const RemoveServer &) const = default;
 };
 
 struct TaskStart {
   TaskKey Task_;
-  std::uint64_t Run_ = 0; ///< Above any earlier run of the task.
+  std::uint64_t Run_ = 0; ///< Higher than any earlier run of the task.
   std::string Server_;
   bool operator==(const TaskStart &) const = default;
 };
 
-/// Places tasks. Each start stands by itself, but those of a gang, which come
-/// whole or not at all, and in one command.
+/// Places tasks. Each start is accepted or refused on its own, except that a
+/// gang is accepted as a whole or not at all, and all its starts are in one
+/// command.
 struct StartTasks {
   std::vector<TaskStart> Starts_;
   bool operator==(const StartTasks &) const = default;
@@ -160,38 +164,40 @@
   bool operator==(const EndTasks &) const = default;
 };
 
-/// Ended jobs that nobody asks for any more.
+/// Deletes ended jobs that clients no longer query.
 struct ForgetJobs {
   std::vector<std::string> Ids_;
   bool operator==(const ForgetJobs &) const = default;
 };
 
-/// An operator's wave of maintenance; one that is known changes nothing.
+/// Starts a maintenance wave for an operator; a known wave is left unchanged.
 struct StartWave {
   WaveSpec Spec_;
   bool operator==(const StartWave &) const = default;
 };
 
-/// The VM's maintenance for the wave has begun for certain, or it is no more.
+/// Records that the VM's maintenance for the wave has certainly begun, or that
+/// the VM no longer exists.
 struct RecordMaintenanceStart {
   std::uint64_t Wave_ = 0;
   std::string Vm_;
   bool operator==(const RecordMaintenanceStart &) const = default;
 };
 
-/// From then on nothing starts in the data centre; or things may again. The
-/// last order counts, so one that comes again changes nothing.
+/// Starts or ends the evacuation of a data centre, in which no task may start
+/// meanwhile. The last order wins, so a repeated order changes nothing.
 struct EvacuateDataCentre {
   std::string DataCentre_;
-  bool IsStart_ = true; ///< Else the evacuation is over.
+  bool IsStart_ = true; ///< Otherwise the evacuation ends.
   bool operator==(const EvacuateDataCentre &) const = default;
 };
 
-/// A run under whose task servers crashed, and that has not crashed its own.
+/// A run that has not crashed its server, of a task under which servers have
+/// crashed before.
 struct SurvivingRun {
   TaskKey Task_;
   std::uint64_t Run_ = 0;
-  bool IsHarmless_ = false; ///< The task is no longer suspected.
+  bool IsHarmless_ = false; ///< Clears the task of suspicion.
   bool operator==(const SurvivingRun &) const = default;
 };
 
@@ -208,16 +214,17 @@
 
 enum class CommandStatus : std::uint8_t {
   Done = 0,
-  AlreadyDone = 1, ///< The same was accepted before; nothing changed.
+  AlreadyDone = 1, ///< Accepted earlier; nothing changed.
   NotFound = 2,    ///< No such queue, job or server.
-  Refused = 3,     ///< It may not be done; nothing changed.
+  Refused = 3,     ///< Not permitted; nothing changed.
 };
 
 struct CommandResult {
   CommandStatus Status_ = CommandStatus::Done;
-  /// For StartTasks: one for each start, whether it was taken.
+  /// StartTasks only: whether each start was accepted, in their order.
   std::vector<bool> Accepted_;
-  std::vector<std::string> FailedJobs_{}; ///< Jobs that the command failed.
+  /// Ids of the jobs that the command failed.
+  std::vector<std::string> FailedJobs_{};
   bool operator==(const CommandResult &) const = default;
 };
 
--- a/include/tulipweir/jobs/CrashRecord.h
+++ b/include/tulipweir/jobs/CrashRecord.h
@@ -1,9 +1,9 @@
-//===- CrashRecord.h - Servers that crashed under a task --------*- C++ -*-===//
+//===- CrashRecord.h - Server crashes under a task -------------*- C++ -*-===//
 //
 // A task may crash every server that starts it, and a server may crash by
-// itself under tasks that are sound. The records of a task say which it is: a
-// crash counts in full only if nothing else that had just begun ran there, and
-// the server was a stable one. Deterministic: no clock, no I/O.
+// itself under healthy tasks. The crash records of a task tell the two apart:
+// a crash counts in full only if no other recently started run was on the
+// server and the server was stable. Deterministic: no clock, no I/O.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,66 +19,68 @@
 
 namespace tulipweir::jobs {
 
-/// One server that crashed under a run.
+/// The crash of one server under a run.
 struct CrashRecord {
   std::uint64_t Run_ = 0;
   std::string Server_; ///< The incarnation that crashed.
   std::string Address_;
-  /// How long the run had been reported.
+  /// How long the server's reports had listed the run.
   std::uint64_t AgeMs_ = 0;
-  /// Other servers crashed at the same moment.
+  /// Many other servers crashed at the same time.
   bool IsCorrelated_ = false;
-  /// No other run than this one can have caused it, and the server was stable.
+  /// No other run can have caused the crash, and the server was stable.
   bool IsConclusive_ = false;
-  /// Another incarnation was seen at the address; else the server may be cut
-  /// off.
+  /// Another incarnation registered at the address. Until then the server may
+  /// only be partitioned from the leader.
   bool IsConfirmed_ = false;
-  /// The run had settled, and others beside it had not: isolates the task's
-  /// next run, and counts for nothing else.
+  /// The run had settled while others on the server had not. The record
+  /// isolates the task's next run and has no other effect.
   bool OnlyIsolates_ = false;
   bool operator==(const CrashRecord &) const = default;
 };
 
-/// The crashes under one task since one of its runs last proved to be harmless,
-/// the oldest first. Bounded.
+/// The crashes under one task since its last run that was shown to be harmless,
+/// oldest first. Bounded.
 using CrashRecords = std::vector<CrashRecord>;
 
-/// A run that was placed on a server that crashed.
+/// A run that was placed on a crashed server.
 struct CrashSuspect {
   TaskKey Task_;
   std::uint64_t Run_ = 0;
-  std::uint64_t AgeMs_ = 0; ///< How long it was reported; zero if never.
-  bool IsIsolated_ = false; ///< Nothing else began beside it.
+  std::uint64_t AgeMs_ = 0; ///< How long it was reported; 0 if never.
+  bool IsIsolated_ = false; ///< No other run started beside it.
 };
 
-/// A run that was reported for so long has not crashed its server.
+/// A run that has been reported for this long did not cause its server's crash.
 inline constexpr std::uint64_t HarmlessAgeMs = 10'000;
-/// A run that was reported for so long, of a task without records, is not the
-/// first to be suspected.
+/// A run of a task without crash records that has been reported for this long
+/// is not among the first suspects.
 inline constexpr std::uint64_t SettledAgeMs = 1'000;
 
-/// Adds the record; one of the same run and server is replaced.
+/// Adds the record, or replaces the one of the same run and server.
 void addCrash(CrashRecords &Records, CrashRecord Record);
 
-/// Whether the task's next run is to be isolated from others. One crash among
-/// many does not, nor does one server that may only have lost its lease.
+/// Returns whether the task's next run must be isolated from other runs. A
+/// single record does not require it if it is one of many simultaneous crashes,
+/// or if the server may only have lost its lease.
 bool needsIsolation(const CrashRecords &Records);
 
-/// How long a run of the task must be reported until others may start beside
-/// it, in ms.
+/// Returns how long a run of the task must be reported before others may start
+/// beside it, in milliseconds.
 std::uint64_t getIsolationMs(const CrashRecords &Records);
 
-/// Whether the task crashes servers beyond doubt, or has had the starts that
-/// such a task is allowed.
+/// Returns whether the task's job must be failed: the task certainly crashes
+/// servers, or has used up the starts allowed to a suspect.
 bool shouldGiveUp(const CrashRecords &Records);
 
-/// Whether a server crashed under the task at the address.
+/// Returns whether a server at the address has crashed under the task.
 bool hasCrashedAt(const CrashRecords &Records, const std::string &Address);
 
-/// Whether the last of several crashes may prove to be none.
+/// Returns whether the most recent of several crashes is unconfirmed, so that
+/// the server may only be partitioned.
 bool isLastCrashUnconfirmed(const CrashRecords &Records);
 
-/// The servers that crashed, as logs name them: "i-1, i-2".
+/// Formats the crashed servers for logs: "i-1, i-2".
 std::string listServers(const CrashRecords &Records);
 
 } // namespace tulipweir::jobs
--- a/include/tulipweir/jobs/JobCall.h
+++ b/include/tulipweir/jobs/JobCall.h
@@ -1,7 +1,7 @@
-//===- JobCall.h - A client's call about a job ------------------*- C++ -*-===//
+//===- JobCall.h - Client calls about a job --------------------*- C++ -*-===//
 //
-// What an entry passes on to the leader, and its answer. Every kind of call may
-// be sent again: a job is known by its id.
+// The requests that an entry forwards to the leader, and the replies. All of
+// them are idempotent, as the id identifies the job.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,16 +14,16 @@
 
 enum class CallKind : std::uint8_t {
   Submit = 0,
-  Show = 1, ///< A job's state, or the queue's length without a job's id.
+  Show = 1, ///< State of a job, or the queue length if no id is given.
   Cancel = 2,
 };
 
-/// Addressed by the queue's host and prefix followed by the job's id.
+/// A client's request. Its path is the queue's prefix followed by the job's id.
 struct JobCall {
   CallKind Kind_ = CallKind::Show;
   std::string Host_;
   std::string Path_;
-  JobSpec Spec_; ///< For Submit; its id is taken from the path.
+  JobSpec Spec_; ///< Submit only; the id is taken from the path.
   bool operator==(const JobCall &) const = default;
 };
 
@@ -31,17 +31,17 @@
   Done = 0,
   NoQueue = 1,
   NoJob = 2,
-  Invalid = 3,         ///< Reason_ says why; it never runs.
-  Refused = 4,         ///< Not accepted and never runs; come back later.
-  NoConfiguration = 5, ///< None was ever accepted; nothing runs yet.
+  Invalid = 3,         ///< Reason_ explains why; the job never runs.
+  Refused = 4,         ///< Not accepted, never runs; retry later.
+  NoConfiguration = 5, ///< No configuration was accepted yet.
 };
 
 struct JobCallReply {
   CallOutcome Outcome_ = CallOutcome::Done;
-  JobState State_ = JobState::Queued; ///< For Show with an id.
+  JobState State_ = JobState::Queued; ///< Show with an id only.
   bool IsCount_ = false;              ///< Whether Pending_ answers the call.
   std::uint64_t Pending_ = 0;
-  std::uint64_t RetryAfterMs_ = 0; ///< With Refused.
+  std::uint64_t RetryAfterMs_ = 0; ///< Refused only.
   std::string Reason_;
   bool operator==(const JobCallReply &) const = default;
 };
@@ -51,7 +51,7 @@
 std::string encodeCallReply(const JobCallReply &Reply);
 Outcome<JobCallReply> decodeCallReply(std::string_view Bytes);
 
-/// What a control tells an entry, or another control, about its group.
+/// A control's view of its group, sent to entries and other controls.
 struct GroupView {
   std::string Leader_;               ///< Empty if unknown.
   std::vector<std::string> Members_; ///< Names of all members.
--- a/include/tulipweir/jobs/JobRegistry.h
+++ b/include/tulipweir/jobs/JobRegistry.h
@@ -1,9 +1,10 @@
-//===- JobRegistry.h - The replicated state of jobs -------------*- C++ -*-===//
+//===- JobRegistry.h - Replicated state of jobs ----------------*- C++ -*-===//
 //
-// Configuration, backend servers, jobs, and which run of which task is placed
-// where. Pure and deterministic: the same commands give the same state on all
-// replicas. Whatever a leader wants, it refuses here: a second placement of a
-// task, a start before its time, over capacity, over the attempts allowed.
+// Holds the configuration, backend servers and jobs, and where each run is
+// placed. Deterministic: the same commands produce the same state on all
+// replicas. Invariants are enforced here, whatever a leader proposes: a task
+// is not placed twice, does not start early, and does not exceed a server's
+// capacity or its own attempts.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,8 +33,8 @@
 /// Why a job failed.
 enum class FailureCause : std::uint8_t {
   Unknown = 0,
-  Attempts = 1, ///< A task failed as often as its queue allows.
-  Crashes = 2,  ///< A task crashed the servers that started it.
+  Attempts = 1, ///< A task used up its queue's attempts.
+  Crashes = 2,  ///< A task crashed the servers that ran it.
 };
 
 inline bool isEnded(JobState State) { return State >= JobState::Completed; }
@@ -49,23 +50,24 @@
 
 struct TaskRecord {
   TaskState State_ = TaskState::Waiting;
-  std::uint64_t LastRun_ = 0; ///< 0 before the first.
+  std::uint64_t LastRun_ = 0; ///< 0 if it was never placed.
   std::uint64_t FailedRuns_ = 0;
   std::uint64_t LastFailedRun_ = 0;   ///< 0 if none has failed.
-  std::string Checkpoint_;            ///< Where the next run resumes.
-  std::vector<Placement> Placements_; ///< More than one for copies only.
-  /// Given up with their servers, the newest few; their ends may yet be heard.
+  std::string Checkpoint_;            ///< From which the next run resumes.
+  std::vector<Placement> Placements_; ///< More than one only with a copy.
+  /// The latest placements that ended with the removal of their servers. The
+  /// ends of these runs may still be reported.
   std::vector<Placement> LostPlacements_;
-  CrashRecords Crashes_; ///< Of servers that ran it.
-  /// The last run that did not crash its server while it was isolated.
+  CrashRecords Crashes_; ///< Crashes of servers that ran it.
+  /// The last run that outlasted its isolation without crashing its server.
   std::uint64_t LastSurvivingRun_ = 0;
   bool operator==(const TaskRecord &) const = default;
 };
 
 struct StepRecord {
   std::vector<TaskRecord> Tasks_;
-  std::uint64_t Waiting_ = 0; ///< Tasks in that state.
-  std::uint64_t Done_ = 0;    ///< Tasks in that state.
+  std::uint64_t Waiting_ = 0; ///< Number of tasks in that state.
+  std::uint64_t Done_ = 0;    ///< Number of tasks in that state.
   bool operator==(const StepRecord &) const = default;
 };
 
@@ -77,39 +79,41 @@
 
 struct JobRecord {
   JobSpec Spec_;
-  QueuePolicy Policy_; ///< Of its queue, as last in force.
+  QueuePolicy Policy_; ///< Latest known policy of its queue.
   JobState State_ = JobState::Queued;
   std::uint64_t Sequence_ = 0; ///< Order of acceptance.
   std::uint64_t AcceptedMs_ = 0;
   std::uint64_t OccurrencesDone_ = 0;
   std::uint64_t Placements_ = 0;                  ///< Runs that have not ended.
-  std::vector<OccurrenceRecord> OpenOccurrences_; ///< Occurrences under way.
-  std::uint64_t OpenedCount_ = 0; ///< Occurrences opened so far.
+  std::vector<OccurrenceRecord> OpenOccurrences_; ///< Occurrences in progress.
+  std::uint64_t OpenedCount_ = 0; ///< Number of occurrences opened so far.
   FailureCause Cause_ = FailureCause::Unknown;
-  std::string Reason_; ///< Why it failed, with the task; else empty.
+  std::string Reason_; ///< Names the task that failed the job; else empty.
   bool operator==(const JobRecord &) const = default;
 
   const OccurrenceRecord *findOccurrence(std::uint64_t Number) const;
   OccurrenceRecord *findOccurrence(std::uint64_t Number);
-  /// The job's own task of that key; nullptr where there is none.
+  /// Returns this job's task with that key, or nullptr. The key's job is
+  /// ignored.
   const TaskRecord *findTask(const TaskKey &Task) const;
-  /// When the job is due, by its queue's objective; wall time.
+  /// Returns when the job is due by its queue's objective, as wall time.
   std::uint64_t getDueMs() const;
 };
 
 struct ServerRecord {
   ServerFacts Facts_;
-  std::map<TaskKey, std::uint64_t> Placed_; ///< The run of each.
-  /// The incarnation before it at its address crashed, unexplained.
+  std::map<TaskKey, std::uint64_t> Placed_; ///< Run number by task.
+  /// The previous incarnation at the address crashed, and no task is known to
+  /// be the cause.
   bool IsAfterCrash_ = false;
 
-  // Sums over what is placed, kept so that a leader need not go over it for
-  // each of a thousand reports a second. Processors in thousandths.
+  // Totals over the placed tasks, maintained incrementally because a leader
+  // handles a thousand reports a second. CPUs in thousandths.
   Resources Used_;
-  std::int64_t ServingCpus_ = 0; ///< Needed by tasks that serve.
-  std::int64_t OtherCpus_ = 0;   ///< Needed by all others.
-  std::map<std::string, std::uint64_t> Serving_;    ///< Tasks by image.
-  std::map<std::string, std::int64_t> FillingCpus_; ///< Needed, by image.
+  std::int64_t ServingCpus_ = 0; ///< Requested by serving tasks.
+  std::int64_t OtherCpus_ = 0;   ///< Requested by all other tasks.
+  std::map<std::string, std::uint64_t> Serving_;    ///< Serving tasks by image.
+  std::map<std::string, std::int64_t> FillingCpus_; ///< Requested, by image.
 
   void add(const TaskKey &Task, std::uint64_t Run, const StepSpec &Step);
   void remove(const TaskKey &Task, const StepSpec &Step);
@@ -117,22 +121,24 @@
     const auto It = Placed_.find(Task);
     return It != Placed_.end() && It->second == Run;
   }
-  /// The tasks placed here of the step and occurrence that the task is of.
+  /// Returns how many tasks of the same job, occurrence and step are placed
+  /// here.
   std::uint64_t countTasksOfStep(const TaskKey &Task) const;
 };
 
-/// A step with waiting tasks whose turn has come. Ordered as they are served.
+/// A step with waiting tasks whose dependencies are done. Ordered by scheduling
+/// priority.
 struct ReadyStep {
   std::uint64_t Priority_ = 0;
   std::uint64_t DueMs_ = 0;
-  std::uint64_t Sequence_ = 0; ///< Of the job.
+  std::uint64_t Sequence_ = 0; ///< Sequence number of the job.
   std::uint64_t Occurrence_ = 0;
   std::uint64_t Step_ = 0;
   std::string Job_;
   auto operator<=>(const ReadyStep &) const = default;
 };
 
-/// Not thread-safe.
+/// Replicated state machine of jobs, servers and placements. Not thread-safe.
 class JobRegistry {
 public:
   // Commands.
@@ -144,7 +150,7 @@
   const Configuration &configuration() const { return Configuration_; }
   const JobRecord *findJob(const std::string &Id) const;
   const TaskRecord *findTask(const TaskKey &Task) const;
-  /// The step that the task belongs to; nullptr where the job or it is unknown.
+  /// Returns the task's step, or nullptr if the job or the step is unknown.
   const StepSpec *findStep(const TaskKey &Task) const;
   const std::unordered_map<std::string, JobRecord> &jobs() const {
     return Jobs_;
@@ -153,32 +159,34 @@
     return Servers_;
   }
   const ServerRecord *findServer(const std::string &Id) const;
-  /// The id of the server at the address; empty if there is none.
+  /// Returns the id of the server at the address, or an empty string.
   std::string findServerAt(const std::string &Address) const;
-  /// Whether the incarnation is over: it left, or another one has its address.
+  /// Returns whether the incarnation has ended: it left, or another one has
+  /// registered at its address.
   bool isOver(const std::string &ServerId) const {
     return Incarnations_.isOver(ServerId);
   }
   const WaveBook &waves() const { return Waves_; }
-  /// The data centres in which nothing may start.
+  /// Returns the data centres in which no task may start.
   const std::set<std::string> &evacuated() const { return Evacuated_; }
   bool isEvacuated(const ServerFacts &Server) const {
     return Evacuated_.count(Server.DataCentre_) != 0;
   }
   const std::set<ReadyStep> &readySteps() const { return Ready_; }
-  /// Rises whenever a step joins these.
+  /// Increases whenever a step is added to readySteps().
   std::uint64_t getReadyVersion() const { return ReadyVersion_; }
-  /// Jobs that wait for a time, and the occurrence that comes next.
+  /// Returns the ids of the jobs whose next occurrence is not open yet.
   const std::set<std::string> &timedJobs() const { return Timed_; }
-  /// Accepted jobs of the queue for which no task has started.
+  /// Returns the number of accepted jobs of the queue that have not started a
+  /// task.
   std::uint64_t countPending(const std::string &QueueKey) const;
-  /// Tasks of open jobs that are not done and under which servers crashed, with
-  /// these servers.
+  /// Returns the unfinished tasks of open jobs under which servers crashed,
+  /// with the ids of these servers.
   const std::map<TaskKey, std::vector<std::string>> &crashSuspects() const {
     return Suspects_;
   }
-  /// Why the start would be refused; empty if it would be taken. Costs some map
-  /// look-ups.
+  /// Returns why the start would be refused; empty if it would be accepted.
+  /// Costs a few map lookups.
   std::string findRejectionReason(const TaskStart &Start) const;
 
   std::string encode() const;
@@ -226,12 +234,13 @@
                    const std::map<TaskKey, std::uint64_t> &Placed);
   void addCrashTo(const TaskKey &Task, const CrashRecord &Record);
   void markCrashesExplained(const TaskRecord &Task);
-  void failJobIfGuilty(const TaskKey &Task);
+  void failJobForCrashes(const TaskKey &Task);
   void confirmCrashesOf(const std::string &Server);
   void dropCrashesOf(const std::string &Server);
-  /// The suspects that have a record of the server.
+  /// Returns the suspected tasks that have a crash record of the server.
   std::vector<TaskKey> listSuspectsOf(const std::string &Server) const;
-  /// Called whenever a task's records, or what makes them count, changed.
+  /// Updates the suspect indexes; called whenever a task's crash records
+  /// change, or whether they count.
   void updateSuspect(const TaskKey &Task);
   void updateSuspectsOf(const JobRecord &Job);
   void requeueIfUnplaced(StepRecord &Step, TaskRecord &Task);
@@ -241,23 +250,23 @@
                       const TaskStart &Member) const;
 
   Configuration Configuration_;
-  /// Looked up for each task of each report.
+  /// Unordered, as it is looked up for each task of each report.
   std::unordered_map<std::string, JobRecord> Jobs_;
   std::map<std::string, ServerRecord> Servers_;
   ServerIncarnations Incarnations_;
   WaveBook Waves_;
-  std::set<std::string> Evacuated_; ///< Data centres.
+  std::set<std::string> Evacuated_; ///< Data centre names.
   std::uint64_t NextSequence_ = 1;
 
-  // Derived from the above.
-  std::unordered_map<std::string, std::string> IdByAddress_; ///< Of servers.
+  // Indexes, derived from the state above.
+  std::unordered_map<std::string, std::string> IdByAddress_; ///< Server ids.
   std::set<ReadyStep> Ready_;
   std::uint64_t ReadyVersion_ = 0;
   std::set<std::string> Timed_;
-  std::map<std::string, std::uint64_t> Pending_; ///< By queue.
+  std::map<std::string, std::uint64_t> Pending_; ///< Job count by queue key.
   std::map<TaskKey, std::vector<std::string>> Suspects_;
   std::set<std::pair<std::string, TaskKey>> SuspectsByServer_;
-  std::vector<std::string> NewlyFailedJobs_; ///< By the command being applied.
+  std::vector<std::string> NewlyFailedJobs_; ///< By the current command.
 };
 
 } // namespace tulipweir::jobs
--- a/include/tulipweir/jobs/JobStateMachine.h
+++ b/include/tulipweir/jobs/JobStateMachine.h
@@ -1,6 +1,7 @@
-//===- JobStateMachine.h - The jobs' state over a replicated log *- C++ -*-===//
+//===- JobStateMachine.h - Job registry on a replicated log ----*- C++ -*-===//
 //
-// A JobRegistry behind a lock, driven by a replica.
+// Applies the committed log entries of a replica to a JobRegistry under a
+// lock.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +22,8 @@
   std::string takeSnapshot() const override;
   Outcome<void> restoreSnapshot(std::string_view Snapshot) override;
 
-  /// Calls Reader with the book, under the lock; it must not keep references.
+  /// Calls Reader with the registry while holding the lock. Reader must not
+  /// keep references to it.
   template <class Function> auto read(Function Reader) const {
     const std::lock_guard Hold(Lock_);
     return Reader(Registry_);
--- a/src/jobs/Commands.cpp
+++ b/src/jobs/Commands.cpp
@@ -6,7 +6,7 @@
 using namespace tulipweir::jobs;
 
 namespace {
-/// A result as it travels: the flags as 0 and 1.
+/// The encoded form of a result, with flags as 0 and 1.
 struct PackedResult {
   CommandStatus Status_ = CommandStatus::Done;
   std::vector<std::uint64_t> Accepted_;
--- a/src/jobs/CrashHistory.cpp
+++ b/src/jobs/CrashHistory.cpp
@@ -7,14 +7,15 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-/// Crashes that are remembered.
+/// Number of crashes that are kept.
 static constexpr std::size_t MaxCrashes = 1024;
-/// Servers that crash together are last heard within one report interval.
+/// Servers that crash together are last heard from within one report interval
+/// of each other.
 static constexpr Duration CorrelationWindow = 750ms;
-/// A server that reports is heard more often.
+/// A live server reports more often than this.
 static constexpr Duration SilenceThreshold = 1500ms;
-/// Servers that go at one moment are many from this number on, and from this
-/// part of all servers on, in percent.
+/// Simultaneous crashes are correlated from this number on, and from this
+/// percentage of all servers on.
 static constexpr std::size_t MinCorrelated = 3;
 static constexpr std::size_t MinCorrelatedPercent = 6;
 static constexpr std::size_t Percent = 100;
--- a/src/jobs/CrashHistory.h
+++ b/src/jobs/CrashHistory.h
@@ -1,7 +1,7 @@
-//===- CrashHistory.h - When servers crashed lately -------------*- C++ -*-===//
+//===- CrashHistory.h - Recent server crashes ------------------*- C++ -*-===//
 //
-// Tells servers that crash by themselves from those that go with many others at
-// one moment. Kept by the leader only. Deterministic: no clock, no I/O.
+// Distinguishes servers that crash on their own from correlated crashes of
+// many servers. Kept only by the leader. Deterministic: no clock, no I/O.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,17 +23,17 @@
   // Commands.
 
   void reset() { LastHeardTimes_.clear(); }
-  /// A server that crashed was last heard then.
+  /// Adds a crashed server, by the time it was last heard from.
   void recordCrash(TimePoint LastHeard);
 
   // Queries.
 
-  /// Whether the server fell silent together with many others.
+  /// Returns whether the server fell silent at the same time as many others.
   bool isCorrelated(const ServerBoard &Board, const std::string &Server,
                     TimePoint Now) const;
 
 private:
-  std::deque<TimePoint> LastHeardTimes_; ///< Of servers that crashed.
+  std::deque<TimePoint> LastHeardTimes_; ///< Per crashed server, oldest first.
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/CrashRecord.cpp
+++ b/src/jobs/CrashRecord.cpp
@@ -6,17 +6,19 @@
 using namespace tulipweir;
 using namespace tulipweir::jobs;
 
-/// Crashes after which a task may be started only a few times more.
+/// Number of crashes from which on a task gets only a few more runs.
 static constexpr std::size_t MinCrashes = 3;
-/// Runs that may crash their servers after that.
+/// Crashing runs that are allowed after that if the crashes came at similar run
+/// ages.
 static constexpr std::size_t MaxRegularRuns = 2;
-/// The same where the crashes came at differing times after the starts.
+/// Crashing runs that are allowed after that if the crashes came at different
+/// run ages.
 static constexpr std::size_t MaxIrregularRuns = 6;
-/// A report interval, and a little more.
+/// Slightly more than one report interval.
 static constexpr std::uint64_t MaxRegularSpreadMs = 600;
-/// Runs whose crash is conclusive that it takes before that.
+/// Runs with a conclusive crash that suffice to give up without further runs.
 static constexpr std::size_t MinConclusiveRuns = 2;
-/// Records kept of a task; a gang adds several with each run.
+/// Records kept per task; a gang adds several with each run.
 static constexpr std::size_t MaxRecords = 16;
 
 void jobs::addCrash(CrashRecords &Records, CrashRecord Record) {
@@ -37,7 +39,8 @@
 }
 
 std::uint64_t jobs::getIsolationMs(const CrashRecords &Records) {
-  // The first crash says little of when the task crashes a server.
+  // The age of the first crashed run says little about when the task crashes a
+  // server.
   std::uint64_t Longest = 0;
   if (Records.size() > 1)
     for (const CrashRecord &Crash : Records)
@@ -45,8 +48,8 @@
   return std::clamp(2 * Longest, SettledAgeMs, HarmlessAgeMs);
 }
 
-/// Whether the runs took much the same time to their crashes. A culprit does;
-/// what is sound is lost at any time.
+/// Returns whether the runs crashed at similar ages. A task that crashes
+/// servers does so at a regular age, while healthy runs are lost at any age.
 static bool isRegular(const CrashRecords &Records) {
   const auto [Shortest, Longest] = std::minmax_element(
       Records.begin(), Records.end(),
@@ -80,7 +83,7 @@
   std::erase_if(AfterThreshold, [&Confident](const CrashRecord &Crash) {
     return Crash.Run_ <= Confident[MinCrashes - 1].Run_;
   });
-  // Whatever ran beside the first run may have caused that crash.
+  // The crash under the first run may have been caused by any run beside it.
   std::erase_if(Confident,
                 [First = Confident.front().Run_](const CrashRecord &Crash) {
                   return Crash.Run_ == First;
--- a/src/jobs/JobPacking.h
+++ b/src/jobs/JobPacking.h
@@ -1,7 +1,7 @@
-//===- JobPacking.h - The fields of the jobs' types -------------*- C++ -*-===//
+//===- JobPacking.h - Serialized fields of job types -----------*- C++ -*-===//
 //
-// In their order in the log and on the wire, over core/Packing.h. Included by
-// .cpp files only.
+// Lists the fields in their order in the log and on the wire, for
+// core/Packing.h. Include it in .cpp files only.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/jobs/JobRecords.cpp
+++ b/src/jobs/JobRecords.cpp
@@ -1,4 +1,4 @@
-// The records of the book that know something of themselves.
+// Member functions of the records in JobRegistry.
 #include "tulipweir/jobs/JobRegistry.h"
 
 #include <utility>
--- a/src/jobs/JobRegistry.cpp
+++ b/src/jobs/JobRegistry.cpp
@@ -56,7 +56,7 @@
   for (auto &[Id, Job] : Jobs_) {
     const QueuePolicy *Policy =
         Configuration_.findQueueByKey(Job.Policy_.getKey());
-    // A queue that was dropped: its jobs go on as they were accepted.
+    // Jobs of a removed queue keep its last policy.
     if (!Policy || *Policy == Job.Policy_)
       continue;
     removeReadySteps(Job);
@@ -116,7 +116,7 @@
 
 CommandResult JobRegistry::apply(const StartTasks &Cmd) {
   CommandResult Result;
-  // Gangs are judged before any of their members is placed.
+  // A gang is checked as a whole before any of its members is placed.
   std::map<std::pair<TaskKey, std::uint64_t>, bool> Gangs;
   for (const TaskStart &Start : Cmd.Starts_) {
     bool Accepted = findRejectionReason(Start).empty();
@@ -174,47 +174,47 @@
 std::string JobRegistry::findRejectionReason(const TaskStart &Start) const {
   const JobRecord *Job = findJob(Start.Task_.Job_);
   if (!Job || isEnded(Job->State_))
-    return "the job is not open";
+    return "the job does not exist or has ended";
   const OccurrenceRecord *Occurrence =
       Job->findOccurrence(Start.Task_.Occurrence_);
   const TaskRecord *Task = findTask(Start.Task_);
   if (!Task)
     return "no such task";
   if (!isReady(*Job, *Occurrence, Start.Task_.Step_))
-    return "a step before it has not ended";
+    return "a step it depends on is not done";
   const StepSpec &Step = Job->Spec_.Steps_[Start.Task_.Step_];
   if (Start.Run_ <= Task->LastRun_)
-    return "the run's number is not above the last one's";
+    return "the run number is not higher than the task's last run";
   const bool MayCopy =
       Step.Speculative_ && !Step.Gang_ && Task->State_ == TaskState::Placed &&
       Task->Placements_.size() == 1 && Task->Crashes_.empty() &&
       Task->Placements_[0].Server_ != Start.Server_;
   if (Task->State_ != TaskState::Waiting && !MayCopy)
-    return "the task is placed or done";
+    return "the task is already placed or done";
   if (!Task->Placements_.empty() && !MayCopy)
-    return "an earlier run has not ended";
+    return "an earlier run of the task has not ended";
   if (!Step.LongRunning_ && Task->FailedRuns_ >= Job->Policy_.Attempts_)
-    return "all attempts have failed";
+    return "the task has used up its attempts";
   const ServerRecord *Server = findServer(Start.Server_);
   if (!Server)
     return "no such server";
   if (isEvacuated(Server->Facts_))
     return "the server's data centre is being evacuated";
   if (Server->Facts_.Service_ != Job->Policy_.Service_)
-    return "the queue does not lead to this server's service";
+    return "the server belongs to another service than the queue";
   if (!(Server->Used_ + Step.getReserved()).fitsIn(Server->Facts_.Capacity_))
-    return "it does not fit";
+    return "the task exceeds the server's free capacity";
   if (!Server->Facts_.hasLabel(Step.Label_))
     return "the server lacks the label";
   if (Step.SpreadLimit_ == 0)
     return "";
   return Server->countTasksOfStep(Start.Task_) < Step.SpreadLimit_
              ? ""
-             : "the step's spread limit";
+             : "the step's spread limit is reached on the server";
 }
 
-/// Whether all members of the start's gang are in the same command with the
-/// same run, and fit together where they are to run.
+/// Returns whether the command starts all members of the gang with the same
+/// run, and they fit together on their servers.
 bool JobRegistry::isCompleteGang(const std::vector<TaskStart> &Starts,
                                  const TaskStart &Member) const {
   const JobRecord *Job = findJob(Member.Task_.Job_);
@@ -304,7 +304,7 @@
       requeueIfUnplaced(Step, *Task);
   }
   if (isEnded(Job.State_)) {
-    // Kept for its state only, once nothing of it runs.
+    // An ended job without runs is kept only for queries of its state.
     if (Job.Placements_ == 0) {
       Job.OpenOccurrences_.clear();
       Job.Spec_.Payload_.clear();
@@ -314,7 +314,7 @@
   updateReadyStep(Job, Occurrence, End.Task_.Step_);
 }
 
-/// A gang's failed run counts once, and against all its members.
+/// Counts a gang's failed run once, against all its members.
 void JobRegistry::countFailure(const StepSpec &Spec, StepRecord &Step,
                                TaskRecord &Task, std::uint64_t Run) {
   const auto CountFailure = [Run](TaskRecord &Record) {
@@ -329,8 +329,9 @@
     CountFailure(Record);
 }
 
-/// An end of a run whose placement is gone, as its server was removed. That it
-/// is done stays true; any other end was taken for a lapse already.
+/// Applies the end of a run whose placement is gone because its server was
+/// removed. A completion still counts; any other end was already treated as an
+/// expired lease.
 void JobRegistry::applyLateEnd(const std::string &Server, TaskRecord &Task,
                                const TaskEnd &End) {
   JobRecord &Job = Jobs_.at(End.Task_.Job_);
@@ -360,7 +361,7 @@
     Other.State_ = TaskState::Done;
     ++Record.Done_;
   };
-  // The members of a gang end together: one such end stands for all.
+  // The members of a gang end together, so one completion completes them all.
   if (Job.Spec_.Steps_[Step].Gang_)
     for (TaskRecord &Other : Record.Tasks_)
       SetDone(Other);
--- a/src/jobs/JobRegistryCrashes.cpp
+++ b/src/jobs/JobRegistryCrashes.cpp
@@ -1,4 +1,4 @@
-// What the book concludes from servers that crashed.
+// Crash attribution of JobRegistry.
 #include "tulipweir/jobs/JobRegistry.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
   return It != Crash.ReportedRuns_.end() && It->Task_ == Task ? It->AgeMs_ : 0;
 }
 
-/// Whether one run of a task, or of a gang, is behind both.
+/// Returns whether both suspects belong to the same run of a task or gang.
 static bool isSameRun(const JobRegistry &Registry, const CrashSuspect &First,
                       const CrashSuspect &Second) {
   TaskKey Sibling = First.Task_;
@@ -27,7 +27,8 @@
           First.Run_ == Second.Run_);
 }
 
-/// Whether a server crashed at the address before, under the task.
+/// Returns whether an earlier incarnation at the server's address crashed under
+/// the task.
 static bool hasCrashedBefore(const CrashRecords &Records,
                              const ServerFacts &Server) {
   return std::any_of(
@@ -40,8 +41,8 @@
   return Suspect.AgeMs_ >= SettledAgeMs;
 }
 
-/// The runs that may have crashed the server. Those that have run for long are
-/// cleared.
+/// Returns the runs that may have crashed the server. Clears the crash records
+/// of tasks whose runs had lasted long enough to be harmless.
 std::vector<CrashSuspect>
 JobRegistry::collectSuspects(const CrashEvidence &Crash,
                              const std::map<TaskKey, std::uint64_t> &Placed) {
@@ -56,7 +57,8 @@
       updateSuspect(Task);
       continue;
     }
-    // A new leader has not seen for how long the run was there.
+    // A new leader does not know how long the run had been reported, so an age
+    // of 0 does not incriminate a run that has outlasted its isolation.
     if (Suspect.AgeMs_ == 0 && Record->LastSurvivingRun_ == Run)
       continue;
     Suspect.IsIsolated_ = needsIsolation(Record->Crashes_) &&
@@ -66,25 +68,25 @@
   return Suspects;
 }
 
-/// A crash is put down to runs in isolation, as nothing began beside them; else
-/// to all runs that have not proved to be harmless.
+/// Attributes the crash to isolated runs, as no run started beside them;
+/// otherwise to all runs that have not been shown to be harmless.
 void JobRegistry::recordCrash(const ServerFacts &Server,
                               const CrashEvidence &Crash,
                               const std::map<TaskKey, std::uint64_t> &Placed) {
-  std::vector<CrashSuspect> Blamed = collectSuspects(Crash, Placed);
+  std::vector<CrashSuspect> Suspects = collectSuspects(Crash, Placed);
   const auto Others = std::stable_partition(
-      Blamed.begin(), Blamed.end(),
+      Suspects.begin(), Suspects.end(),
       [](const CrashSuspect &Suspect) { return Suspect.IsIsolated_; });
-  const bool AreOthersSettled = std::all_of(Others, Blamed.end(), isSettled);
-  const bool IsIsolated = Others != Blamed.begin() && AreOthersSettled;
+  const bool AreOthersSettled = std::all_of(Others, Suspects.end(), isSettled);
+  const bool IsIsolated = Others != Suspects.begin() && AreOthersSettled;
   if (IsIsolated)
-    Blamed.erase(Others, Blamed.end());
+    Suspects.erase(Others, Suspects.end());
   const bool IsOneRun = std::all_of(
-      Blamed.begin(), Blamed.end(), [&](const CrashSuspect &Suspect) {
-        return isSameRun(*this, Blamed.front(), Suspect);
+      Suspects.begin(), Suspects.end(), [&](const CrashSuspect &Suspect) {
+        return isSameRun(*this, Suspects.front(), Suspect);
       });
   const bool IsConclusive = IsOneRun && Crash.IsStable_ && !Crash.IsCorrelated_;
-  for (const CrashSuspect &Suspect : Blamed) {
+  for (const CrashSuspect &Suspect : Suspects) {
     const TaskRecord *Task = findTask(Suspect.Task_);
     if (!Task)
       continue;
@@ -94,7 +96,8 @@
     Record.Address_ = Server.Address_;
     Record.AgeMs_ = Suspect.AgeMs_;
     Record.IsCorrelated_ = Crash.IsCorrelated_;
-    // A second crash at one address may be the address's fault.
+    // A second crash at the same address may be caused by the machine at that
+    // address.
     Record.IsConclusive_ =
         IsConclusive && !hasCrashedBefore(Task->Crashes_, Server);
     Record.IsConfirmed_ = Crash.IsConfirmed_;
@@ -104,7 +107,8 @@
   }
 }
 
-/// A gang's crash counts against all its members, as its failures do.
+/// Adds the record to the task. A gang's crash counts against all its members,
+/// as its failures do.
 void JobRegistry::addCrashTo(const TaskKey &Task, const CrashRecord &Record) {
   const auto It = Jobs_.find(Task.Job_);
   if (It == Jobs_.end() || isEnded(It->second.State_))
@@ -122,10 +126,10 @@
   if (Step.Gang_)
     for (std::uint64_t Index = 0; Index < Step.Count_; ++Index)
       Add({Task.Job_, Task.Occurrence_, Task.Step_, Index});
-  failJobIfGuilty(Task);
+  failJobForCrashes(Task);
 }
 
-void JobRegistry::failJobIfGuilty(const TaskKey &Task) {
+void JobRegistry::failJobForCrashes(const TaskKey &Task) {
   const TaskRecord *Record = findTask(Task);
   JobRecord &Job = Jobs_.at(Task.Job_);
   if (!Record || isEnded(Job.State_) || !shouldGiveUp(Record->Crashes_))
@@ -135,7 +139,8 @@
   failJob(Job, Task, FailureCause::Crashes, "crashed the servers " + Servers);
 }
 
-/// The task's servers crashed for a reason that is over now, and are stable.
+/// Marks the crashes under the task as explained by it, so that its servers
+/// count as stable again.
 void JobRegistry::markCrashesExplained(const TaskRecord &Task) {
   for (const CrashRecord &Crash : Task.Crashes_) {
     Incarnations_.explainCrash(Crash.Address_, Crash.Server_);
@@ -145,17 +150,18 @@
   }
 }
 
-/// Another incarnation of the server has registered at its address.
+/// Marks the server's crash as confirmed, as another incarnation has registered
+/// at its address.
 void JobRegistry::confirmCrashesOf(const std::string &Server) {
   for (const TaskKey &Task : listSuspectsOf(Server)) {
     TaskRecord *Record = findMutableTask(Task);
-    // An earlier one of these may have ended the job.
+    // The task is gone if an earlier iteration failed its job.
     if (!Record)
       continue;
     for (CrashRecord &Crash : Record->Crashes_)
       if (Crash.Server_ == Server)
         Crash.IsConfirmed_ = true;
-    failJobIfGuilty(Task);
+    failJobForCrashes(Task);
   }
 }
 
--- a/src/jobs/JobRegistryServers.cpp
+++ b/src/jobs/JobRegistryServers.cpp
@@ -1,4 +1,4 @@
-// Servers that come and go.
+// Registration and removal of servers in JobRegistry.
 #include "tulipweir/jobs/JobRegistry.h"
 
 #include <utility>
@@ -19,7 +19,7 @@
   It->second.Facts_ = Facts;
   It->second.IsAfterCrash_ = Incarnations_.isAfterCrash(Facts.Address_);
   IdByAddress_[Facts.Address_] = Facts.Id_;
-  // A server that is heard again has not crashed.
+  // A server that registers again under the same id has not crashed.
   if (IsNew)
     dropCrashesOf(Facts.Id_);
   if (!Previous.empty())
@@ -27,7 +27,7 @@
   return {IsNew ? CommandStatus::Done : CommandStatus::AlreadyDone, {}};
 }
 
-/// More lost runs than that of one task are not told from strangers.
+/// Lost placements kept per task; late ends of older runs are not recognized.
 static constexpr std::size_t MaxLostPlacements = 4;
 
 static void addLostPlacement(TaskRecord &Task, Placement Lost) {
--- a/src/jobs/JobRegistrySnapshot.cpp
+++ b/src/jobs/JobRegistrySnapshot.cpp
@@ -1,4 +1,4 @@
-// The book as a snapshot, and back.
+// Snapshots of JobRegistry.
 #include "tulipweir/jobs/JobRegistry.h"
 
 #include "jobs/JobPacking.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// What a snapshot holds; everything else is derived.
+/// The contents of a snapshot; all other state is derived.
 struct RegistrySnapshot {
   Configuration Configuration_;
   std::vector<JobRecord> Jobs_;
@@ -34,7 +34,7 @@
   Snapshot.NextSequence_ = NextSequence_;
   for (const auto &[Id, Job] : Jobs_)
     Snapshot.Jobs_.push_back(Job);
-  // The same state gives the same bytes.
+  // Jobs are sorted so that equal states encode to equal bytes.
   std::sort(Snapshot.Jobs_.begin(), Snapshot.Jobs_.end(),
             [](const JobRecord &Left, const JobRecord &Right) {
               return Left.Sequence_ < Right.Sequence_;
--- a/src/jobs/JobStateMachine.cpp
+++ b/src/jobs/JobStateMachine.cpp
@@ -5,7 +5,7 @@
 
 std::string JobStateMachine::apply(const replication::CommittedEntry &Entry) {
   const Outcome<Command> Decoded = decodeCommand(Entry.Command_);
-  // Only a newer version of this program could have written it.
+  // Only a newer version of this program can have written such an entry.
   if (!Decoded)
     return encodeResult({CommandStatus::Refused, {}});
   const std::lock_guard Hold(Lock_);
--- a/src/jobs/JobValueEstimator.cpp
+++ b/src/jobs/JobValueEstimator.cpp
@@ -5,12 +5,13 @@
 using namespace tulipweir;
 using namespace tulipweir::jobs;
 
-/// Of what a job of average work is worth, the part that does not depend on its
-/// work (the users' rules of what counts).
+/// The fraction of an average job's value that does not depend on the job's
+/// work. Defined by the users' rules for valuing jobs.
 static constexpr double FixedFraction = 0.3;
-/// The mean follows the last so many jobs: half a minute of a busy queue.
+/// The mean follows this many recent jobs, which is half a minute of a busy
+/// queue.
 static constexpr double MaxMeanCount = 100;
-/// A job without declared work counts as that much, milliseconds.
+/// Work of a job that declares none, in milliseconds.
 static constexpr double MinWork = 1;
 
 static double getWork(const StepSpec &Step, std::uint64_t Tasks) {
--- a/src/jobs/JobValueEstimator.h
+++ b/src/jobs/JobValueEstimator.h
@@ -1,10 +1,12 @@
-//===- JobValueEstimator.h - What a job brings for the work that is left *- C++ -*-===//
+//===- JobValueEstimator.h - Value per remaining work ----------*- C++ -*-===//
 //
-// Where there is more to do than can be done in time, what is begun in the
-// order of due times mostly ends late. A job is worth something only once it is
-// complete, and a large one more than a small one, though not in proportion. So
-// of the jobs that can still be in time those go first that bring most for the
-// work they still need: which also finishes what has been begun. Pure.
+// If there is more work than can be finished in time, running jobs in the
+// order of their due times finishes most of them late. A job has value only
+// once it is complete, and a large job has more value than a small one, but
+// less than in proportion to its size. Of the jobs that can still be on time,
+// those with the highest value per unit of remaining work run first, which
+// also finishes jobs that have already started. Deterministic: no clock, no
+// I/O.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,13 +26,13 @@
   // Commands.
 
   void reset() { MeanWork_.clear(); }
-  /// Learns what the jobs of a queue need on average; called once for each job.
+  /// Adds the job to the mean work of its queue; call once per job.
   void addJob(const JobRecord &Job);
 
   // Queries.
 
-  /// Worth for each unit of the declared work that is left of the occurrence;
-  /// only comparisons between jobs mean something. Above zero.
+  /// Returns the value per unit of the occurrence's remaining declared work.
+  /// Above zero; meaningful only in comparison with other jobs.
   double getDensity(const JobRecord &Job,
                     const OccurrenceRecord &Occurrence) const;
 
@@ -39,7 +41,7 @@
     double Value_ = 0;
     double Count_ = 0;
   };
-  /// Declared work of a job by queue, milliseconds of processors.
+  /// Mean declared work of a job by queue, in CPU milliseconds.
   std::map<std::string, Mean> MeanWork_;
 };
 
--- a/tests/jobs/CapacityChangeTest.cpp
+++ b/tests/jobs/CapacityChangeTest.cpp
@@ -1,8 +1,9 @@
 //===- CapacityChangeTest.cpp - Servers whose capacity changes ------------===//
 //
-// Guards against starts that bring a server over the capacity of its newest
-// report: starts that were placed by an older one and not delivered, and starts
-// beside runs that are being stopped and that the book does not place there.
+// Guards against starts that exceed the capacity in a server's latest report.
+// This happens if starts were planned for an earlier report and not delivered,
+// or are added beside runs that are still stopping and are no longer placed on
+// the server.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,11 +30,11 @@
 TEST_F(CapacityChangeTest, StartsThatDoNotFitAnyMoreAreNotDelivered) {
   call(CallKind::Submit, "j", {makeStep(4, 1000)});
   ASSERT_EQ(report(makeReportOf("s1", 4000)).Starts_.size(), 4U);
-  // That answer never arrives.
+  // The server never receives that reply.
   const ServerOrders Orders = report(makeReportOf("s1", 2000));
   EXPECT_EQ(Orders.Starts_.size(), 2U);
   EXPECT_EQ(Orders.Stops_.size(), 2U);
-  // The other two certainly do not run there, and begin elsewhere.
+  // The other two certainly do not run on s1 and start elsewhere.
   ServerReport Next = makeReportOf("s1", 2000);
   for (const StartOrder &Start : Orders.Starts_)
     Next.Running_.push_back(makeRunning(Start));
@@ -46,7 +47,7 @@
   ServerReport Running = makeReportOf("s1", 4000);
   const ServerOrders Orders = report(Running);
   ASSERT_EQ(Orders.Starts_.size(), 4U);
-  // The server is given up while it is only slow, and comes back.
+  // The slow server is removed when its lease expires, and returns.
   Strand_.advance(Settings_.Lease_ * 11 / 10 + 100ms);
   call(CallKind::Submit, "other", {makeStep(8, 1000)});
   Running = makeReportOf("s1", 4000);
--- a/tests/jobs/CrashRecordTest.cpp
+++ b/tests/jobs/CrashRecordTest.cpp
@@ -1,4 +1,4 @@
-//===- CrashRecordTest.cpp - When a task is given up ----------------------===//
+//===- CrashRecordTest.cpp - When a crashing task is given up -------------===//
 
 #include "tulipweir/jobs/CrashRecord.h"
 
@@ -30,7 +30,7 @@
   CrashRecords Unconfirmed = makeCrashes(1);
   Unconfirmed[0].IsConfirmed_ = false;
   EXPECT_FALSE(needsIsolation(Unconfirmed))
-      << "leases are lost to slow leaders, too";
+      << "a slow leader may let leases expire, too";
   addCrash(Correlated, makeCrash(2));
   EXPECT_TRUE(needsIsolation(Correlated));
 }
@@ -79,7 +79,7 @@
   EXPECT_FALSE(shouldGiveUp(Records));
   for (std::uint64_t Run = 7; Run <= 9; ++Run)
     addCrash(Records, makeCrash(Run, false, Run * 900));
-  EXPECT_TRUE(shouldGiveUp(Records)) << "but not without end";
+  EXPECT_TRUE(shouldGiveUp(Records)) << "the number of runs is bounded";
 }
 
 TEST(CrashRecordTest, TheServersOfOneGangRunCountAsOneRun) {
@@ -89,7 +89,8 @@
     Crash.Server_ += std::to_string(Server);
     addCrash(Records, Crash);
   }
-  EXPECT_FALSE(shouldGiveUp(Records)) << "one event may take them all";
+  EXPECT_FALSE(shouldGiveUp(Records))
+      << "one event may crash all servers of a gang";
   addCrash(Records, makeCrash(2, true));
   EXPECT_TRUE(shouldGiveUp(Records));
 }
--- a/tests/jobs/CrashSimulator.cpp
+++ b/tests/jobs/CrashSimulator.cpp
@@ -44,7 +44,7 @@
   submitPendingJobs();
 }
 
-/// Clients ask again until they have an answer.
+/// Clients retry until they get an answer.
 void CrashSimulator::submitPendingJobs() {
   for (const auto &[Job, Steps] : std::map(PendingJobs_))
     Leader_.call({CallKind::Submit, Host, Prefix + Job, makeJob("", Steps)},
@@ -62,7 +62,7 @@
   Machine_.read([this](const JobRegistry &Registry) {
     for (const auto &[Id, Job] : Registry.jobs())
       if (Job.State_ == JobState::Failed && CrashingTasks_.count(Id) == 0)
-        Violations_.push_back(Id + ": sound, and shown as failed");
+        Violations_.push_back(Id + ": healthy, but its state is failed");
     return 0;
   });
 }
@@ -97,7 +97,7 @@
   }
 }
 
-/// Another leader has what is in the log, and nothing else.
+/// A new leader has the state of the log and nothing else.
 void CrashSimulator::changeLeader() {
   NextLeader_ = Time_.now() + Scenario_.LeaderInterval_;
   Group_.IsLeader_ = false;
@@ -131,7 +131,7 @@
 
 void CrashSimulator::crash(Server &Backend) {
   ++Crashes_;
-  for (const auto &[Task, Each] : Backend.Running_) {
+  for (const auto &[Task, Active] : Backend.Running_) {
     TaskHistory &History = Histories_[Task];
     ++History.Crashes_;
     HealthyRunsCrashed_ += isCrashingTask(Task) ? 0 : 1;
@@ -168,7 +168,7 @@
       Backend.CrashesAt_ <= Now ||
       std::any_of(
           Backend.Running_.begin(), Backend.Running_.end(),
-          [Now](const auto &Each) { return Each.second.CrashesAt_ <= Now; });
+          [Now](const auto &Entry) { return Entry.second.CrashesAt_ <= Now; });
   if (HasCrashed)
     return crash(Backend);
   const bool IsLeaseExpired = Backend.LeaseEnd_ <= Now;
@@ -188,7 +188,8 @@
   }
 }
 
-/// Tasks that last are at work at once; others get on by a percent each 50 ms.
+/// Long-running tasks are at full progress at once; others gain one percent
+/// every 50 ms.
 std::uint64_t CrashSimulator::getPercent(const Run &Active) const {
   static constexpr std::uint64_t Whole = 100;
   const bool IsLongRunning = Active.EndsAt_ == TimePoint::max() &&
--- a/tests/jobs/CrashSimulator.h
+++ b/tests/jobs/CrashSimulator.h
@@ -1,10 +1,10 @@
-//===- CrashSimulator.h - Servers that crash, and tasks that make them ----===//
+//===- CrashSimulator.h - Simulated servers that crash ---------*- C++ -*-===//
 //
-// A real leader and servers that keep to the platform's protocol, under one
-// manual clock. Some tasks crash every server that starts them; some servers
-// crash by themselves, alone, at one moment or again and again, or are cut off
-// and live on. The fleet judges what the leader may do to either. The same day
-// gives the same events.
+// Runs a real leader and simulated servers that follow the platform's protocol
+// under one manual clock. Some tasks crash every server that starts them. Some
+// servers crash on their own, alone, together or repeatedly, or are
+// partitioned and keep running. The simulator checks how the leader treats the
+// tasks. Equal scenarios give equal events.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,14 +23,17 @@
   std::size_t Servers_ = 24;
   /// From a crash to the first report of the next incarnation.
   Duration RestartDelay_ = std::chrono::seconds(3);
-  bool RestartsServers_ = true; ///< Else a crashed server never comes back.
-  /// From the start of a task that crashes its server to the crash.
+  bool RestartsServers_ = true; ///< Otherwise crashed servers stay down.
+  /// From the start of a crashing task to the crash of its server.
   Duration CrashDelay_ = std::chrono::milliseconds(10);
-  Duration LeaderInterval_{};       ///< Zero: one leader all the time.
-  Duration MassCrashInterval_{};    ///< Of a fifth of the servers; zero: none.
-  Duration PartitionInterval_{};    ///< Of one server; zero: none.
-  std::size_t UnstableServers_ = 0; ///< Servers that crash each few seconds.
-  Duration JobInterval_ = std::chrono::milliseconds(500); ///< Of sound jobs.
+  Duration LeaderInterval_{}; ///< Zero: the leader never changes.
+  /// Interval between crashes of a fifth of the servers; zero: none.
+  Duration MassCrashInterval_{};
+  Duration PartitionInterval_{};    ///< Partitions one server; zero: never.
+  std::size_t UnstableServers_ = 0; ///< Servers that crash every few seconds.
+  /// Time between submissions of healthy jobs.
+  Duration JobInterval_ = std::chrono::milliseconds(500);
+  /// How long healthy jobs are submitted.
   Duration HealthyJobsFor_ = std::chrono::seconds(40);
 };
 
@@ -38,29 +41,29 @@
 public:
   explicit CrashSimulator(const CrashScenario &Scenario);
 
-  /// Hands in a job whose tasks in Culprits, by step and index, crash each
+  /// Submits a job. The tasks in CrashingTasks, by step and index, crash each
   /// server that starts them.
   void submit(
       const std::string &Job, const std::vector<StepSpec> &Steps,
       const std::set<std::pair<std::uint64_t, std::uint64_t>> &CrashingTasks);
   void run(Duration Length);
-  /// Crashes the first servers of the fleet at one moment.
+  /// Crashes the first servers of the fleet at the same time.
   void crashFirst(std::size_t Count);
 
-  // What was seen.
+  // Results.
 
   JobState getState(const std::string &Job) const;
-  /// Sound jobs, finite ones, that are not completed.
+  /// Returns the healthy finite jobs that are not completed.
   std::vector<std::string> listUnfinished() const;
   std::size_t countCrashes(const std::string &Job) const;
-  /// From the crash of its server to the next run of a sound task that lasts,
-  /// the longest; open ones until now.
+  /// Returns the longest time from a crash under a healthy long-running task to
+  /// the task's next run. Outages in progress count up to now.
   Duration getLongestOutage() const;
 
-  std::vector<std::string> Violations_; ///< Promises, in words.
-  std::size_t RunsDone_ = 0;            ///< Runs of sound tasks.
-  std::size_t Crashes_ = 0;             ///< Of servers.
-  std::size_t HealthyRunsCrashed_ = 0;  ///< Runs of sound tasks lost in these.
+  std::vector<std::string> Violations_; ///< Descriptions of broken guarantees.
+  std::size_t RunsDone_ = 0;            ///< Completed runs of healthy tasks.
+  std::size_t Crashes_ = 0;             ///< Server crashes.
+  std::size_t HealthyRunsCrashed_ = 0;  ///< Healthy runs lost in crashes.
   KeptEvents Log_;
 
 private:
@@ -88,9 +91,9 @@
     std::vector<EndedTask> Ended_;
   };
   struct TaskHistory {
-    std::size_t Crashes_ = 0;               ///< Of servers that ran it.
-    std::size_t StartsAfterThirdCrash_ = 0; ///< Of these crashes.
-    std::optional<TimePoint> DownSince_;    ///< Of a task that lasts.
+    std::size_t Crashes_ = 0;               ///< Of servers that ran the task.
+    std::size_t StartsAfterThirdCrash_ = 0; ///< Starts after the third crash.
+    std::optional<TimePoint> DownSince_;    ///< Long-running tasks only.
   };
 
   void runStep();
@@ -123,12 +126,12 @@
                     Advisor_,  Provider_, Relays_, Log_,   Meter_};
   std::vector<Server> Servers_;
   std::map<TaskKey, TaskHistory> Histories_;
-  Duration LongestOutage_{}; ///< Of those that are over.
+  Duration LongestOutage_{}; ///< Of the outages that have ended.
   std::map<std::string, std::set<std::pair<std::uint64_t, std::uint64_t>>>
       CrashingTasks_; ///< By job.
-  std::map<std::string, std::vector<StepSpec>>
-      PendingJobs_;              ///< Not accepted yet.
-  std::set<std::string> Finite_; ///< Sound jobs that end by themselves.
+  /// Submitted jobs that are not yet accepted.
+  std::map<std::string, std::vector<StepSpec>> PendingJobs_;
+  std::set<std::string> Finite_; ///< Healthy jobs that end by themselves.
   std::size_t HealthyJobs_ = 0;
   std::uint64_t Incarnations_ = 0;
   TimePoint BeganAt_{};
--- a/tests/jobs/CrashingTaskTest.cpp
+++ b/tests/jobs/CrashingTaskTest.cpp
@@ -1,7 +1,7 @@
 //===- CrashingTaskTest.cpp - Tasks that crash the servers they run on ----===//
 //
-// Guards against tasks that crash each server that starts them being started
-// again without a bound, and against sound jobs given up in their place.
+// Guards against restarting a task without bound although it crashes every
+// server that starts it, and against failing healthy jobs in its place.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,7 @@
 
 static constexpr std::uint64_t Seeds = 6;
 
-/// No promise is broken, and no sound job is left over.
+/// Expects that no guarantee was broken and all healthy jobs are completed.
 static void expectNoViolations(const CrashSimulator &Simulator,
                                const std::string &Case = "") {
   EXPECT_THAT(Simulator.Violations_, IsEmpty()) << Case;
@@ -152,8 +152,8 @@
   }
 }
 
-// On a full fleet the only room is on servers that crashed and came back, where
-// isolated runs follow one another.
+// On a full fleet, the only free capacity is on servers that crashed and
+// restarted, where isolated runs start one after another.
 TEST(CrashingTaskTest, LongRunningTasksRestartSoonOnAFullFleet) {
   static constexpr Duration MaxRestartDelay = 6s;
   for (const std::size_t PerServer : {2U, 4U, 8U}) {
--- a/tests/jobs/JobEvacuationTest.cpp
+++ b/tests/jobs/JobEvacuationTest.cpp
@@ -238,7 +238,7 @@
   EXPECT_EQ(apply(EvacuateDataCentre{"dc1", true}).Status_,
             CommandStatus::AlreadyDone);
   submit(makeJob("j", {makeStep(1, 100)}));
-  EXPECT_EQ(rejectionReasonOf(makeStart("j", 0, "s1")),
+  EXPECT_EQ(getRejectionReason(makeStart("j", 0, "s1")),
             "the server's data centre is being evacuated");
   const auto Read = JobRegistry::decode(Registry_.encode());
   ASSERT_TRUE(Read);
--- a/tests/jobs/JobFixture.h
+++ b/tests/jobs/JobFixture.h
@@ -1,4 +1,4 @@
-//===- JobFixture.h - Jobs, servers and queues for tests ------------------===//
+//===- JobFixture.h - Jobs, servers and queues for tests -------*- C++ -*-===//
 
 #ifndef TULIPWEIR_TESTS_JOBS_JOBFIXTURE_H
 #define TULIPWEIR_TESTS_JOBS_JOBFIXTURE_H
@@ -37,7 +37,7 @@
   return Step;
 }
 
-/// Tasks that last and serve users of their own.
+/// Makes a step of long-running tasks that serve requests of their own users.
 inline StepSpec makeServing(std::uint64_t Count, const std::string &Image,
                             std::int64_t MilliCpus = 1000,
                             std::uint64_t TailTargetMs = 100) {
@@ -48,7 +48,7 @@
   return Step;
 }
 
-/// Tasks that use what others leave.
+/// Makes a step of tasks that run only on idle CPUs.
 inline StepSpec makeFilling(std::uint64_t Count, const std::string &Image,
                             std::int64_t MilliCpus = 1000) {
   StepSpec Step = makeStep(Count, MilliCpus);
@@ -94,7 +94,8 @@
   return {Start.Server_, {{Start.Task_, Start.Run_, How, Checkpoint}}};
 }
 
-/// A book with a configuration and two servers, s1 and s2, of four processors.
+/// A registry with a configuration and two servers, s1 and s2, of four CPUs
+/// each.
 class JobRegistryTest : public ::testing::Test {
 protected:
   JobRegistryTest() {
@@ -117,7 +118,7 @@
   JobState getJobState(const std::string &Id) const {
     return Registry_.findJob(Id)->State_;
   }
-  std::string rejectionReasonOf(const TaskStart &Start) const {
+  std::string getRejectionReason(const TaskStart &Start) const {
     return Registry_.findRejectionReason(Start);
   }
 
--- a/tests/jobs/JobRegistryCrashesTest.cpp
+++ b/tests/jobs/JobRegistryCrashesTest.cpp
@@ -1,4 +1,4 @@
-//===- JobRegistryCrashesTest.cpp - Whom the book suspects of a crash -----===//
+//===- JobRegistryCrashesTest.cpp - Crash attribution in JobRegistry ------===//
 
 #include "jobs/JobFixture.h"
 
@@ -16,10 +16,10 @@
 protected:
   JobRegistryCrashesTest() { submit(makeJob("j", {makeStep(3, 100)})); }
 
-  /// The server crashes; its runs were reported for so long.
+  /// Crashes the server, whose reports had listed its runs for the given times.
   CommandResult crash(const std::string &Server,
-                      std::vector<ReportedRun> Seen = {}) {
-    CrashEvidence Crash{true, true, false, true, std::move(Seen)};
+                      std::vector<ReportedRun> Runs = {}) {
+    CrashEvidence Crash{true, true, false, true, std::move(Runs)};
     return apply(RemoveServer{Server, {}, true, Crash});
   }
   void addServer(const std::string &Id, const std::string &Address) {
@@ -27,11 +27,11 @@
     Facts.Address_ = Address;
     apply(AddServer{Facts});
   }
-  const CrashRecords &crashesOf(std::uint64_t Index) const {
+  const CrashRecords &getCrashes(std::uint64_t Index) const {
     return Registry_.findTask({"j", 0, 0, Index})->Crashes_;
   }
   std::size_t countCrashes(std::uint64_t Index) const {
-    return crashesOf(Index).size();
+    return getCrashes(Index).size();
   }
 };
 
@@ -52,8 +52,8 @@
   start(makeStart("j", 2, "s2"));
   crash("s1", {{{"j", 0, 0, 1}, HarmlessAgeMs}});
   EXPECT_EQ(countCrashes(0), 1U);
-  EXPECT_EQ(countCrashes(1), 0U) << "it had run for long";
-  EXPECT_EQ(countCrashes(2), 0U) << "it was elsewhere";
+  EXPECT_EQ(countCrashes(1), 0U) << "it had run long enough to be harmless";
+  EXPECT_EQ(countCrashes(2), 0U) << "it ran on another server";
   EXPECT_THAT(Registry_.crashSuspects(),
               ElementsAre(testing::Key(TaskKey{"j", 0, 0, 0})));
 }
@@ -65,7 +65,7 @@
   start(makeStart("j", 0, "s2", 2));
   crash("s2", {{{"j", 0, 0, 1}, SettledAgeMs}});
   ASSERT_EQ(countCrashes(0), 2U);
-  EXPECT_TRUE(crashesOf(0)[1].IsConclusive_);
+  EXPECT_TRUE(getCrashes(0)[1].IsConclusive_);
   EXPECT_EQ(countCrashes(1), 0U);
 }
 
@@ -76,7 +76,7 @@
   start(makeStart("j", 1, "s2"));
   crash("s2");
   ASSERT_EQ(countCrashes(0), 2U);
-  EXPECT_FALSE(crashesOf(0)[1].IsConclusive_);
+  EXPECT_FALSE(getCrashes(0)[1].IsConclusive_);
 }
 
 TEST_F(JobRegistryCrashesTest, AGangsMembersOnOneServerAreOneRun) {
@@ -114,9 +114,9 @@
 TEST_F(JobRegistryCrashesTest, ANewIncarnationConfirmsACrash) {
   start(makeStart("j", 0, "s1"));
   apply(RemoveServer{"s1", {}, false, {true, false, false, true, {}}});
-  EXPECT_FALSE(crashesOf(0)[0].IsConfirmed_);
+  EXPECT_FALSE(getCrashes(0)[0].IsConfirmed_);
   addServer("s1-again", makeServer("s1").Address_);
-  EXPECT_TRUE(crashesOf(0)[0].IsConfirmed_);
+  EXPECT_TRUE(getCrashes(0)[0].IsConfirmed_);
   EXPECT_TRUE(Registry_.findServer("s1-again")->IsAfterCrash_);
 }
 
@@ -151,7 +151,8 @@
             "task 0.0.0 crashed the servers t1, t2, t3");
   EXPECT_THAT(Registry_.crashSuspects(), IsEmpty());
   addServer("t4", "t1:80");
-  EXPECT_FALSE(Registry_.findServer("t4")->IsAfterCrash_) << "it is explained";
+  EXPECT_FALSE(Registry_.findServer("t4")->IsAfterCrash_)
+      << "the crash is explained";
 }
 
 TEST_F(JobRegistryCrashesTest, SnapshotsHoldCrashRecords) {
@@ -161,7 +162,7 @@
   const Outcome<JobRegistry> Decoded = JobRegistry::decode(Registry_.encode());
   ASSERT_TRUE(Decoded);
   EXPECT_EQ(Decoded.value().crashSuspects(), Registry_.crashSuspects());
-  EXPECT_EQ(Decoded.value().findTask({"j", 0, 0, 0})->Crashes_, crashesOf(0));
+  EXPECT_EQ(Decoded.value().findTask({"j", 0, 0, 0})->Crashes_, getCrashes(0));
   EXPECT_TRUE(Decoded.value().findServer("s1-again")->IsAfterCrash_);
   EXPECT_EQ(Decoded.value().encode(), Registry_.encode());
 }
--- a/tests/jobs/JobRegistryDifferentialTest.cpp
+++ b/tests/jobs/JobRegistryDifferentialTest.cpp
@@ -1,4 +1,4 @@
-//===- JobRegistryDifferentialTest.cpp - Against a naive version ----------===//
+//===- JobRegistryDifferentialTest.cpp - Against a naive model ------------===//
 
 #include "jobs/JobFixture.h"
 #include "jobs/NaiveJobs.h"
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// Draws commands, sends each to both, and compares what can be seen.
+/// Applies random commands to both implementations and compares their visible
+/// state.
 class DifferentialTester {
 public:
   explicit DifferentialTester(std::uint64_t Seed) : Random_(Seed) {
@@ -56,7 +57,7 @@
       ASSERT_LE(Server.Used_.MilliCpus_, Server.Facts_.Capacity_.MilliCpus_);
     }
   }
-  /// A restart: the same state from a snapshot.
+  /// Restores the registry from its snapshot, as a restart does.
   void restart() {
     auto Decoded = JobRegistry::decode(Registry_.encode());
     ASSERT_TRUE(Decoded);
@@ -107,7 +108,7 @@
   }
   void addServer() {
     ServerFacts Facts = makeServer(drawServer(), 3000);
-    // A server stays where it is.
+    // A server never changes its data centre.
     Facts.DataCentre_ = "dc" + std::to_string(Facts.Id_.back() % 2);
     Registry_.apply(Command(AddServer{Facts}));
     Naive_.addServer(Facts);
@@ -131,7 +132,8 @@
   void end() {
     if (Naive_.runs().empty())
       return;
-    // Mostly a run that was started, sometimes long ago, now and then a lie.
+    // Mostly ends a started run, perhaps one from long ago; occasionally
+    // reports a wrong run or server.
     const NaiveJobs::Run &Run = Naive_.runs()[draw(Naive_.runs().size())];
     static constexpr RunOutcome Ends[] = {
         RunOutcome::Done,    RunOutcome::Done,         RunOutcome::Failed,
--- a/tests/jobs/JobRegistryTest.cpp
+++ b/tests/jobs/JobRegistryTest.cpp
@@ -42,7 +42,7 @@
   EXPECT_FALSE(start(makeStart("j", 0, "s2", 2)));
 }
 
-TEST_F(JobRegistryTest, ARunsNumberOnlyRises) {
+TEST_F(JobRegistryTest, ARunNumberOnlyIncreases) {
   submit(makeJob("j", {makeStep(1, 100)}));
   const TaskStart Start = makeStart("j", 0, "s1", 3);
   start(Start);
@@ -55,8 +55,9 @@
   submit(makeJob("j", {makeStep(3, 2000)}));
   EXPECT_TRUE(start(makeStart("j", 0, "s1")));
   EXPECT_TRUE(start(makeStart("j", 1, "s1")));
-  EXPECT_EQ(rejectionReasonOf(makeStart("j", 2, "s1")), "it does not fit");
-  // What is ordered to stop still counts until its end is noted.
+  EXPECT_EQ(getRejectionReason(makeStart("j", 2, "s1")),
+            "the task exceeds the server's free capacity");
+  // A run that is ordered to stop keeps its resources until its end is applied.
   apply(CancelJob{"j"});
   submit(makeJob("k", {makeStep(1, 2000)}));
   EXPECT_FALSE(start(makeStart("k", 0, "s1")));
@@ -71,7 +72,8 @@
   submit(makeJob("j", {Step}));
   for (std::uint64_t I = 0; I < 50; ++I)
     EXPECT_TRUE(start(makeStart("j", I, "s1")));
-  EXPECT_EQ(rejectionReasonOf(makeStart("j", 50, "s1")), "it does not fit");
+  EXPECT_EQ(getRejectionReason(makeStart("j", 50, "s1")),
+            "the task exceeds the server's free capacity");
 }
 
 TEST_F(JobRegistryTest, AStepWaitsForAllTasksOfItsDependencies) {
@@ -82,7 +84,7 @@
   start(makeStart("j", 0, "s1"));
   start(makeStart("j", 1, "s2"));
   end(makeStart("j", 0, "s1"), RunOutcome::Done);
-  EXPECT_EQ(rejectionReasonOf(After), "a step before it has not ended");
+  EXPECT_EQ(getRejectionReason(After), "a step it depends on is not done");
   EXPECT_EQ(Registry_.readySteps().size(), 0U);
   end(makeStart("j", 1, "s2"), RunOutcome::Done);
   EXPECT_EQ(Registry_.readySteps().size(), 1U);
@@ -134,7 +136,7 @@
   start(makeStart("j", 0, "s1"));
   end(makeStart("j", 0, "s1"), RunOutcome::Stopped, "at 7");
   EXPECT_EQ(Registry_.findTask({"j", 0, 0, 0})->Checkpoint_, "at 7");
-  // A later end without one keeps the older.
+  // A later end without a checkpoint keeps the earlier one.
   start(makeStart("j", 0, "s2", 2));
   end(makeStart("j", 0, "s2", 2), RunOutcome::LeaseExpired);
   EXPECT_EQ(Registry_.findTask({"j", 0, 0, 0})->Checkpoint_, "at 7");
@@ -158,27 +160,27 @@
   EXPECT_EQ(Lost.State_, TaskState::Waiting);
   EXPECT_EQ(Lost.Checkpoint_, "at 3");
   EXPECT_EQ(Registry_.findTask({"j", 0, 0, 1})->State_, TaskState::Placed);
-  EXPECT_EQ(rejectionReasonOf(makeStart("j", 0, "s1", 2)), "no such server");
+  EXPECT_EQ(getRejectionReason(makeStart("j", 0, "s1", 2)), "no such server");
 }
 
 TEST_F(JobRegistryTest, LabelServiceAndSpreadAreEnforced) {
   StepSpec Labelled = makeStep(1, 100);
   Labelled.Label_ = "gpu";
   submit(makeJob("j", {Labelled}));
-  EXPECT_EQ(rejectionReasonOf(makeStart("j", 0, "s1")),
+  EXPECT_EQ(getRejectionReason(makeStart("j", 0, "s1")),
             "the server lacks the label");
   ServerFacts Other = makeServer("s3");
   Other.Service_ = "pricing";
   Other.Labels_ = {"gpu"};
   apply(AddServer{Other});
-  EXPECT_EQ(rejectionReasonOf(makeStart("j", 0, "s3")),
-            "the queue does not lead to this server's service");
+  EXPECT_EQ(getRejectionReason(makeStart("j", 0, "s3")),
+            "the server belongs to another service than the queue");
   StepSpec Spread = makeStep(3, 100);
   Spread.SpreadLimit_ = 1;
   submit(makeJob("k", {Spread}));
   EXPECT_TRUE(start(makeStart("k", 0, "s1")));
-  EXPECT_EQ(rejectionReasonOf(makeStart("k", 1, "s1")),
-            "the step's spread limit");
+  EXPECT_EQ(getRejectionReason(makeStart("k", 1, "s1")),
+            "the step's spread limit is reached on the server");
   EXPECT_TRUE(start(makeStart("k", 1, "s2")));
 }
 
@@ -297,7 +299,7 @@
   Configuration Same = makeConfiguration(5);
   EXPECT_EQ(apply(PutConfiguration{Same}).Status_, CommandStatus::AlreadyDone);
   EXPECT_EQ(Registry_.configuration(), Higher);
-  // Waiting work is ordered by the new priority.
+  // Waiting steps are reordered by the new priority.
   ASSERT_EQ(Registry_.readySteps().size(), 1U);
   EXPECT_EQ(Registry_.readySteps().begin()->Priority_, 3U);
 }
@@ -358,8 +360,9 @@
   start(First);
   apply(RemoveServer{"s1", {}, false});
   end(First, RunOutcome::Done);
-  EXPECT_FALSE(start(makeStart("j", 0, "s2", 2))) << "the end was noted";
-  // Also beside a second run, which is then to be stopped.
+  EXPECT_FALSE(start(makeStart("j", 0, "s2", 2))) << "the end was applied";
+  // A late completion also counts while a second run, which must then be
+  // stopped, is in progress.
   const TaskStart Other = makeStart("j", 1, "s2");
   start(Other);
   apply(RemoveServer{"s2", {}, false});
@@ -390,14 +393,14 @@
   EXPECT_EQ(apply(AddServer{Again}).Status_, CommandStatus::Refused);
   apply(RemoveServer{"s1", {}, false});
   EXPECT_EQ(apply(AddServer{makeServer("s1")}).Status_, CommandStatus::Done)
-      << "it was silent and came back";
+      << "it returned after its lease expired";
   apply(RemoveServer{"s1", {}, false});
   EXPECT_EQ(apply(AddServer{Again}).Status_, CommandStatus::Done);
   EXPECT_EQ(apply(AddServer{makeServer("s1")}).Status_, CommandStatus::Refused)
-      << "another life has taken its address";
+      << "another incarnation holds its address";
   apply(RemoveServer{"s2", {}, true});
   EXPECT_EQ(apply(AddServer{makeServer("s2")}).Status_, CommandStatus::Refused)
-      << "it left";
+      << "it left for good";
   const Outcome<JobRegistry> Decoded = JobRegistry::decode(Registry_.encode());
   ASSERT_TRUE(Decoded);
   for (const char *Id : {"s1", "s2"})
--- a/tests/jobs/NaiveJobs.h
+++ b/tests/jobs/NaiveJobs.h
@@ -1,8 +1,8 @@
-//===- NaiveJobs.h - The jobs' rules, written down again ------------------===//
+//===- NaiveJobs.h - Naive model of JobRegistry ----------------*- C++ -*-===//
 //
-// The same commands over flat lists that are searched from end to end, with
-// nothing derived and nothing indexed. Written from docs/PLATFORM.md, to be
-// compared with JobRegistry.
+// Applies the same commands to flat lists that are searched linearly, with no
+// derived state and no indexes. Implements docs/PLATFORM.md independently of
+// JobRegistry, to be compared with it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,7 @@
     std::string Server_;
     bool IsOver_ = false;
     RunOutcome Outcome_ = RunOutcome::Done;
-    bool IsLost_ = false; ///< Given up with its server.
+    bool IsLost_ = false; ///< Ended by the removal of its server.
   };
   struct Job {
     JobSpec Spec_;
@@ -187,11 +187,11 @@
     const StepSpec &Step = Owner->Spec_.Steps_[Start.Task_.Step_];
     if (Start.Task_.Index_ >= Step.Count_ || isDone(Start.Task_))
       return false;
-    for (const std::uint64_t Before : Step.DependsOn_)
-      if (!isStepDone(*Owner, Start.Task_.Occurrence_, Before))
+    for (const std::uint64_t Dependency : Step.DependsOn_)
+      if (!isStepDone(*Owner, Start.Task_.Occurrence_, Dependency))
         return false;
     std::uint64_t Failures = 0;
-    std::uint64_t Beside = 0;
+    std::uint64_t RunsOfStep = 0;
     for (const Run &Existing : Runs_) {
       if (Existing.Task_ == Start.Task_) {
         if (Existing.Number_ >= Start.Run_ || !Existing.IsOver_)
@@ -202,12 +202,12 @@
           Existing.Task_.Job_ == Start.Task_.Job_ &&
           Existing.Task_.Occurrence_ == Start.Task_.Occurrence_ &&
           Existing.Task_.Step_ == Start.Task_.Step_;
-      Beside +=
+      RunsOfStep +=
           IsOfStep && !Existing.IsOver_ && Existing.Server_ == Start.Server_;
     }
     if (!Step.LongRunning_ && Failures >= Owner->Attempts_)
       return false;
-    if (Step.SpreadLimit_ > 0 && Beside >= Step.SpreadLimit_)
+    if (Step.SpreadLimit_ > 0 && RunsOfStep >= Step.SpreadLimit_)
       return false;
     for (const ServerFacts &Server : Servers_)
       if (Server.Id_ == Start.Server_)
