--- a/src/jobs/CrashHistory.h
+++ b/src/jobs/CrashHistory.h
@@ -1,7 +1,7 @@
-//===- CrashHistory.h - When servers crashed lately ------------*- C++ -*-===//
+//===- CrashHistory.h - Recent server crashes ------------------*- C++ -*-===//
 //
-// Tells servers that crash by themselves from those that go with many others at
-// one moment. Kept by the leader only. Deterministic: no clock, no I/O.
+// Distinguishes servers that crash on their own from correlated crashes of
+// many servers. Kept only by the leader. Deterministic: no clock, no I/O.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,18 +22,18 @@
 public:
   // Commands.
 
-  void reset() { LastHeard_.clear(); }
-  /// A server that crashed was last heard then.
-  void note(TimePoint LastHeard);
+  void reset() { LastHeardTimes_.clear(); }
+  /// Adds a crashed server, by the time it was last heard from.
+  void recordCrash(TimePoint LastHeard);
 
   // Queries.
 
-  /// Whether the server fell silent together with many others.
-  bool isAmongMany(const LiveServerTable &Board, const std::string &Server,
-                   TimePoint Now) const;
+  /// Returns whether the server fell silent at the same time as many others.
+  bool isCorrelated(const LiveServerTable &Board, const std::string &Server,
+                    TimePoint Now) const;
 
 private:
-  std::deque<TimePoint> LastHeard_; ///< Of servers that crashed.
+  std::deque<TimePoint> LastHeardTimes_; ///< Per crashed server, oldest first.
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/JobLeader.cpp
+++ b/src/jobs/JobLeader.cpp
@@ -69,7 +69,7 @@
   AcceptedAt_.clear();
   StartedJobs_.clear();
   LoggedWaitReasons_.clear();
-  Machine_.read([&](const JobBook &Book) {
+  Machine_.read([&](const JobRegistry &Book) {
     // The previous leader sent its last answer before this leader's election,
     // so the longest lease from now on covers it.
     LiveServers_.reset(Book, Now, getMaxLease());
@@ -150,7 +150,7 @@
   if (Now < NextLoadPrune_)
     return;
   NextLoadPrune_ = Now + PruneInterval;
-  Machine_.read([this](const JobBook &Book) {
+  Machine_.read([this](const JobRegistry &Book) {
     Loads_.prune(Book);
     return 0;
   });
@@ -179,7 +179,7 @@
   if (Now < NextWaitLog_)
     return;
   NextWaitLog_ = Now + WaitLogInterval;
-  Machine_.read([&](const JobBook &Book) {
+  Machine_.read([&](const JobRegistry &Book) {
     std::erase_if(LoggedWaitReasons_, [&Book](const auto &Entry) {
       return Book.readySteps().count(Entry.first) == 0;
     });
@@ -266,13 +266,13 @@
        std::chrono::duration_cast<WallTime>(Settings_.EarliestStart_))
           .count());
   std::vector<OpenOccurrence> Due;
-  Machine_.read([&](const JobBook &Book) {
+  Machine_.read([&](const JobRegistry &Book) {
     for (const std::string &Id : Book.timedJobs()) {
       const JobRecord &Job = *Book.findJob(Id);
       const std::uint64_t At =
-          Job.Spec_.FirstDueMs_ + Job.OpenedUpTo_ * Job.Spec_.IntervalMs_;
+          Job.Spec_.FirstDueMs_ + Job.OpenedCount_ * Job.Spec_.IntervalMs_;
       if (At <= Wall)
-        Due.push_back({Id, Job.OpenedUpTo_});
+        Due.push_back({Id, Job.OpenedCount_});
     }
     return 0;
   });
@@ -282,7 +282,7 @@
 }
 
 void JobLeader::Impl::startGang() {
-  std::vector<TaskStart> Starts = Machine_.read([&](const JobBook &Book) {
+  std::vector<TaskStart> Starts = Machine_.read([&](const JobRegistry &Book) {
     if (Time_.now() >= NextPlannerPrune_) {
       NextPlannerPrune_ = Time_.now() + PruneInterval;
       Dispatcher_.prune(Book);
@@ -312,7 +312,7 @@
 
 JobLeader::JobLeader(const JobLeaderSettings &Settings, const Clock &Time,
                      Executor &Strand, replication::Replica &Group,
-                     const JobMachine &Machine, Advisor &Advising,
+                     const JobStateMachine &Machine, Advisor &Advising,
                      VmProvider &Provider, ReportRelays &Relays, EventLog &Log,
                      JobMeter &Meter)
     : Impl_(std::make_shared<Impl>(Settings, Time, Strand, Group, Machine,
--- a/src/jobs/JobLeaderCalls.cpp
+++ b/src/jobs/JobLeaderCalls.cpp
@@ -24,8 +24,9 @@
 /// Returns the queue that a call is addressed to, and sets Id to the rest of
 /// the path, which is the job's id. Sets the reply's outcome if there is no
 /// queue.
-static const QueuePolicy *findQueue(const JobBook &Book, const JobCall &Call,
-                                    JobCallReply &Reply, std::string &Id) {
+static const QueuePolicy *findQueue(const JobRegistry &Book,
+                                    const JobCall &Call, JobCallReply &Reply,
+                                    std::string &Id) {
   const Configuration &Current = Book.configuration();
   const QueuePolicy *Queue = Current.findQueue(Call.Host_, Call.Path_);
   if (Queue)
@@ -40,13 +41,13 @@
   JobCallReply Result;
   SubmitJob Command;
   bool NeedsAdvice = false;
-  const bool HasQueue = Machine_.read([&](const JobBook &Book) {
+  const bool HasQueue = Machine_.read([&](const JobRegistry &Book) {
     const QueuePolicy *Queue = findQueue(Book, Call, Result, Call.Spec_.Id_);
     if (!Queue)
       return false;
     Command.Host_ = Queue->Host_;
     Command.PathPrefix_ = Queue->PathPrefix_;
-    NeedsAdvice = Queue->Advice_.IsNeeded_ && !Advisor_.isThere();
+    NeedsAdvice = Queue->Advice_.IsRequired_ && !Advisor_.isThere();
     return true;
   });
   if (!HasQueue)
@@ -80,23 +81,23 @@
         JobCallReply Answer;
         if (!Applied)
           return Reply(Applied.error());
-        const Verdict Taken = Applied.value().Verdict_;
-        if (Taken == Verdict::NotFound)
+        const CommandStatus Taken = Applied.value().Status_;
+        if (Taken == CommandStatus::NotFound)
           Answer.Outcome_ = CallOutcome::NoQueue;
-        Meter_.add(Taken == Verdict::NotFound ? JobCounter::JobsRefused
-                                              : JobCounter::JobsAccepted,
-                   Taken == Verdict::AlreadyDone ? 0 : 1);
+        Meter_.add(Taken == CommandStatus::NotFound ? JobCounter::JobsRefused
+                                                    : JobCounter::JobsAccepted,
+                   Taken == CommandStatus::AlreadyDone ? 0 : 1);
         Meter_.record(JobTimer::Acknowledge, Time_.now() - Begin);
-        if (Taken == Verdict::Done)
+        if (Taken == CommandStatus::Done)
           AcceptedAt_.emplace(Id, Begin);
         Event Line;
-        Line.Kind_ = Taken == Verdict::NotFound ? EventKind::JobRefused
-                                                : EventKind::JobAccepted;
+        Line.Kind_ = Taken == CommandStatus::NotFound ? EventKind::JobRefused
+                                                      : EventKind::JobAccepted;
         Line.Job_ = Id;
         Line.Term_ = Term_;
-        if (Taken == Verdict::NotFound)
+        if (Taken == CommandStatus::NotFound)
           Line.Reason_ = "its queue has been removed from the configuration";
-        if (Taken == Verdict::AlreadyDone)
+        if (Taken == CommandStatus::AlreadyDone)
           Line.Reason_ = "the job had already been accepted";
         Log_.write(Line);
         Reply(Answer);
@@ -105,7 +106,7 @@
 
 void JobLeader::Impl::show(const JobCall &Call,
                            const Done<JobCallReply> &Reply) const {
-  Reply(Machine_.read([&](const JobBook &Book) {
+  Reply(Machine_.read([&](const JobRegistry &Book) {
     JobCallReply Result;
     std::string Id;
     const QueuePolicy *Queue = findQueue(Book, Call, Result, Id);
@@ -129,28 +130,29 @@
                              const Done<JobCallReply> &Reply) {
   JobCallReply Result;
   std::string Id;
-  const bool HasQueue = Machine_.read([&](const JobBook &Book) {
+  const bool HasQueue = Machine_.read([&](const JobRegistry &Book) {
     return findQueue(Book, Call, Result, Id) != nullptr;
   });
   if (!HasQueue)
     return Reply(Result);
-  propose(
-      CancelJob{Id}, [this, Id, Reply](const Outcome<CommandResult> &Applied) {
-        if (!Applied)
-          return Reply(Applied.error());
-        JobCallReply Answer;
-        if (Applied.value().Verdict_ == Verdict::NotFound)
-          Answer.Outcome_ = CallOutcome::NoJob;
-        else if (EndedAt_.try_emplace(Id, Time_.now()).second) {
-          meterJobEnd(Id, JobCounter::JobsCancelled);
-          requestStops(Id);
-        }
-        Event Line;
-        Line.Kind_ = EventKind::JobCancelled;
-        Line.Job_ = Id;
-        Line.Outcome_ = Applied.value().Verdict_ == Verdict::Done ? "cancelled"
-                                                                  : "no change";
-        Log_.write(Line);
-        Reply(Answer);
-      });
+  propose(CancelJob{Id},
+          [this, Id, Reply](const Outcome<CommandResult> &Applied) {
+            if (!Applied)
+              return Reply(Applied.error());
+            JobCallReply Answer;
+            if (Applied.value().Status_ == CommandStatus::NotFound)
+              Answer.Outcome_ = CallOutcome::NoJob;
+            else if (EndedAt_.try_emplace(Id, Time_.now()).second) {
+              meterJobEnd(Id, JobCounter::JobsCancelled);
+              requestStops(Id);
+            }
+            Event Line;
+            Line.Kind_ = EventKind::JobCancelled;
+            Line.Job_ = Id;
+            Line.Outcome_ = Applied.value().Status_ == CommandStatus::Done
+                                ? "cancelled"
+                                : "no change";
+            Log_.write(Line);
+            Reply(Answer);
+          });
 }
--- a/src/jobs/JobLeaderCrashes.cpp
+++ b/src/jobs/JobLeaderCrashes.cpp
@@ -17,7 +17,7 @@
 std::vector<JobLeader::Impl::LostRun>
 JobLeader::Impl::listLostRuns(const std::string &Server) const {
   const LiveServer *Live = LiveServers_.find(Server);
-  return Machine_.read([&](const JobBook &Book) {
+  return Machine_.read([&](const JobRegistry &Book) {
     std::vector<LostRun> Lost;
     if (const ServerRecord *Record = Book.findServer(Server))
       for (const auto &[Task, Run] : Record->Placed_)
@@ -38,14 +38,14 @@
     return Crash;
   Crash.IsCrash_ = true;
   Crash.IsConfirmed_ = How == Departure::Replaced;
-  Crash.IsAmongMany_ = Crashes_.isAmongMany(LiveServers_, Server, Now);
-  Crash.IsStable_ = Machine_.read([&](const JobBook &Book) {
+  Crash.IsCorrelated_ = Crashes_.isCorrelated(LiveServers_, Server, Now);
+  Crash.IsStable_ = Machine_.read([&](const JobRegistry &Book) {
     const ServerRecord *Record = Book.findServer(Server);
     return Record && LiveServers_.isStable(*Record);
   });
   for (const LostRun &Run : Lost)
     if (Run.Seen_ > Duration(0))
-      Crash.Seen_.push_back({Run.Task_, toMs(Run.Seen_)});
+      Crash.ReportedRuns_.push_back({Run.Task_, toMs(Run.Seen_)});
   return Crash;
 }
 
@@ -54,7 +54,7 @@
                                   TimePoint LastHeard,
                                   const std::vector<LostRun> &Lost) {
   std::vector<Event> Lines;
-  Machine_.read([&](const JobBook &Book) {
+  Machine_.read([&](const JobRegistry &Book) {
     for (const LostRun &Run : Lost) {
       const TaskRecord *Task = Book.findTask(Run.Task_);
       const bool IsSuspected = Task && !Task->Crashes_.empty() &&
@@ -81,7 +81,7 @@
     Log_.write(Line);
   Meter_.add(JobCounter::CrashesSuspected, Lines.empty() ? 0 : 1);
   Meter_.add(JobCounter::TasksSuspected, Lines.size());
-  Crashes_.note(LastHeard);
+  Crashes_.recordCrash(LastHeard);
 }
 
 /// Stores which suspected runs have proved harmless: another leader does not
@@ -91,17 +91,17 @@
   if (IsProving_ || Now < NextProofCheck_)
     return;
   NextProofCheck_ = Now + ProofCheckInterval;
-  NoteProved Command;
-  Machine_.read([&](const JobBook &Book) {
+  RecordSurvivingRuns Command;
+  Machine_.read([&](const JobRegistry &Book) {
     for (const auto &[Key, Servers] : Book.crashSuspects()) {
       const TaskRecord &Task = *Book.findTask(Key);
       for (const Placement &Placed : Task.Placements_) {
         const LiveServer *Live = LiveServers_.find(Placed.Server_);
         const std::uint64_t Seen =
             Live ? toMs(Live->getObservedTime(Key, Placed.Run_)) : 0;
-        const bool IsHarmless = Seen >= HarmlessAfterMs;
+        const bool IsHarmless = Seen >= HarmlessAgeMs;
         const bool IsProved = Seen >= getIsolationMs(Task.Crashes_) &&
-                              Task.ProvedRun_ != Placed.Run_;
+                              Task.LastSurvivingRun_ != Placed.Run_;
         if (IsHarmless || IsProved)
           Command.Runs_.push_back({Key, Placed.Run_, IsHarmless});
       }
@@ -116,7 +116,7 @@
 }
 
 void JobLeader::Impl::handleFailedJobs(const CommandResult &Result) {
-  for (const std::string &Id : Result.Failed_)
+  for (const std::string &Id : Result.FailedJobs_)
     handleJobEnd(Id);
 }
 
@@ -127,7 +127,7 @@
   Line.Kind_ = EventKind::JobEnded;
   Line.Job_ = Id;
   FailureCause Cause = FailureCause::Unknown;
-  const JobState State = Machine_.read([&](const JobBook &Book) {
+  const JobState State = Machine_.read([&](const JobRegistry &Book) {
     const JobRecord *Job = Book.findJob(Id);
     if (!Job)
       return JobState::Queued;
--- a/src/jobs/JobLeaderImpl.h
+++ b/src/jobs/JobLeaderImpl.h
@@ -44,7 +44,7 @@
 class JobLeader::Impl : public std::enable_shared_from_this<JobLeader::Impl> {
 public:
   Impl(const JobLeaderSettings &Settings, const Clock &Time, Executor &Strand,
-       replication::Replica &Group, const JobMachine &Machine,
+       replication::Replica &Group, const JobStateMachine &Machine,
        Advisor &Advising, VmProvider &Provider, ReportRelays &Relays,
        EventLog &Log, JobMeter &Meter)
       : Settings_(Settings), Time_(Time), Strand_(Strand), Group_(Group),
@@ -178,17 +178,18 @@
   bool isStalled(const StepSpec &Step, const std::string &Server,
                  const RunProgress &Progress, TimePoint Now) const;
   /// Stopping lists the runs that the current answer stops.
-  bool shouldEvacuate(const JobBook &Book, const StepSpec &Step,
+  bool shouldEvacuate(const JobRegistry &Book, const StepSpec &Step,
                       const LiveServer &Live, const ServerReport &Report,
                       const RunningTask &Running,
                       const std::map<TaskKey, std::uint64_t> &Stopping) const;
-  bool canSpare(const JobBook &Book, const StepSpec &Step, const TaskKey &Task,
+  bool canSpare(const JobRegistry &Book, const StepSpec &Step,
+                const TaskKey &Task,
                 const std::map<TaskKey, std::uint64_t> &Stopping) const;
   bool shouldMove(const StepSpec &Step, const ServerRecord &Server,
                   const RunningTask &Running);
   /// At is the index of the run in Report.Running_.
   std::string_view
-  findStopReason(const JobBook &Book, const StepSpec &Step,
+  findStopReason(const JobRegistry &Book, const StepSpec &Step,
                  const ServerRecord &Server, const LiveServer &Live,
                  const ServerReport &Report, std::size_t At,
                  const std::map<TaskKey, std::uint64_t> &Stopping);
@@ -199,7 +200,7 @@
   const Clock &Time_;
   Executor &Strand_;
   replication::Replica &Group_;
-  const JobMachine &Machine_;
+  const JobStateMachine &Machine_;
   Advisor &Advisor_;
   VmProvider &Provider_;
   ReportRelays &Relays_;
@@ -233,23 +234,24 @@
   TimePoint OverloadedUntil_{};
   bool IsListing_ = false;  ///< A request for the list of VMs is open.
   bool IsOrdering_ = false; ///< An order to the provider of VMs is open.
-  /// Reports that wait for commits, the oldest first.
+                            /// Reports that wait for commits, the oldest first.
   std::deque<PendingReportPtr> PendingReports_;
   /// Servers with expiring leases for which the relays are asked, or were asked
   /// so recently that they may not be asked again yet.
   std::map<std::string, ExpiryCheck> ExpiryChecks_;
   std::uint64_t LastExpiryRound_ = 0;
   TimePoint NextExpiryRound_{}; ///< The next round of an overloaded leader.
-  /// Servers that no relay had heard when asked while the leader was
-  /// overloaded.
+                                /// Servers that no relay had heard when asked
+                                /// while the leader was overloaded.
   std::set<std::string> Unheard_;
   /// Incarnations that are about to be ended, until that is committed.
   std::set<std::string> Leaving_;
   std::map<std::string, TimePoint> EndedAt_;
   /// When this leader accepted jobs that have not ended.
   std::map<std::string, TimePoint> AcceptedAt_;
-  std::set<std::string> StartedJobs_; ///< Those that have started.
-  /// The last reason that was logged for each waiting step.
+  std::set<std::string>
+      StartedJobs_; ///< Those that have started.
+                    /// The last reason that was logged for each waiting step.
   std::map<ReadyStep, std::string> LoggedWaitReasons_;
   TimePoint NextWaitLog_{};
   /// The wall clock minus the steady clock at the last check.
--- a/src/jobs/JobLeaderOrders.cpp
+++ b/src/jobs/JobLeaderOrders.cpp
@@ -45,7 +45,7 @@
 /// Whether so few other tasks of the step are unavailable that this one may be
 /// stopped too.
 bool JobLeader::Impl::canSpare(
-    const JobBook &Book, const StepSpec &Step, const TaskKey &Task,
+    const JobRegistry &Book, const StepSpec &Step, const TaskKey &Task,
     const std::map<TaskKey, std::uint64_t> &Stopping) const {
   const auto IsAvailable = [&](const TaskKey &Other, const TaskRecord &Record) {
     for (const Placement &Placed : Record.Placements_) {
@@ -70,13 +70,13 @@
   for (Other.Index_ = 0; Other.Index_ < Tasks.size(); ++Other.Index_)
     if (Other.Index_ != Task.Index_ && !IsAvailable(Other, Tasks[Other.Index_]))
       ++Unavailable;
-  return Unavailable < std::max<std::uint64_t>(Step.MayMiss_, 1);
+  return Unavailable < std::max<std::uint64_t>(Step.MaxUnavailable_, 1);
 }
 
 /// Whether to stop the run and save its work now, as its server is about to
 /// leave.
 bool JobLeader::Impl::shouldEvacuate(
-    const JobBook &Book, const StepSpec &Step, const LiveServer &Live,
+    const JobRegistry &Book, const StepSpec &Step, const LiveServer &Live,
     const ServerReport &Report, const RunningTask &Running,
     const std::map<TaskKey, std::uint64_t> &Stopping) const {
   if (Step.Gang_ || (!Report.IsDraining_ && !Live.IsEmptying_))
@@ -114,7 +114,7 @@
 
 /// Returns the step of a run that is placed on the server and should continue
 /// there; nullptr for any other run.
-static const StepSpec *findWantedStep(const JobBook &Book,
+static const StepSpec *findWantedStep(const JobRegistry &Book,
                                       const std::string &Server,
                                       const TaskKey &Task, std::uint64_t Run) {
   const JobRecord *Job = Book.findJob(Task.Job_);
@@ -134,7 +134,7 @@
 /// Returns why a run that is placed on its server should be stopped; empty if
 /// it should continue.
 std::string_view JobLeader::Impl::findStopReason(
-    const JobBook &Book, const StepSpec &Step, const ServerRecord &Server,
+    const JobRegistry &Book, const StepSpec &Step, const ServerRecord &Server,
     const LiveServer &Live, const ServerReport &Report, std::size_t At,
     const std::map<TaskKey, std::uint64_t> &Stopping) {
   const RunningTask &Running = Report.Running_[At];
@@ -166,7 +166,7 @@
 }
 
 void JobLeader::Impl::requestStops(const std::string &Job) {
-  Machine_.read([&](const JobBook &Book) {
+  Machine_.read([&](const JobRegistry &Book) {
     if (const JobRecord *Ended = Book.findJob(Job))
       PendingStops_.add(*Ended, Time_.now());
     return 0;
@@ -180,7 +180,7 @@
   LiveServer *Live = LiveServers_.find(Id);
   std::map<TaskKey, std::uint64_t> StopsSent;
   std::vector<std::pair<RunningTask, std::string_view>> Stopped;
-  Machine_.read([&](const JobBook &Book) {
+  Machine_.read([&](const JobRegistry &Book) {
     const ServerRecord &Server = *Book.findServer(Id);
     const auto Stop = [&](const TaskKey &Task, std::uint64_t Run) {
       Orders.Stops_.push_back({Task, Run});
@@ -226,7 +226,7 @@
         // does not report it, so an order to start it can no longer take
         // effect.
         if (Previous != Live->StopsSent_.end() && Previous->second == Run)
-          NeverRan.push_back({Task, Run, RunEnd::NeverRan, ""});
+          NeverRan.push_back({Task, Run, RunOutcome::NeverRan, ""});
         else
           Stop(Task, Run);
         continue;
--- a/src/jobs/JobLeaderReports.cpp
+++ b/src/jobs/JobLeaderReports.cpp
@@ -19,7 +19,7 @@
   if (!isLeading())
     return Reply(makeNotLeaderError());
   Leaving_.insert(ServerId);
-  const bool IsEmpty = Machine_.read([&ServerId](const JobBook &Book) {
+  const bool IsEmpty = Machine_.read([&ServerId](const JobRegistry &Book) {
     const ServerRecord *Server = Book.findServer(ServerId);
     return !Server || Server->Placed_.empty();
   });
@@ -42,7 +42,7 @@
 }
 
 void JobLeader::Impl::observe(const ServerReport &Report) {
-  Machine_.read([&](const JobBook &Book) {
+  Machine_.read([&](const JobRegistry &Book) {
     return Learner_.learn(Book, Report, Time_.now());
   });
 }
@@ -54,7 +54,7 @@
   // orders.
   const std::string &Id = Report.Facts_.Id_;
   const bool IsOver =
-      Leaving_.count(Id) != 0 || Machine_.read([&Id](const JobBook &Book) {
+      Leaving_.count(Id) != 0 || Machine_.read([&Id](const JobRegistry &Book) {
         return !Book.findServer(Id) && Book.isOver(Id);
       });
   if (IsOver)
@@ -73,11 +73,11 @@
   if (!isLeading())
     return Reply(makeNotLeaderError());
   EndTasks Command{Report.Facts_.Id_, {}};
-  Machine_.read([&](const JobBook &Book) {
+  Machine_.read([&](const JobRegistry &Book) {
     for (const EndedTask &Ended : Report.Ended_) {
       const TaskRecord *Task = Book.findTask(Ended.End_.Task_);
       const bool IsOpen = Task && Task->State_ != TaskState::Done;
-      if (Ended.End_.How_ == RunEnd::Done && IsOpen)
+      if (Ended.End_.Outcome_ == RunOutcome::Done && IsOpen)
         Command.Ends_.push_back(Ended.End_);
     }
     return 0;
@@ -97,7 +97,8 @@
 
 /// Whether the report names a service that is not configured. A server whose
 /// service was removed from the configuration continues.
-static bool namesUnknownService(const JobBook &Book, const ServerRecord *Known,
+static bool namesUnknownService(const JobRegistry &Book,
+                                const ServerRecord *Known,
                                 const ServerFacts &Facts) {
   const Configuration &Current = Book.configuration();
   const bool KeepsItsService =
@@ -115,7 +116,7 @@
   const ServerFacts &Facts = Pending->Report_.Facts_;
   std::string Occupant;
   bool IsUnknownService = false;
-  const bool IsKnown = Machine_.read([&](const JobBook &Book) {
+  const bool IsKnown = Machine_.read([&](const JobRegistry &Book) {
     const ServerRecord *Known = Book.findServer(Facts.Id_);
     if (!Known)
       Occupant = Book.findServerAt(Facts.Address_);
@@ -186,7 +187,7 @@
       AddServer{Facts}, [this, Pending](const Outcome<CommandResult> &Applied) {
         if (!Applied)
           return reply(Pending, Applied.error());
-        if (Applied.value().Verdict_ == Verdict::Refused)
+        if (Applied.value().Status_ == CommandStatus::Refused)
           return reply(Pending, fail(ErrorCode::Unavailable,
                                      "another incarnation holds the address"));
         handleFailedJobs(Applied.value());
@@ -195,13 +196,14 @@
 }
 
 /// Whether the end of a run on the server changes the replicated state.
-static bool changesState(const JobBook &Book, const ServerRecord &Server,
+static bool changesState(const JobRegistry &Book, const ServerRecord &Server,
                          const TaskEnd &End) {
   const auto Placed = Server.Placed_.find(End.Task_);
   if (Placed != Server.Placed_.end() && Placed->second == End.Run_)
     return true;
   const TaskRecord *Task = Book.findTask(End.Task_);
-  return End.How_ == RunEnd::Done && Task && Task->State_ != TaskState::Done;
+  return End.Outcome_ == RunOutcome::Done && Task &&
+         Task->State_ != TaskState::Done;
 }
 
 void JobLeader::Impl::commitEnds(const PendingReportPtr &Pending) {
@@ -224,7 +226,7 @@
   }
   Setter_.note(Report);
   EndTasks Command{Id, {}};
-  Machine_.read([&](const JobBook &Book) {
+  Machine_.read([&](const JobRegistry &Book) {
     const ServerRecord *Server = Book.findServer(Id);
     if (!Server)
       return 0;
@@ -241,7 +243,7 @@
   deferAnswer(Pending);
   const bool AnyRefused = std::any_of(
       Command.Ends_.begin(), Command.Ends_.end(),
-      [](const TaskEnd &End) { return End.How_ == RunEnd::Refused; });
+      [](const TaskEnd &End) { return End.Outcome_ == RunOutcome::Refused; });
   if (AnyRefused)
     LiveServers_.find(Id)->NoStartsUntil_ = Now + RefusalPause;
   propose(Command,
@@ -265,7 +267,7 @@
 
 void JobLeader::Impl::startTasks(const PendingReportPtr &Pending) {
   const std::string &Id = Pending->Report_.Facts_.Id_;
-  std::vector<TaskStart> Starts = Machine_.read([&](const JobBook &Book) {
+  std::vector<TaskStart> Starts = Machine_.read([&](const JobRegistry &Book) {
     return Dispatcher_.plan(Book, LiveServers_, Id, Time_.now(),
                             Time_.wallNow());
   });
@@ -284,12 +286,12 @@
       Line.Task_ = toText(Starts[I].Task_);
       Line.Attempt_ = Starts[I].Run_;
       Line.Server_ = Starts[I].Server_;
-      Line.Outcome_ = Applied.value().Taken_[I] ? "placed" : "refused";
+      Line.Outcome_ = Applied.value().Accepted_[I] ? "placed" : "refused";
       Line.AgeMs_ = std::chrono::duration_cast<std::chrono::milliseconds>(
                         Time_.now() - Pending->ArrivedAt_)
                         .count();
       Log_.write(Line);
-      meterStart(Starts[I], Applied.value().Taken_[I]);
+      meterStart(Starts[I], Applied.value().Accepted_[I]);
     }
     answer(Pending);
   });
@@ -329,7 +331,7 @@
   const std::string &Id = Report.Facts_.Id_;
   const LiveServer *Live = LiveServers_.find(Id);
   const bool IsKnown =
-      Live && !Live->IsRemoving_ && Machine_.read([&](const JobBook &Book) {
+      Live && !Live->IsRemoving_ && Machine_.read([&](const JobRegistry &Book) {
         return Book.findServer(Id) != nullptr;
       });
   if (!IsKnown)
--- a/src/jobs/JobLeaderTelemetry.cpp
+++ b/src/jobs/JobLeaderTelemetry.cpp
@@ -6,7 +6,7 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-static std::string_view getName(RunEnd How) {
+static std::string_view getName(RunOutcome How) {
   static constexpr std::array<std::string_view, 8> Names = {
       "done",   "failed", "stopped", "lapsed",
       "broken", "alone",  "refused", "never_ran"};
@@ -32,7 +32,7 @@
 }
 
 static Event makeTaskEnded(const std::string &Server, const TaskKey &Task,
-                           std::uint64_t Run, RunEnd How) {
+                           std::uint64_t Run, RunOutcome How) {
   Event Line;
   Line.Kind_ = EventKind::TaskEnded;
   Line.Job_ = Task.Job_;
@@ -46,13 +46,14 @@
 void JobLeader::Impl::logEnds(const std::string &Server,
                               const std::vector<TaskEnd> &Ends) {
   for (const TaskEnd &End : Ends)
-    Log_.write(makeTaskEnded(Server, End.Task_, End.Run_, End.How_));
+    Log_.write(makeTaskEnded(Server, End.Task_, End.Run_, End.Outcome_));
 }
 
 void JobLeader::Impl::logLostRuns(const std::string &Server,
                                   const std::vector<LostRun> &Lost) {
   for (const LostRun &Run : Lost) {
-    Event Line = makeTaskEnded(Server, Run.Task_, Run.Run_, RunEnd::Lapsed);
+    Event Line =
+        makeTaskEnded(Server, Run.Task_, Run.Run_, RunOutcome::LeaseExpired);
     Line.AgeMs_ =
         std::chrono::duration_cast<std::chrono::milliseconds>(Run.Seen_)
             .count();
@@ -64,16 +65,16 @@
   const LiveServer *Live = LiveServers_.find(Ended.Server_);
   const TimePoint Now = Time_.now();
   for (const TaskEnd &End : Ended.Ends_) {
-    if (End.How_ == RunEnd::Failed)
+    if (End.Outcome_ == RunOutcome::Failed)
       Dispatcher_.noteFailure(End.Task_, Ended.Server_, Now);
-    if (End.How_ == RunEnd::Failed)
+    if (End.Outcome_ == RunOutcome::Failed)
       recordFailedRun(Ended.Server_, End.Task_.Job_,
                       "runs of several jobs failed");
-    if (End.How_ != RunEnd::Done || !Live)
+    if (End.Outcome_ != RunOutcome::Done || !Live)
       continue;
     const RunProgress *Seen = Live->findPreviousProgress(End.Task_);
     const StepSpec *Step = Machine_.read(
-        [&End](const JobBook &Book) { return Book.findStep(End.Task_); });
+        [&End](const JobRegistry &Book) { return Book.findStep(End.Task_); });
     // A filling task runs only as fast as other tasks let it, so its run time
     // says nothing about the server.
     const bool IsTelling =
--- a/src/jobs/JobLeaderWaves.cpp
+++ b/src/jobs/JobLeaderWaves.cpp
@@ -26,7 +26,7 @@
                                const Done<WaveRecord> &Reply) const {
   if (!isLeading())
     return Reply(makeNotLeaderError());
-  Reply(Machine_.read([&](const JobBook &Book) -> Outcome<WaveRecord> {
+  Reply(Machine_.read([&](const JobRegistry &Book) -> Outcome<WaveRecord> {
     if (const WaveRecord *Record = Book.waves().find(Wave))
       return *Record;
     return fail(ErrorCode::NotFound, "no such wave");
@@ -55,7 +55,7 @@
     return;
   refreshVms();
   const std::optional<MaintenanceOrder> Order = Machine_.read(
-      [&](const JobBook &Book) { return Waves_.plan(Book, Now); });
+      [&](const JobRegistry &Book) { return Waves_.plan(Book, Now); });
   for (const auto &[Id, Known] : LiveServers_.servers()) {
     LiveServer &Live = *LiveServers_.find(Id);
     Live.IsEmptying_ = Waves_.isEmptying(Id);
@@ -79,7 +79,7 @@
 void JobLeader::Impl::refreshVms() {
   const TimePoint Now = Time_.now();
   const bool IsDue = Machine_.read(
-      [&](const JobBook &Book) { return Waves_.isListDue(Book, Now); });
+      [&](const JobRegistry &Book) { return Waves_.isListDue(Book, Now); });
   if (!IsDue || IsListing_)
     return;
   IsListing_ = true;
@@ -108,10 +108,10 @@
           Reply ? "" : Reply.error().Message_);
   if (!IsFinal)
     return;
-  propose(NoteMaintenance{Order.Wave_, Order.Vm_},
+  propose(RecordMaintenanceStart{Order.Wave_, Order.Vm_},
           [](const Outcome<CommandResult> &) {});
   const bool IsOver = Reply.value() == MaintenanceReply::Begun &&
-                      Machine_.read([&Order](const JobBook &Book) {
+                      Machine_.read([&Order](const JobRegistry &Book) {
                         return Book.findServer(Order.Server_) != nullptr;
                       });
   // The incarnation has ended: it runs no tasks and sends no reports.
--- a/src/jobs/LiveServerTable.cpp
+++ b/src/jobs/LiveServerTable.cpp
@@ -45,7 +45,7 @@
                                            : Duration(0);
 }
 
-void LiveServerTable::reset(const JobBook &Book, TimePoint Now,
+void LiveServerTable::reset(const JobRegistry &Book, TimePoint Now,
                             Duration Lease) {
   Servers_.clear();
   for (const auto &[Id, Server] : Book.servers())
@@ -123,7 +123,7 @@
   return Expired;
 }
 
-Resources LiveServerTable::sumUnplacedUsage(const JobBook &Book,
+Resources LiveServerTable::sumUnplacedUsage(const JobRegistry &Book,
                                             const ServerRecord &Server) const {
   Resources Used;
   const LiveServer *Live = find(Server.Facts_.Id_);
@@ -146,9 +146,9 @@
          (Live && Live->LastSequence_ >= StableAfterReports);
 }
 
-std::vector<SavedWork>
+std::vector<SavedCheckpoint>
 LiveServerTable::listCheckpoints(const std::string &Id) const {
-  std::vector<SavedWork> Checkpoints;
+  std::vector<SavedCheckpoint> Checkpoints;
   if (const LiveServer *Live = find(Id))
     for (const RunningTask &Run : Live->Running_)
       if (!Run.Checkpoint_.empty())
--- a/src/jobs/LiveServerTable.h
+++ b/src/jobs/LiveServerTable.h
@@ -11,7 +11,7 @@
 #define TULIPWEIR_SRC_JOBS_LIVESERVERTABLE_H
 
 #include "tulipweir/core/Time.h"
-#include "tulipweir/jobs/JobBook.h"
+#include "tulipweir/jobs/JobRegistry.h"
 #include "tulipweir/jobs/ServerReport.h"
 
 #include <map>
@@ -82,7 +82,7 @@
 public:
   /// Restarts with all registered servers, as if each was heard now and has a
   /// lease until Now + Lease.
-  void reset(const JobBook &Book, TimePoint Now, Duration Lease);
+  void reset(const JobRegistry &Book, TimePoint Now, Duration Lease);
 
   /// Records a report; returns false if a later one was recorded before. A new
   /// server counts as if it had a lease until Now + Lease: its registration may
@@ -98,20 +98,21 @@
   /// not proposed.
   std::vector<std::string> listExpired(TimePoint Now) const;
   /// Whether anything may be started on the server. All planners check this.
-  bool acceptsStarts(const JobBook &Book, const ServerRecord &Server) const {
+  bool acceptsStarts(const JobRegistry &Book,
+                     const ServerRecord &Server) const {
     const LiveServer *Live = find(Server.Facts_.Id_);
     return Live && Live->isInService() && !Book.isEvacuated(Server.Facts_);
   }
   /// Returns the reserved resources of runs that are in progress on the server
   /// but not placed there in the replicated state, as far as their jobs are
   /// known.
-  Resources sumUnplacedUsage(const JobBook &Book,
+  Resources sumUnplacedUsage(const JobRegistry &Book,
                              const ServerRecord &Server) const;
   /// Whether the previous incarnation did not crash, or this one has run for
   /// long enough since.
   bool isStable(const ServerRecord &Server) const;
   /// Returns the last reported checkpoints of the server's runs.
-  std::vector<SavedWork> listCheckpoints(const std::string &Id) const;
+  std::vector<SavedCheckpoint> listCheckpoints(const std::string &Id) const;
 
 private:
   static void updateProgress(LiveServer &Live, TimePoint Now);
--- a/src/jobs/PendingStops.h
+++ b/src/jobs/PendingStops.h
@@ -10,7 +10,7 @@
 #define TULIPWEIR_SRC_JOBS_PENDINGSTOPS_H
 
 #include "tulipweir/core/Time.h"
-#include "tulipweir/jobs/JobBook.h"
+#include "tulipweir/jobs/JobRegistry.h"
 #include "tulipweir/jobs/ReportBatch.h"
 
 #include <map>
@@ -24,7 +24,7 @@
   // Commands.
 
   /// Restarts with the placed runs of jobs that have ended.
-  void reset(const JobBook &Book, TimePoint Now);
+  void reset(const JobRegistry &Book, TimePoint Now);
   /// Adds the servers that run tasks of an ended job.
   void add(const JobRecord &Job, TimePoint Now);
   /// Records an answer to a server. A server with stop orders stays pending, as
--- a/src/jobs/ReadyTimes.h
+++ b/src/jobs/ReadyTimes.h
@@ -4,7 +4,7 @@
 #define TULIPWEIR_SRC_JOBS_READYTIMES_H
 
 #include "tulipweir/core/Time.h"
-#include "tulipweir/jobs/JobBook.h"
+#include "tulipweir/jobs/JobRegistry.h"
 
 #include <map>
 
@@ -28,7 +28,7 @@
     return Now - Since_.try_emplace(Step, Now).first->second;
   }
   /// Removes steps that are no longer ready.
-  void prune(const JobBook &Book) {
+  void prune(const JobRegistry &Book) {
     std::erase_if(Since_, [&Book](const auto &Entry) {
       return Book.readySteps().count(Entry.first) == 0;
     });
--- a/src/jobs/Stragglers.h
+++ b/src/jobs/Stragglers.h
@@ -19,7 +19,8 @@
 
   void reset();
   /// Goes over all that runs, if the last time was long enough ago.
-  void survey(const JobBook &Book, const LiveServerTable &Board, TimePoint Now);
+  void survey(const JobRegistry &Book, const LiveServerTable &Board,
+              TimePoint Now);
 
   // Queries.
 
--- a/tests/jobs/JobLeaderServersTest.cpp
+++ b/tests/jobs/JobLeaderServersTest.cpp
@@ -14,7 +14,7 @@
   ASSERT_TRUE(Answer && !*Answer);
   EXPECT_EQ(Answer->error().Code_, ErrorCode::InvalidArgument);
   EXPECT_TRUE(Machine_.read(
-      [](const JobBook &Book) { return Book.servers().empty(); }));
+      [](const JobRegistry &Book) { return Book.servers().empty(); }));
 }
 
 TEST_F(JobLeaderTest, RejectedReportLeavesTheServersLease) {
@@ -64,7 +64,7 @@
   ASSERT_EQ(Orders.Starts_.size(), 2U);
   ServerReport Delayed = makeReport("s1");
   Delayed.Running_ = {makeRunning(Orders.Starts_[1])};
-  Delayed.Ended_ = {makeEnded(1, Orders.Starts_[0], RunEnd::Done)};
+  Delayed.Ended_ = {makeEnded(1, Orders.Starts_[0], RunOutcome::Done)};
   Strand_.advance(5s);
   std::optional<ServerOrders> Answer;
   Leader_.recordLateEnds(Delayed, [&Answer](Outcome<ServerOrders> Reply) {
@@ -73,8 +73,9 @@
   Strand_.runAll();
   EXPECT_EQ(Answer, ServerOrders{});
   const auto GetState = [this](const TaskKey &Task) {
-    return Machine_.read(
-        [&Task](const JobBook &Book) { return Book.findTask(Task)->State_; });
+    return Machine_.read([&Task](const JobRegistry &Book) {
+      return Book.findTask(Task)->State_;
+    });
   };
   EXPECT_EQ(GetState(Orders.Starts_[0].Task_), TaskState::Done);
   EXPECT_EQ(GetState(Orders.Starts_[1].Task_), TaskState::Placed);
@@ -89,7 +90,7 @@
   ASSERT_EQ(Orders.Starts_.size(), 2U);
   const auto ReportEnd = [&] {
     ServerReport Report = makeReport("s1");
-    Report.Ended_ = {makeEnded(1, Orders.Starts_[0], RunEnd::Done)};
+    Report.Ended_ = {makeEnded(1, Orders.Starts_[0], RunOutcome::Done)};
     Report.Running_ = {makeRunning(Orders.Starts_[1])};
     auto Answer = std::make_shared<std::optional<Outcome<ServerOrders>>>();
     Leader_.report(Report, [Answer](Outcome<ServerOrders> Reply) {
@@ -144,7 +145,7 @@
   }
   EXPECT_FALSE(IsMoved());
   ServerReport Delayed = makeReport("s1");
-  Delayed.Ended_ = {makeEnded(1, Orders.Starts_[0], RunEnd::Done)};
+  Delayed.Ended_ = {makeEnded(1, Orders.Starts_[0], RunOutcome::Done)};
   EXPECT_EQ(report(Delayed).EndsNoted_, 1U);
   EXPECT_FALSE(IsMoved()) << "the task is completed";
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
@@ -211,9 +212,9 @@
   EXPECT_EQ(Orders.Starts_[0].Run_, 2U);
   // A delayed report of the old incarnation changes nothing.
   EXPECT_EQ(report(makeReport("s1")), ServerOrders{});
-  EXPECT_EQ(
-      Machine_.read([](const JobBook &Book) { return Book.findServer("s1"); }),
-      nullptr);
+  EXPECT_EQ(Machine_.read(
+                [](const JobRegistry &Book) { return Book.findServer("s1"); }),
+            nullptr);
 }
 
 TEST_F(JobLeaderTest, LateReportOfAnEndedIncarnationReplacesNone) {
@@ -235,7 +236,7 @@
       EXPECT_TRUE(Again.Stops_.empty());
     }
   }
-  EXPECT_EQ(Machine_.read([](const JobBook &Book) {
+  EXPECT_EQ(Machine_.read([](const JobRegistry &Book) {
     return Book.findTask({"j", 0, 0, 0})->LastRun_;
   }),
             1U);
@@ -283,7 +284,7 @@
   call(CallKind::Submit, "j", {makeStep(1, 100)});
   const ServerOrders Orders = report(makeReport("s1"));
   ServerReport After = makeReport("s1");
-  After.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunEnd::Refused)};
+  After.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunOutcome::Refused)};
   EXPECT_TRUE(report(After).Starts_.empty());
   EXPECT_EQ(report(makeReport("s2")).Starts_.size(), 1U);
 }
@@ -298,7 +299,7 @@
   Strand_.runAll();
   // The final report arrives after the leave request.
   ServerReport Last = makeReport("s1");
-  Last.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunEnd::Done)};
+  Last.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunOutcome::Done)};
   report(Last);
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
   Strand_.advance(1s);
@@ -313,7 +314,7 @@
   Strand_.advance(400ms);
   EXPECT_TRUE(report(makeReport("s2")).Starts_.empty());
   ServerReport Last = makeReport("s1");
-  Last.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunEnd::Done)};
+  Last.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunOutcome::Done)};
   report(Last);
   Strand_.advance(1s);
   EXPECT_TRUE(report(makeReport("s2")).Starts_.empty());
@@ -336,7 +337,7 @@
   Leader_.leave("s1", [](const Outcome<void> &) {});
   Strand_.advance(1s);
   ServerReport Last = makeReport("s1");
-  Last.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunEnd::Done)};
+  Last.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunOutcome::Done)};
   EXPECT_EQ(report(Last), ServerOrders{})
       << "a server that has left gets no lease";
   EXPECT_EQ(call(CallKind::Show, "j").State_, JobState::Completed);
@@ -359,7 +360,7 @@
   EXPECT_EQ(report(Runs).Stops_.size(), 1U);
   EXPECT_EQ(Leader_.listAwaitingStop().size(), 1U) << "the answer may be lost";
   ServerReport Stopped = makeReport("s1");
-  Stopped.Ended_ = {makeEnded(1, Orders.Starts_[0], RunEnd::Stopped)};
+  Stopped.Ended_ = {makeEnded(1, Orders.Starts_[0], RunOutcome::Stopped)};
   report(Stopped);
   EXPECT_TRUE(Leader_.listAwaitingStop().empty());
 }
--- a/tests/jobs/LeaderDelayTest.cpp
+++ b/tests/jobs/LeaderDelayTest.cpp
@@ -33,7 +33,7 @@
   }
   /// Starts two runs on a server and reports the end of the first while nothing
   /// commits.
-  AnswerPtr reportEndWithoutCommits(RunEnd How = RunEnd::Done) {
+  AnswerPtr reportEndWithoutCommits(RunOutcome How = RunOutcome::Done) {
     call(CallKind::Submit, "j", {makeStep(2, 1000)});
     Started_ = report(makeReport("s1")).Starts_;
     EXPECT_EQ(Started_.size(), 2U);
@@ -79,11 +79,11 @@
 }
 
 TEST_F(LeaderDelayTest, LateCommitsAreInTheNextAnswer) {
-  reportEndWithoutCommits(RunEnd::Failed);
+  reportEndWithoutCommits(RunOutcome::Failed);
   Strand_.advance(AnswerDelay);
   commit();
   ServerReport Next = makeReport("s1");
-  Next.Ended_ = {makeEnded(1, Started_.at(0), RunEnd::Failed)};
+  Next.Ended_ = {makeEnded(1, Started_.at(0), RunOutcome::Failed)};
   Next.Running_ = {makeRunning(Started_.at(1))};
   // The failed run may be retried on the same server only after a pause.
   const ServerOrders Orders = report(Next);
@@ -96,14 +96,14 @@
   call(CallKind::Submit, "j", {makeStep(2, 1000)});
   const ServerOrders Orders = report(makeReport("s1"));
   ServerReport First = makeReport("s1");
-  First.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunEnd::Done)};
+  First.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunOutcome::Done)};
   First.Running_ = {makeRunning(Orders.Starts_.at(1))};
   report(First);
   // The server did not receive that answer.
   Group_.IsHeld_ = true;
   ServerReport Second = makeReport("s1");
-  Second.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunEnd::Done),
-                   makeEnded(2, Orders.Starts_.at(1), RunEnd::Done)};
+  Second.Ended_ = {makeEnded(1, Orders.Starts_.at(0), RunOutcome::Done),
+                   makeEnded(2, Orders.Starts_.at(1), RunOutcome::Done)};
   const AnswerPtr Answer = send(Second);
   Strand_.advance(AnswerDelay);
   ASSERT_TRUE(Answer->has_value() && **Answer);
@@ -132,7 +132,7 @@
   ASSERT_EQ(First.Starts_.size(), 1U) << "there is room for one";
   Group_.IsHeld_ = true;
   ServerReport After = makeReport("s1");
-  After.Ended_ = {makeEnded(1, First.Starts_[0], RunEnd::Done)};
+  After.Ended_ = {makeEnded(1, First.Starts_[0], RunOutcome::Done)};
   const AnswerPtr Answer = send(After);
   Strand_.advance(AnswerDelay);
   ASSERT_TRUE(Answer->has_value());
@@ -162,12 +162,12 @@
   const StartOrder &Last = Orders.Starts_[IsFirst ? 0 : 1];
   const StartOrder &Other = Orders.Starts_[IsFirst ? 1 : 0];
   ServerReport First = makeReport("s1");
-  First.Ended_ = {makeEnded(1, Last, RunEnd::Done)};
+  First.Ended_ = {makeEnded(1, Last, RunOutcome::Done)};
   First.Running_ = {makeRunning(Other)};
   EXPECT_EQ(report(First).EndsNoted_, 1U);
   // The server did not receive that answer.
   ServerReport Second = makeReport("s1");
-  Second.Ended_ = {makeEnded(1, Last, RunEnd::Done),
-                   makeEnded(2, Other, RunEnd::Done)};
+  Second.Ended_ = {makeEnded(1, Last, RunOutcome::Done),
+                   makeEnded(2, Other, RunOutcome::Done)};
   EXPECT_EQ(report(Second).EndsNoted_, 2U);
 }
--- a/tests/jobs/LeaderFixture.h
+++ b/tests/jobs/LeaderFixture.h
@@ -54,7 +54,7 @@
 /// A replica that commits at once or when told to, and leads when told to.
 class ManualReplica final : public replication::Replica {
 public:
-  explicit ManualReplica(JobMachine &Machine) : Machine_(Machine) {}
+  explicit ManualReplica(JobStateMachine &Machine) : Machine_(Machine) {}
 
   void propose(std::string Command, AppliedCallback Done) override {
     if (!IsLeader_)
@@ -117,7 +117,7 @@
   std::string LeaderName_ = "me";
 
 private:
-  JobMachine &Machine_;
+  JobStateMachine &Machine_;
   std::uint64_t Index_ = 0;
   std::deque<std::pair<std::string, AppliedCallback>> Waiting_;
 };
@@ -275,13 +275,13 @@
     return {Start.Task_, Start.Run_, Checkpoint, 50, 0};
   }
   static EndedTask makeEnded(std::uint64_t Number, const StartOrder &Start,
-                             RunEnd How) {
+                             RunOutcome How) {
     return {Number, {Start.Task_, Start.Run_, How, ""}};
   }
 
   ManualClock Time_;
   ManualExecutor Strand_{Time_};
-  JobMachine Machine_;
+  JobStateMachine Machine_;
   ManualReplica Group_{Machine_};
   RecordingEventLog Log_;
   NoJobMeter Meter_;
