--- a/src/jobs/AdviceBook.cpp
+++ b/src/jobs/AdviceCache.cpp
@@ -1,4 +1,4 @@
-#include "jobs/AdviceBook.h"
+#include "jobs/AdviceCache.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/jobs/AdviceBook.h
+++ b/src/jobs/AdviceCache.h
@@ -1,4 +1,4 @@
-//===- AdviceBook.h - What the advice service has said ---------*- C++ -*-===//
+//===- AdviceCache.h - What the advice service has said ---------*- C++ -*-===//
 //
 // Keeps, for each step of a queue that needs advice, which servers may run it,
 // with their tickets, and decides what to ask next. Whether a server may run a
@@ -6,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_SRC_JOBS_ADVICEBOOK_H
-#define TULIPWEIR_SRC_JOBS_ADVICEBOOK_H
+#ifndef TULIPWEIR_SRC_JOBS_ADVICECACHE_H
+#define TULIPWEIR_SRC_JOBS_ADVICECACHE_H
 
 #include "tulipweir/jobs/Advisor.h"
 #include "tulipweir/jobs/JobBook.h"
@@ -75,4 +75,4 @@
 
 } // namespace tulipweir::jobs
 
-#endif // TULIPWEIR_SRC_JOBS_ADVICEBOOK_H
+#endif // TULIPWEIR_SRC_JOBS_ADVICECACHE_H
--- a/src/jobs/RoomSurvey.cpp
+++ b/src/jobs/CapacitySurvey.cpp
@@ -1,4 +1,4 @@
-#include "jobs/RoomSurvey.h"
+#include "jobs/CapacitySurvey.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/jobs/RoomSurvey.h
+++ b/src/jobs/CapacitySurvey.h
@@ -1,4 +1,4 @@
-//===- RoomSurvey.h - Where there is room, over all servers ----*- C++ -*-===//
+//===- CapacitySurvey.h - Where there is room, over all servers ----*- C++ -*-===//
 //
 // A plan is made for one server at a time; whether a task would do better
 // elsewhere is known from the last survey of all of them, some twenty a second.
@@ -6,16 +6,16 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_SRC_JOBS_ROOMSURVEY_H
-#define TULIPWEIR_SRC_JOBS_ROOMSURVEY_H
+#ifndef TULIPWEIR_SRC_JOBS_CAPACITYSURVEY_H
+#define TULIPWEIR_SRC_JOBS_CAPACITYSURVEY_H
 
 #include "jobs/ReadyTimes.h"
 #include "jobs/ServerBoard.h"
 #include "jobs/ServerHealth.h"
-#include "jobs/ServerRoom.h"
+#include "jobs/RemainingCapacity.h"
 #include "jobs/ServingLoads.h"
-#include "jobs/TailEffects.h"
-#include "jobs/TailRoom.h"
+#include "jobs/InterferenceModel.h"
+#include "jobs/TailHeadroom.h"
 
 #include <limits>
 #include <map>
@@ -88,4 +88,4 @@
 
 } // namespace tulipweir::jobs
 
-#endif // TULIPWEIR_SRC_JOBS_ROOMSURVEY_H
+#endif // TULIPWEIR_SRC_JOBS_CAPACITYSURVEY_H
--- a/src/jobs/Dispatcher.h
+++ b/src/jobs/Dispatcher.h
@@ -9,18 +9,18 @@
 #ifndef TULIPWEIR_SRC_JOBS_DISPATCHER_H
 #define TULIPWEIR_SRC_JOBS_DISPATCHER_H
 
-#include "jobs/AdviceBook.h"
+#include "jobs/AdviceCache.h"
 #include "jobs/IsolationPlanner.h"
-#include "jobs/PaceGuard.h"
+#include "jobs/PaceController.h"
 #include "jobs/ReadyTimes.h"
-#include "jobs/RoomSurvey.h"
+#include "jobs/CapacitySurvey.h"
 #include "jobs/ServerBoard.h"
 #include "jobs/ServerHealth.h"
-#include "jobs/ServerRoom.h"
-#include "jobs/ServiceOrder.h"
-#include "jobs/Stragglers.h"
-#include "jobs/TailEffects.h"
-#include "jobs/TailRoom.h"
+#include "jobs/RemainingCapacity.h"
+#include "jobs/SchedulingOrder.h"
+#include "jobs/StragglerDetector.h"
+#include "jobs/InterferenceModel.h"
+#include "jobs/TailHeadroom.h"
 
 #include <optional>
 #include <set>
--- a/src/jobs/TailEffects.cpp
+++ b/src/jobs/InterferenceModel.cpp
@@ -1,4 +1,4 @@
-#include "jobs/TailEffects.h"
+#include "jobs/InterferenceModel.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/jobs/TailEffects.h
+++ b/src/jobs/InterferenceModel.h
@@ -1,4 +1,4 @@
-//===- TailEffects.h - Which filling images lengthen which tails *- C++ -*-===//
+//===- InterferenceModel.h - Which filling images lengthen which tails *- C++ -*-===//
 //
 // For each image that serves, a linear model of the logarithm of its tail over
 // what its own load explains: a base and one weight for each filling image,
@@ -9,8 +9,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_SRC_JOBS_TAILEFFECTS_H
-#define TULIPWEIR_SRC_JOBS_TAILEFFECTS_H
+#ifndef TULIPWEIR_SRC_JOBS_INTERFERENCEMODEL_H
+#define TULIPWEIR_SRC_JOBS_INTERFERENCEMODEL_H
 
 #include <cstddef>
 #include <cstdint>
@@ -83,4 +83,4 @@
 
 } // namespace tulipweir::jobs
 
-#endif // TULIPWEIR_SRC_JOBS_TAILEFFECTS_H
+#endif // TULIPWEIR_SRC_JOBS_INTERFERENCEMODEL_H
--- a/src/jobs/JobLeaderImpl.h
+++ b/src/jobs/JobLeaderImpl.h
@@ -15,15 +15,15 @@
 
 #include "tulipweir/jobs/JobLeader.h"
 
-#include "jobs/AdviceBook.h"
+#include "jobs/AdviceCache.h"
 #include "jobs/CrashHistory.h"
 #include "jobs/Dispatcher.h"
 #include "jobs/IncarnationConflicts.h"
-#include "jobs/PaceGuard.h"
+#include "jobs/PaceController.h"
 #include "jobs/PaceSetter.h"
 #include "jobs/PendingStops.h"
 #include "jobs/ServerBoard.h"
-#include "jobs/WaveKeeper.h"
+#include "jobs/WavePlanner.h"
 #include "replication/LeaderWatch.h"
 
 #include <deque>
--- a/src/jobs/PaceGuard.cpp
+++ b/src/jobs/PaceController.cpp
@@ -1,4 +1,4 @@
-#include "jobs/PaceGuard.h"
+#include "jobs/PaceController.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/jobs/PaceGuard.h
+++ b/src/jobs/PaceController.h
@@ -1,4 +1,4 @@
-//===- PaceGuard.h - Filling work beside work that serves ------*- C++ -*-===//
+//===- PaceController.h - Filling work beside work that serves ------*- C++ -*-===//
 //
 // How fast filling tasks work on each server. A plan comes from what is known
 // of pairs and loads (planPaces); this keeps it, follows only changes that are
@@ -8,8 +8,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_SRC_JOBS_PACEGUARD_H
-#define TULIPWEIR_SRC_JOBS_PACEGUARD_H
+#ifndef TULIPWEIR_SRC_JOBS_PACECONTROLLER_H
+#define TULIPWEIR_SRC_JOBS_PACECONTROLLER_H
 
 #include "tulipweir/core/Time.h"
 
@@ -75,4 +75,4 @@
 
 } // namespace tulipweir::jobs
 
-#endif // TULIPWEIR_SRC_JOBS_PACEGUARD_H
+#endif // TULIPWEIR_SRC_JOBS_PACECONTROLLER_H
--- a/src/jobs/PacePlan.cpp
+++ b/src/jobs/PacePlan.cpp
@@ -1,6 +1,6 @@
 #include "jobs/PacePlan.h"
 
-#include "jobs/ServerRoom.h"
+#include "jobs/RemainingCapacity.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/jobs/PacePlan.h
+++ b/src/jobs/PacePlan.h
@@ -10,8 +10,8 @@
 #ifndef TULIPWEIR_SRC_JOBS_PACEPLAN_H
 #define TULIPWEIR_SRC_JOBS_PACEPLAN_H
 
-#include "jobs/PaceGuard.h"
-#include "jobs/TailEffects.h"
+#include "jobs/PaceController.h"
+#include "jobs/InterferenceModel.h"
 
 #include <map>
 #include <string>
--- a/src/jobs/PaceSetter.h
+++ b/src/jobs/PaceSetter.h
@@ -9,9 +9,9 @@
 #ifndef TULIPWEIR_SRC_JOBS_PACESETTER_H
 #define TULIPWEIR_SRC_JOBS_PACESETTER_H
 
-#include "jobs/PaceGuard.h"
+#include "jobs/PaceController.h"
 #include "jobs/ServerBoard.h"
-#include "jobs/TailEffects.h"
+#include "jobs/InterferenceModel.h"
 #include "jobs/TailLearner.h"
 #include "tulipweir/core/EventLog.h"
 #include "tulipweir/core/Time.h"
--- a/src/jobs/ServerRoom.cpp
+++ b/src/jobs/RemainingCapacity.cpp
@@ -1,4 +1,4 @@
-#include "jobs/ServerRoom.h"
+#include "jobs/RemainingCapacity.h"
 
 using namespace tulipweir;
 using namespace tulipweir::jobs;
--- a/src/jobs/ServerRoom.h
+++ b/src/jobs/RemainingCapacity.h
@@ -1,10 +1,10 @@
-//===- ServerRoom.h - What is left on one server ---------------*- C++ -*-===//
+//===- RemainingCapacity.h - What is left on one server ---------------*- C++ -*-===//
 
-#ifndef TULIPWEIR_SRC_JOBS_SERVERROOM_H
-#define TULIPWEIR_SRC_JOBS_SERVERROOM_H
+#ifndef TULIPWEIR_SRC_JOBS_REMAININGCAPACITY_H
+#define TULIPWEIR_SRC_JOBS_REMAININGCAPACITY_H
 
 #include "jobs/ServingLoads.h"
-#include "jobs/TailEffects.h"
+#include "jobs/InterferenceModel.h"
 #include "tulipweir/jobs/JobBook.h"
 
 #include <cstdint>
@@ -39,4 +39,4 @@
 
 } // namespace tulipweir::jobs
 
-#endif // TULIPWEIR_SRC_JOBS_SERVERROOM_H
+#endif // TULIPWEIR_SRC_JOBS_REMAININGCAPACITY_H
--- a/src/jobs/ServiceOrder.cpp
+++ b/src/jobs/SchedulingOrder.cpp
@@ -1,4 +1,4 @@
-#include "jobs/ServiceOrder.h"
+#include "jobs/SchedulingOrder.h"
 
 #include <algorithm>
 #include <array>
--- a/src/jobs/ServiceOrder.h
+++ b/src/jobs/SchedulingOrder.h
@@ -1,4 +1,4 @@
-//===- ServiceOrder.h - In which order waiting steps are served *- C++ -*-===//
+//===- SchedulingOrder.h - In which order waiting steps are served *- C++ -*-===//
 //
 // The first waiting steps in the order in which they get room, with what their
 // tasks need. Made anew when steps have come, but not for each of some thousand
@@ -7,8 +7,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_SRC_JOBS_SERVICEORDER_H
-#define TULIPWEIR_SRC_JOBS_SERVICEORDER_H
+#ifndef TULIPWEIR_SRC_JOBS_SCHEDULINGORDER_H
+#define TULIPWEIR_SRC_JOBS_SCHEDULINGORDER_H
 
 #include "jobs/JobValue.h"
 #include "jobs/ReadyTimes.h"
@@ -73,4 +73,4 @@
 
 } // namespace tulipweir::jobs
 
-#endif // TULIPWEIR_SRC_JOBS_SERVICEORDER_H
+#endif // TULIPWEIR_SRC_JOBS_SCHEDULINGORDER_H
--- a/src/jobs/Stragglers.cpp
+++ b/src/jobs/StragglerDetector.cpp
@@ -1,4 +1,4 @@
-#include "jobs/Stragglers.h"
+#include "jobs/StragglerDetector.h"
 
 #include <algorithm>
 
--- a/src/jobs/Stragglers.h
+++ b/src/jobs/StragglerDetector.h
@@ -1,12 +1,12 @@
-//===- Stragglers.h - Runs that a copy may overtake ------------*- C++ -*-===//
+//===- StragglerDetector.h - Runs that a copy may overtake ------------*- C++ -*-===//
 //
 // Finds runs of speculative steps that take much longer than was declared, or
 // will at their present speed: their server may be slow, or stand still. Pure.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_SRC_JOBS_STRAGGLERS_H
-#define TULIPWEIR_SRC_JOBS_STRAGGLERS_H
+#ifndef TULIPWEIR_SRC_JOBS_STRAGGLERDETECTOR_H
+#define TULIPWEIR_SRC_JOBS_STRAGGLERDETECTOR_H
 
 #include "jobs/ServerBoard.h"
 
@@ -36,4 +36,4 @@
 
 } // namespace tulipweir::jobs
 
-#endif // TULIPWEIR_SRC_JOBS_STRAGGLERS_H
+#endif // TULIPWEIR_SRC_JOBS_STRAGGLERDETECTOR_H
--- a/src/jobs/TailRoom.cpp
+++ b/src/jobs/TailHeadroom.cpp
@@ -1,4 +1,4 @@
-#include "jobs/TailRoom.h"
+#include "jobs/TailHeadroom.h"
 
 #include <algorithm>
 
--- a/src/jobs/TailRoom.h
+++ b/src/jobs/TailHeadroom.h
@@ -1,4 +1,4 @@
-//===- TailRoom.h - What serving tasks on a server still bear --*- C++ -*-===//
+//===- TailHeadroom.h - What serving tasks on a server still bear --*- C++ -*-===//
 //
 // How much filling work a server's serving tasks bear before a tail is expected
 // to reach its target: what their own load leaves of it at the moment, less
@@ -8,11 +8,11 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_SRC_JOBS_TAILROOM_H
-#define TULIPWEIR_SRC_JOBS_TAILROOM_H
+#ifndef TULIPWEIR_SRC_JOBS_TAILHEADROOM_H
+#define TULIPWEIR_SRC_JOBS_TAILHEADROOM_H
 
 #include "jobs/ServingLoads.h"
-#include "jobs/TailEffects.h"
+#include "jobs/InterferenceModel.h"
 #include "tulipweir/jobs/JobBook.h"
 
 #include <string>
@@ -59,4 +59,4 @@
 
 } // namespace tulipweir::jobs
 
-#endif // TULIPWEIR_SRC_JOBS_TAILROOM_H
+#endif // TULIPWEIR_SRC_JOBS_TAILHEADROOM_H
--- a/src/jobs/TailLearner.cpp
+++ b/src/jobs/TailLearner.cpp
@@ -1,6 +1,6 @@
 #include "jobs/TailLearner.h"
 
-#include "jobs/ServerRoom.h"
+#include "jobs/RemainingCapacity.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/jobs/TailLearner.h
+++ b/src/jobs/TailLearner.h
@@ -10,7 +10,7 @@
 #define TULIPWEIR_SRC_JOBS_TAILLEARNER_H
 
 #include "jobs/ServingLoads.h"
-#include "jobs/TailEffects.h"
+#include "jobs/InterferenceModel.h"
 #include "tulipweir/jobs/JobBook.h"
 #include "tulipweir/jobs/ServerReport.h"
 
--- a/src/jobs/WaveKeeper.cpp
+++ b/src/jobs/WavePlanner.cpp
@@ -1,4 +1,4 @@
-#include "jobs/WaveKeeper.h"
+#include "jobs/WavePlanner.h"
 
 #include <algorithm>
 
--- a/src/jobs/WaveKeeper.h
+++ b/src/jobs/WavePlanner.h
@@ -1,4 +1,4 @@
-//===- WaveKeeper.h - Which VM has its maintenance next --------*- C++ -*-===//
+//===- WavePlanner.h - Which VM has its maintenance next --------*- C++ -*-===//
 //
 // Empties servers of open waves and decides which of their VMs may be put into
 // maintenance now, so that never more of a wave are down than allowed. What is
@@ -7,8 +7,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_SRC_JOBS_WAVEKEEPER_H
-#define TULIPWEIR_SRC_JOBS_WAVEKEEPER_H
+#ifndef TULIPWEIR_SRC_JOBS_WAVEPLANNER_H
+#define TULIPWEIR_SRC_JOBS_WAVEPLANNER_H
 
 #include "tulipweir/core/Time.h"
 #include "tulipweir/jobs/JobBook.h"
@@ -82,4 +82,4 @@
 
 } // namespace tulipweir::jobs
 
-#endif // TULIPWEIR_SRC_JOBS_WAVEKEEPER_H
+#endif // TULIPWEIR_SRC_JOBS_WAVEPLANNER_H
--- a/tests/jobs/AdviceBookTest.cpp
+++ b/tests/jobs/AdviceCacheTest.cpp
@@ -1,6 +1,6 @@
-//===- AdviceBookTest.cpp - What is asked, and what is kept ---------------===//
+//===- AdviceCacheTest.cpp - What is asked, and what is kept ---------------===//
 
-#include "jobs/AdviceBook.h"
+#include "jobs/AdviceCache.h"
 
 #include "jobs/JobFixture.h"
 
--- a/tests/jobs/TailEffectsTest.cpp
+++ b/tests/jobs/InterferenceModelTest.cpp
@@ -1,8 +1,8 @@
-//===- TailEffectsTest.cpp - Learned pairs of images ----------------------===//
+//===- InterferenceModelTest.cpp - Learned pairs of images ----------------------===//
 
-#include "jobs/TailEffects.h"
+#include "jobs/InterferenceModel.h"
 
-#include "jobs/TailLessons.h"
+#include "jobs/InterferenceSamples.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/jobs/TailLessons.h
+++ b/tests/jobs/InterferenceSamples.h
@@ -1,9 +1,9 @@
-//===- TailLessons.h - Pairs of images as they were measured --------------===//
+//===- InterferenceSamples.h - Pairs of images as they were measured --------------===//
 
-#ifndef TULIPWEIR_TESTS_JOBS_TAILLESSONS_H
-#define TULIPWEIR_TESTS_JOBS_TAILLESSONS_H
+#ifndef TULIPWEIR_TESTS_JOBS_INTERFERENCESAMPLES_H
+#define TULIPWEIR_TESTS_JOBS_INTERFERENCESAMPLES_H
 
-#include "jobs/TailEffects.h"
+#include "jobs/InterferenceModel.h"
 
 #include <cmath>
 #include <random>
@@ -36,4 +36,4 @@
 
 } // namespace tulipweir::jobs::test
 
-#endif // TULIPWEIR_TESTS_JOBS_TAILLESSONS_H
+#endif // TULIPWEIR_TESTS_JOBS_INTERFERENCESAMPLES_H
--- a/tests/jobs/PaceGuardTest.cpp
+++ b/tests/jobs/PaceControllerTest.cpp
@@ -1,6 +1,6 @@
-//===- PaceGuardTest.cpp - What a tail over its target does to paces ------===//
+//===- PaceControllerTest.cpp - What a tail over its target does to paces ------===//
 
-#include "jobs/PaceGuard.h"
+#include "jobs/PaceController.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/jobs/PacePlanTest.cpp
+++ b/tests/jobs/PacePlanTest.cpp
@@ -7,7 +7,7 @@
 
 #include "jobs/PacePlan.h"
 
-#include "jobs/TailLessons.h"
+#include "jobs/InterferenceSamples.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/jobs/ServiceOrderTest.cpp
+++ b/tests/jobs/SchedulingOrderTest.cpp
@@ -1,6 +1,6 @@
-//===- ServiceOrderTest.cpp - When the order of service is made anew ------===//
+//===- SchedulingOrderTest.cpp - When the order of service is made anew ------===//
 
-#include "jobs/ServiceOrder.h"
+#include "jobs/SchedulingOrder.h"
 
 #include "jobs/JobFixture.h"
 
--- a/tests/jobs/TailRoomTest.cpp
+++ b/tests/jobs/TailHeadroomTest.cpp
@@ -1,9 +1,9 @@
-//===- TailRoomTest.cpp - What serving tasks on a server still bear -------===//
+//===- TailHeadroomTest.cpp - What serving tasks on a server still bear -------===//
 
-#include "jobs/TailRoom.h"
+#include "jobs/TailHeadroom.h"
 
 #include "jobs/JobFixture.h"
-#include "jobs/TailLessons.h"
+#include "jobs/InterferenceSamples.h"
 
 #include <cmath>
 
--- a/tests/jobs/TailLearnerTest.cpp
+++ b/tests/jobs/TailLearnerTest.cpp
@@ -3,7 +3,7 @@
 #include "jobs/TailLearner.h"
 
 #include "jobs/JobFixture.h"
-#include "jobs/TailLessons.h"
+#include "jobs/InterferenceSamples.h"
 
 #include <cmath>
 #include <random>
--- a/tests/jobs/WaveKeeperTest.cpp
+++ b/tests/jobs/WavePlannerTest.cpp
@@ -1,6 +1,6 @@
-//===- WaveKeeperTest.cpp - Which VM goes into maintenance next -----------===//
+//===- WavePlannerTest.cpp - Which VM goes into maintenance next -----------===//
 
-#include "jobs/WaveKeeper.h"
+#include "jobs/WavePlanner.h"
 
 #include "jobs/JobFixture.h"
 
