--- a/bench/jobs/JobsBench.cpp
+++ b/bench/jobs/JobsBench.cpp
@@ -1,5 +1,4 @@
 //===- JobsBench.cpp - Ratios of the jobs' hot paths
-//------------------------===//
 //
 // Prints, from one run: committing 100 starts in one command against 100
 // commands, with real syncs; and the cost of a planned start with 350 servers
@@ -144,11 +143,11 @@
       Book.apply(Command(makeJob(I, TasksPerJob)));
     ServerBoard Board;
     Board.reset(Book, now(), std::chrono::hours(1));
-    TailEffects Effects;
+    InterferenceModel Effects;
     ServingLoads Loads;
-    PaceGuard Paces;
+    PaceController Paces;
     ServerHealth Health;
-    AdviceBook Advice;
+    AdviceCache Advice;
     Dispatcher Planner(Effects, Loads, Paces, Health, Advice);
     Planner.survey(Book, Board, now()); // As at every tick.
     for (std::uint64_t I = 0; I < Servers; ++I) {
@@ -158,7 +157,7 @@
       Total += microsSince(Begin);
       Starts += Plan.size();
       Book.apply(Command(StartTasks{Plan}));
-      Planner.settle(Plan);
+      Planner.releaseProposed(Plan);
     }
   }
   return Total / double(Starts);
--- a/bench/platform/FleetWorld.cpp
+++ b/bench/platform/FleetWorld.cpp
@@ -23,7 +23,7 @@
 static constexpr double TailTargetMs = 150;
 static constexpr double UsualTailMs = 60;
 
-static bool isDisturbing(int Serving, int Filling) {
+static bool isInterfering(int Serving, int Filling) {
   return (Serving * 7 + Filling * 13 + Serving * Filling * 5) % 20 <
          DisturbingOfTwenty;
 }
@@ -132,7 +132,7 @@
   double Share = 0;
   for (const auto &[Name, Each] : Own.Running_)
     if (Each.Kind_[0] == 'f' &&
-        isDisturbing(Image, std::stoi(Each.Kind_.substr(1))))
+        isInterfering(Image, std::stoi(Each.Kind_.substr(1))))
       Share += double(Each.Cpu_) * Each.Pace_ / double(ServerCpu);
   const double Excess = std::max(0.0, Share - QuietShare);
   return draw(UsualTailMs, 0.35) * std::exp(10 * Excess);
--- a/bench/platform/HeartbeatBench.cpp
+++ b/bench/platform/HeartbeatBench.cpp
@@ -1,5 +1,4 @@
 //===- HeartbeatBench.cpp - A heartbeat from its bytes to its answer
-//--------===//
 //
 // Heartbeats with 20 running entries and 2 ends each through the adapter's
 // codec and the leader's whole handling, over a replica that commits at once,
@@ -38,8 +37,8 @@
   ManualReplica Group(Machine);
   NoEventLog Log;
   NoJobMeter Meter;
-  NoAdvisor Advisor;
-  NoVmProvider Provider;
+  NullAdvisor Advisor;
+  NullVmProvider Provider;
   NoReportRelays Relays;
   JobLeader Leader({}, Time, Strand, Group, Machine, Advisor, Provider, Relays,
                    Log, Meter);
--- a/bench/platform/LeaderTarget.h
+++ b/bench/platform/LeaderTarget.h
@@ -35,8 +35,8 @@
   jobs::test::ManualReplica Group_{Machine_};
   NoEventLog Log_;
   jobs::NoJobMeter Meter_;
-  jobs::NoAdvisor Advisor_;
-  jobs::NoVmProvider Provider_;
+  jobs::NullAdvisor Advisor_;
+  jobs::NullVmProvider Provider_;
   jobs::NoReportRelays Relays_;
   jobs::JobLeader Leader_{{},       Time_,     Strand_, Group_, Machine_,
                           Advisor_, Provider_, Relays_, Log_,   Meter_};
--- a/include/tulipweir/jobs/Advisor.h
+++ b/include/tulipweir/jobs/Advisor.h
@@ -1,8 +1,8 @@
-//===- Advisor.h - Which servers may run a step ----------------*- C++ -*-===//
+//===- Advisor.h - Interface of the external advice service ----*- C++ -*-===//
 //
-// Some queues leave it to another service which servers may run a step. It is
-// asked about some servers at a time and names those that may, each with a
-// ticket that a start there has to carry.
+// Some queues let an external service decide which backend servers may run a
+// step. Each request names some servers; the answer lists the eligible ones,
+// each with a ticket that the start order on that server must carry.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,16 +28,17 @@
   auto operator<=>(const StepKey &) const = default;
 };
 
-/// A server that may run the step.
-struct AdvisedServer {
-  std::string Server_; ///< This incarnation of it.
+/// A server that is eligible to run the step.
+struct EligibleServer {
+  std::string Server_; ///< The server's id, which names one incarnation.
   std::string Ticket_;
-  bool operator==(const AdvisedServer &) const = default;
+  bool operator==(const EligibleServer &) const = default;
 };
 
 struct Advice {
-  std::vector<AdvisedServer> Good_;
-  /// How long the tickets hold; zero: as the queue's configuration says.
+  std::vector<EligibleServer> EligibleServers_;
+  /// How long the tickets are valid; zero means the time that the queue's
+  /// configuration sets.
   Duration ValidFor_{};
   bool operator==(const Advice &) const = default;
 };
@@ -47,21 +48,22 @@
   using Done = std::function<void(Outcome<Advice>)>;
 
   virtual ~Advisor() = default;
-  /// False where the deployment has no such service.
-  virtual bool isThere() const = 0;
-  /// Calls Done once, on any thread, after Limit at the latest. Fails with
-  /// Overfull when the service has too much to do.
+  /// Returns false if the deployment has no advice service.
+  virtual bool isAvailable() const = 0;
+  /// Calls Reply once, on any thread, within Limit. Fails with Overfull if the
+  /// service is overloaded.
   virtual void ask(const StepKey &Step, const std::vector<std::string> &Servers,
                    Duration Limit, Done Reply) = 0;
 };
 
-/// For deployments without such a service.
-class NoAdvisor final : public Advisor {
+/// Used by deployments without an advice service.
+class NullAdvisor final : public Advisor {
 public:
-  bool isThere() const override { return false; }
+  bool isAvailable() const override { return false; }
   void ask(const StepKey &, const std::vector<std::string> &, Duration,
            Done Reply) override {
-    Reply(fail(ErrorCode::Unavailable, "there is no advice service"));
+    Reply(
+        fail(ErrorCode::Unavailable, "this deployment has no advice service"));
   }
 };
 
--- a/include/tulipweir/jobs/Waves.h
+++ b/include/tulipweir/jobs/Waves.h
@@ -1,9 +1,9 @@
-//===- Waves.h - Planned maintenance of VMs --------------------*- C++ -*-===//
+//===- Waves.h - Planned maintenance of VMs in waves -----------*- C++ -*-===//
 //
-// An operator orders a wave: each of some VMs is to have its maintenance by a
-// time, at most so many of them at once. Which of them have begun it is
-// replicated, so that a new leader goes on where the last one was. Part of
-// JobBook's state.
+// An operator orders a wave: every VM of a list is to be put into maintenance
+// by a deadline, with a limit on how many are down at once. The VMs whose
+// maintenance has begun are replicated as a part of JobBook's state, so that a
+// new leader continues where the last one stopped.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,14 +20,14 @@
 struct WaveSpec {
   std::uint64_t Id_ = 0;
   std::vector<std::string> Vms_;
-  std::uint64_t DeadlineMs_ = 0; ///< From its acceptance.
-  std::uint64_t MostAtOnce_ = 1; ///< Of its VMs in maintenance.
+  std::uint64_t DeadlineMs_ = 0; ///< Counted from the acceptance of the wave.
+  std::uint64_t MaxConcurrent_ = 1; ///< Of its VMs that are in maintenance.
   bool operator==(const WaveSpec &) const = default;
 };
 
 struct WaveRecord {
   WaveSpec Spec_;
-  /// VMs whose maintenance has begun for certain, or that are no more.
+  /// VMs whose maintenance has certainly begun, or that no longer exist.
   std::vector<std::string> Begun_;
   bool operator==(const WaveRecord &) const = default;
 
@@ -35,23 +35,23 @@
   bool isCompleted() const { return Begun_.size() == Spec_.Vms_.size(); }
 };
 
-/// Not thread-safe.
+/// Holds the waves of the data centre. Not thread-safe.
 class WaveBook {
 public:
-  // Commands. Each says whether it changed anything.
+  // Commands. Each returns whether it changed anything.
 
-  /// Nothing changes for a number that is known.
+  /// Adds a wave; does nothing if its id is already known.
   bool start(const WaveSpec &Spec);
-  bool noteBegun(std::uint64_t Wave, const std::string &Vm);
+  bool markBegun(std::uint64_t Wave, const std::string &Vm);
 
   // Queries.
 
   const WaveRecord *find(std::uint64_t Wave) const;
   const std::map<std::uint64_t, WaveRecord> &waves() const { return Waves_; }
-  /// Whether any wave is not completed.
-  bool isAnyOpen() const;
+  /// Returns whether any wave is not completed.
+  bool hasOpenWave() const;
 
-  static WaveBook makeOf(std::vector<WaveRecord> Records);
+  static WaveBook makeFrom(std::vector<WaveRecord> Records);
 
 private:
   std::map<std::uint64_t, WaveRecord> Waves_;
--- a/src/jobs/AdviceCache.cpp
+++ b/src/jobs/AdviceCache.cpp
@@ -7,63 +7,66 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-/// An order is on its way for that long at most: what comes later is dropped.
-static constexpr Duration OrderTime = 1s;
-/// Short-lived tickets are used up to that part of their time.
-static constexpr int TicketMarginPart = 4;
-/// An answer takes longer for each server in the question; the users count on
-/// one call about 30 servers for each step.
-static constexpr std::size_t MostAsked = 30;
-static constexpr std::size_t LeastAsked = 4;
-/// More than the expected number, as room may be taken meanwhile.
-static constexpr double Spare = 1.5;
-/// Before anything is known, half of the servers are taken to be good.
-static constexpr double FirstAsked = 8;
-static constexpr double FirstGood = 4;
+/// A start order that takes longer than this to arrive is dropped.
+static constexpr Duration MaxOrderDelay = 1s;
+/// At most this fraction of a ticket's lifetime is kept as a margin, so that
+/// short-lived tickets stay usable.
+static constexpr int TicketMarginDivisor = 4;
+/// The service takes longer for each server in a request; users expect one call
+/// with about 30 servers per step.
+static constexpr std::size_t MaxServersPerRequest = 30;
+static constexpr std::size_t MinServersPerRequest = 4;
+/// Requests ask for more servers than expected to be needed, as other tasks may
+/// take their capacity meanwhile.
+static constexpr double OversamplingFactor = 1.5;
+/// Prior for the share of eligible servers: one half.
+static constexpr double PriorAsked = 8;
+static constexpr double PriorEligible = 4;
 
-void AdviceBook::reset() {
+void AdviceCache::reset() {
   Steps_.clear();
-  Asked_ = 0;
-  Good_ = 0;
+  AskedCount_ = 0;
+  EligibleCount_ = 0;
 }
 
-void AdviceBook::note(const AdviceQuestion &Question, const Advice &Answer,
-                      TimePoint Now) {
+void AdviceCache::addAnswer(const AdviceRequest &Request, const Advice &Answer,
+                            TimePoint Now) {
   const Duration Valid =
       Answer.ValidFor_ > Duration(0)
           ? Answer.ValidFor_
-          : Duration(std::chrono::milliseconds(Question.Times_.ValidMs_));
-  const Duration Margin = std::min(OrderTime, Valid / TicketMarginPart);
-  SaidOfServers &Servers = Steps_[Question.Step_];
-  for (const std::string &Id : Question.Servers_)
+          : Duration(std::chrono::milliseconds(Request.Times_.ValidMs_));
+  const Duration Margin = std::min(MaxOrderDelay, Valid / TicketMarginDivisor);
+  ServerAdviceMap &Servers = Steps_[Request.Step_];
+  for (const std::string &Id : Request.Servers_)
     Servers[Id] = {};
-  for (const AdvisedServer &Each : Answer.Good_)
-    Servers[Each.Server_] = {true, Each.Ticket_, Now + Valid - Margin};
-  Asked_ += double(Question.Servers_.size());
-  Good_ += double(Answer.Good_.size());
+  for (const EligibleServer &Server : Answer.EligibleServers_)
+    Servers[Server.Server_] = {true, Server.Ticket_, Now + Valid - Margin};
+  AskedCount_ += double(Request.Servers_.size());
+  EligibleCount_ += double(Answer.EligibleServers_.size());
 }
 
-void AdviceBook::prune(const JobBook &Book) {
-  std::erase_if(Steps_, [&Book](const auto &Each) {
-    const JobRecord *Job = Book.findJob(Each.first.Job_);
+void AdviceCache::prune(const JobBook &Book) {
+  std::erase_if(Steps_, [&Book](const auto &Entry) {
+    const JobRecord *Job = Book.findJob(Entry.first.Job_);
     return !Job || isEnded(Job->State_);
   });
 }
 
-const std::string *AdviceBook::findTicket(const StepKey &Step,
-                                          const std::string &ServerId,
-                                          TimePoint Now) const {
+const std::string *AdviceCache::findTicket(const StepKey &Step,
+                                           const std::string &ServerId,
+                                           TimePoint Now) const {
   const auto Servers = Steps_.find(Step);
   if (Servers == Steps_.end())
     return nullptr;
-  const auto Found = Servers->second.find(ServerId);
-  const bool Holds = Found != Servers->second.end() && Found->second.MayRun_ &&
-                     Now < Found->second.Until_;
-  return Holds ? &Found->second.Ticket_ : nullptr;
+  const auto It = Servers->second.find(ServerId);
+  const bool Holds = It != Servers->second.end() && It->second.IsEligible_ &&
+                     Now < It->second.Until_;
+  return Holds ? &It->second.Ticket_ : nullptr;
 }
 
-/// How many of the step's tasks fit on servers with a ticket.
-std::uint64_t AdviceBook::countOpen(
+/// Counts how many of the step's tasks fit on usable servers with a valid
+/// ticket.
+std::uint64_t AdviceCache::countStartable(
     const JobBook &Book, const ReadyStep &Ready,
     const std::function<bool(const std::string &ServerId)> &IsUsable,
     TimePoint Now) const {
@@ -74,29 +77,31 @@
   const StepSpec &Step = Book.findJob(Ready.Job_)->Spec_.Steps_[Ready.Step_];
   const Resources Need = Step.getReserved();
   std::uint64_t Count = 0;
-  for (const auto &[Id, Said] : Servers->second) {
+  for (const auto &[Id, Cached] : Servers->second) {
     const ServerRecord *Server = Book.findServer(Id);
-    if (!Server || !Said.MayRun_ || Said.Until_ <= Now || !IsUsable(Id))
+    if (!Server || !Cached.IsEligible_ || Cached.Until_ <= Now || !IsUsable(Id))
       continue;
     Resources Free = Server->Facts_.Capacity_ - Server->Used_;
-    std::uint64_t Here = 0;
-    for (; Need.fitsIn(Free) && Here < Step.Count_; Free = Free - Need)
-      ++Here;
+    std::uint64_t CountHere = 0;
+    for (; Need.fitsIn(Free) && CountHere < Step.Count_; Free = Free - Need)
+      ++CountHere;
     if (Step.SpreadLimit_ > 0)
-      Here = std::min(Here, Step.SpreadLimit_);
-    Count += Here;
+      CountHere = std::min(CountHere, Step.SpreadLimit_);
+    Count += CountHere;
   }
   return Count;
 }
 
-std::size_t AdviceBook::planCount(std::uint64_t Missing) const {
-  const double Part = (Good_ + FirstGood) / (Asked_ + FirstAsked);
-  const double Wanted = std::ceil(double(Missing) * Spare / Part);
-  return static_cast<std::size_t>(
-      std::clamp(Wanted, double(LeastAsked), double(MostAsked)));
+std::size_t AdviceCache::computeRequestSize(std::uint64_t Missing) const {
+  const double EligibleShare =
+      (EligibleCount_ + PriorEligible) / (AskedCount_ + PriorAsked);
+  const double Size =
+      std::ceil(double(Missing) * OversamplingFactor / EligibleShare);
+  return static_cast<std::size_t>(std::clamp(Size, double(MinServersPerRequest),
+                                             double(MaxServersPerRequest)));
 }
 
-std::optional<AdviceQuestion> AdviceBook::findQuestion(
+std::optional<AdviceRequest> AdviceCache::findNextRequest(
     const JobBook &Book,
     const std::function<bool(const std::string &ServerId)> &IsUsable,
     TimePoint Now) const {
@@ -107,28 +112,28 @@
     const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
     const std::uint64_t Waiting =
         Job.findOccurrence(Ready.Occurrence_)->Steps_[Ready.Step_].Waiting_;
-    const std::uint64_t Open = countOpen(Book, Ready, IsUsable, Now);
-    if (Open >= Waiting)
+    const std::uint64_t Startable = countStartable(Book, Ready, IsUsable, Now);
+    if (Startable >= Waiting)
       continue;
-    AdviceQuestion Question;
-    Question.Step_ = {Ready.Job_, Ready.Occurrence_, Ready.Step_};
-    Question.Times_ = Job.Policy_.Advice_;
-    const auto Known = Steps_.find(Question.Step_);
-    // Those known to be good come first, then the data's rack, then the most
-    // free processors.
+    AdviceRequest Request;
+    Request.Step_ = {Ready.Job_, Ready.Occurrence_, Ready.Step_};
+    Request.Times_ = Job.Policy_.Advice_;
+    const auto CachedServers = Steps_.find(Request.Step_);
+    // Known eligible servers come first, then the rack of the step's data, then
+    // the servers with the most free processors.
     std::vector<std::tuple<bool, bool, std::int64_t, std::string>> Candidates;
     for (const auto &[Id, Server] : Book.servers()) {
       const Resources Free = Server.Facts_.Capacity_ - Server.Used_;
       const bool IsFit = Server.Facts_.Service_ == Job.Policy_.Service_ &&
                          Server.Facts_.hasLabel(Step.Label_) &&
                          Step.getReserved().fitsIn(Free) && IsUsable(Id);
-      if (!IsFit || findTicket(Question.Step_, Id, Now))
+      if (!IsFit || findTicket(Request.Step_, Id, Now))
         continue;
       bool IsGood = false;
-      if (Known != Steps_.end())
-        if (const auto Said = Known->second.find(Id);
-            Said != Known->second.end()) {
-          if (!Said->second.MayRun_)
+      if (CachedServers != Steps_.end())
+        if (const auto Cached = CachedServers->second.find(Id);
+            Cached != CachedServers->second.end()) {
+          if (!Cached->second.IsEligible_)
             continue;
           IsGood = true;
         }
@@ -139,10 +144,11 @@
     if (Candidates.empty())
       continue;
     std::sort(Candidates.begin(), Candidates.end());
-    Candidates.resize(std::min(Candidates.size(), planCount(Waiting - Open)));
-    for (auto &Each : Candidates)
-      Question.Servers_.push_back(std::move(std::get<std::string>(Each)));
-    return Question;
+    Candidates.resize(
+        std::min(Candidates.size(), computeRequestSize(Waiting - Startable)));
+    for (auto &Chosen : Candidates)
+      Request.Servers_.push_back(std::move(std::get<std::string>(Chosen)));
+    return Request;
   }
   return std::nullopt;
 }
--- a/src/jobs/AdviceCache.h
+++ b/src/jobs/AdviceCache.h
@@ -1,8 +1,9 @@
-//===- AdviceCache.h - What the advice service has said ---------*- C++ -*-===//
+//===- AdviceCache.h - Cached answers of the advice service ----*- C++ -*-===//
 //
-// Keeps, for each step of a queue that needs advice, which servers may run it,
-// with their tickets, and decides what to ask next. Whether a server may run a
-// step never changes for one incarnation; only its ticket expires.
+// For each step of a queue that needs advice, the cache holds the servers that
+// may run it, with their tickets, and computes the next request. The
+// eligibility of one server incarnation never changes; only its ticket
+// expires.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,59 +19,59 @@
 
 namespace tulipweir::jobs {
 
-/// One call to the advice service.
-struct AdviceQuestion {
+/// A request to the advice service.
+struct AdviceRequest {
   StepKey Step_;
   std::vector<std::string> Servers_;
-  AdviceTimes Times_; ///< Of the step's queue.
-  bool operator==(const AdviceQuestion &) const = default;
+  AdviceTimes Times_; ///< The settings of the step's queue.
+  bool operator==(const AdviceRequest &) const = default;
 };
 
-/// Not thread-safe.
-class AdviceBook {
+/// Answers of the advice service by step and server. Not thread-safe.
+class AdviceCache {
 public:
   // Commands.
 
   void reset();
-  /// Takes in the answer to a question.
-  void note(const AdviceQuestion &Question, const Advice &Answer,
-            TimePoint Now);
-  /// Forgets steps of jobs that have ended.
+  /// Stores the answer to a request.
+  void addAnswer(const AdviceRequest &Request, const Advice &Answer,
+                 TimePoint Now);
+  /// Removes the steps of jobs that have ended.
   void prune(const JobBook &Book);
 
   // Queries.
 
-  /// The ticket with which the step may start on the server if the order gets
-  /// there soon; nullptr without one.
+  /// Returns the ticket with which the step may start on the server, if it
+  /// stays valid until a start order arrives; otherwise nullptr.
   const std::string *findTicket(const StepKey &Step,
                                 const std::string &ServerId,
                                 TimePoint Now) const;
-  /// What to ask next: the first step in the order of service that has fewer
-  /// servers to go to than tasks that wait, and the servers that have the most
-  /// room among those that may be used. Nothing if all is known.
-  std::optional<AdviceQuestion>
-  findQuestion(const JobBook &Book,
-               const std::function<bool(const std::string &ServerId)> &IsUsable,
-               TimePoint Now) const;
+  /// Returns the next request: the first step in scheduling order with fewer
+  /// startable places than waiting tasks, and the usable servers with the most
+  /// free capacity. Returns nothing if no request is needed.
+  std::optional<AdviceRequest> findNextRequest(
+      const JobBook &Book,
+      const std::function<bool(const std::string &ServerId)> &IsUsable,
+      TimePoint Now) const;
 
 private:
-  struct Said {
-    bool MayRun_ = false;
+  struct ServerAdvice {
+    bool IsEligible_ = false;
     std::string Ticket_;
-    TimePoint Until_{}; ///< The ticket holds until then.
+    TimePoint Until_{}; ///< The ticket is valid until this time.
   };
-  using SaidOfServers = std::map<std::string, Said>;
+  using ServerAdviceMap = std::map<std::string, ServerAdvice>;
 
-  std::uint64_t
-  countOpen(const JobBook &Book, const ReadyStep &Ready,
-            const std::function<bool(const std::string &ServerId)> &IsUsable,
-            TimePoint Now) const;
-  std::size_t planCount(std::uint64_t Missing) const;
+  std::uint64_t countStartable(
+      const JobBook &Book, const ReadyStep &Ready,
+      const std::function<bool(const std::string &ServerId)> &IsUsable,
+      TimePoint Now) const;
+  std::size_t computeRequestSize(std::uint64_t Missing) const;
 
-  std::map<StepKey, SaidOfServers> Steps_;
-  /// Of all servers asked about so far, how many could be used.
-  double Asked_ = 0;
-  double Good_ = 0;
+  std::map<StepKey, ServerAdviceMap> Steps_;
+  /// Over all answers: the servers asked about, and the eligible ones.
+  double AskedCount_ = 0;
+  double EligibleCount_ = 0;
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/CapacitySurvey.h
+++ b/src/jobs/CapacitySurvey.h
@@ -1,20 +1,20 @@
-//===- CapacitySurvey.h - Where there is room, over all servers ----*- C++ -*-===//
+//===- CapacitySurvey.h - Free capacity over all servers -------*- C++ -*-===//
 //
-// A plan is made for one server at a time; whether a task would do better
-// elsewhere is known from the last survey of all of them, some twenty a second.
-// Pure.
+// A plan covers one server at a time. Whether a task would run better on
+// another server is taken from the last survey of all servers, which is
+// updated some twenty times a second. Pure.
 //
 //===----------------------------------------------------------------------===//
 
 #ifndef TULIPWEIR_SRC_JOBS_CAPACITYSURVEY_H
 #define TULIPWEIR_SRC_JOBS_CAPACITYSURVEY_H
 
+#include "jobs/InterferenceModel.h"
 #include "jobs/ReadyTimes.h"
+#include "jobs/RemainingCapacity.h"
 #include "jobs/ServerBoard.h"
 #include "jobs/ServerHealth.h"
-#include "jobs/RemainingCapacity.h"
 #include "jobs/ServingLoads.h"
-#include "jobs/InterferenceModel.h"
 #include "jobs/TailHeadroom.h"
 
 #include <limits>
@@ -25,65 +25,73 @@
 
 namespace tulipweir::jobs {
 
-/// Not thread-safe.
-class RoomSurvey {
+/// Free capacity of the whole fleet. Not thread-safe.
+class CapacitySurvey {
 public:
-  /// Both must outlive it.
-  RoomSurvey(const TailEffects &Effects, const ServingLoads &Loads,
-             const ServerHealth &Health)
-      : Effects_(Effects), Loads_(Loads), Health_(Health) {}
+  /// All arguments must outlive the survey.
+  CapacitySurvey(const InterferenceModel &Interference,
+                 const ServingLoads &Loads, const ServerHealth &Health)
+      : Interference_(Interference), Loads_(Loads), Health_(Health) {}
 
   // Commands.
 
-  void take(const JobBook &Book, const ServerBoard &Board, ReadyTimes &Waits,
-            TimePoint Now);
-  /// Takes idle processors where the step's filling image disturbs nothing, if
-  /// there are enough. Images are surveyed once they were asked about.
-  bool takeSafeRoom(const StepSpec &Step);
+  void update(const JobBook &Book, const ServerBoard &Board, ReadyTimes &Waits,
+              TimePoint Now);
+  /// Claims idle processors on servers where the step's filling image lengthens
+  /// no tail, if there are enough. An image is included in surveys once it was
+  /// asked for.
+  bool claimInterferenceFreeCpus(const StepSpec &Step);
 
-  // Queries, all as of the last survey.
+  // Queries; all answers are as of the last survey.
 
-  /// Whether so many tasks that need so much fit where only their image serves.
-  bool hasRoomAmongEquals(const std::string &Image, const Resources &Need,
-                          std::uint64_t Tasks) const;
-  /// Whether one fits where nothing serves.
-  bool hasRoomAlone(const Resources &Need) const;
-  /// What is kept on the server for a task that lasts; nullptr for nothing.
-  const Resources *findHeld(const std::string &ServerId) const;
-  bool isAnyLastingWaiting() const { return AnyLastingWaits_; }
-  /// Whether most of the processors are not reserved.
-  bool isRoomy() const { return IsRoomy_; }
+  /// Returns whether this number of tasks with this need fits on servers where
+  /// only their own image serves.
+  bool hasCapacityBesideSameImage(const std::string &Image,
+                                  const Resources &Need,
+                                  std::uint64_t Tasks) const;
+  /// Returns whether one task fits on a server without serving tasks.
+  bool hasCapacityWithoutServing(const Resources &Need) const;
+  /// Returns the capacity that is reserved on the server for a long-running
+  /// task, or nullptr.
+  const Resources *findReservation(const std::string &ServerId) const;
+  bool hasWaitingLongRunning() const { return HasWaitingLongRunning_; }
+  /// Returns whether most of the processors are not reserved by tasks.
+  bool hasSpareCapacity() const { return HasSpareCapacity_; }
 
 private:
-  /// A server that takes starts; of the book.
-  struct Usable {
+  /// A server of the book that accepts starts.
+  struct UsableServer {
     const ServerRecord *Server_;
     bool IsSound_;
   };
-  std::vector<Usable> surveyServers(const JobBook &Book,
-                                    const ServerBoard &Board, TimePoint Now);
-  void surveyMoving(const JobBook &Book, const std::vector<Usable> &Servers);
-  void holdRoom(const JobBook &Book, std::vector<Usable> Servers,
-                ReadyTimes &Waits, TimePoint Now);
+  std::vector<UsableServer>
+  surveyServers(const JobBook &Book, const ServerBoard &Board, TimePoint Now);
+  void surveyRelocation(const JobBook &Book,
+                        const std::vector<UsableServer> &Servers);
+  void reserveForLongRunning(const JobBook &Book,
+                             std::vector<UsableServer> Servers,
+                             ReadyTimes &Waits, TimePoint Now);
 
-  const TailEffects &Effects_;
+  const InterferenceModel &Interference_;
   const ServingLoads &Loads_;
   const ServerHealth &Health_;
 
-  /// By filling image, room on servers that would bear one more of its tasks,
-  /// thousandths of processors; for the images that were asked about lately.
-  std::map<std::string, std::int64_t> SafeRoom_;
-  /// These, with the most that one of their tasks needs.
-  std::map<std::string, std::int64_t> MovingImages_;
-  TimePoint NextMoving_{};
-  /// What is free where only that image serves, and where none does, of servers
-  /// that may start something.
-  std::map<std::string, std::vector<Resources>> FreeAmongEquals_;
-  std::vector<Resources> FreeAlone_;
-  /// By server, what is kept there for a task that lasts and has waited long.
-  std::map<std::string, Resources> Held_;
-  bool AnyLastingWaits_ = false;
-  bool IsRoomy_ = false;
+  /// By filling image, the processors (thousandths) on servers that tolerate
+  /// one more of its tasks, for the images that were asked for lately.
+  std::map<std::string, std::int64_t> InterferenceFreeCpus_;
+  /// Images that were asked for since the last survey, with the largest need of
+  /// one of their tasks.
+  std::map<std::string, std::int64_t> RelocatingImages_;
+  TimePoint NextRelocationSurvey_{};
+  /// Free capacity of the servers that may start tasks: by image, of those
+  /// where only that image serves, and of those without serving tasks.
+  std::map<std::string, std::vector<Resources>> FreeBySoleImage_;
+  std::vector<Resources> FreeWithoutServing_;
+  /// By server, the capacity that is reserved for a long-running task that has
+  /// waited too long.
+  std::map<std::string, Resources> Reservations_;
+  bool HasWaitingLongRunning_ = false;
+  bool HasSpareCapacity_ = false;
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/Dispatcher.cpp
+++ b/src/jobs/Dispatcher.cpp
@@ -10,150 +10,168 @@
 using namespace std::chrono_literals;
 
 /// Two report intervals, within which every server of a rack has reported.
-static constexpr Duration RackPatience = 500ms;
-/// How long a serving task waits for a server without other serving images,
-/// while one has room: three report intervals.
-static constexpr Duration CompanyPatience = 1500ms;
-/// How long it waits for a server with its own image rather than an empty one:
-/// one and a half report intervals.
-static constexpr Duration EqualsPatience = 750ms;
-/// Without such room it starts beside other images after MixingPatience, and up
-/// to HarmPatience later the more filling images it would slow there.
-static constexpr Duration MixingPatience = 250ms;
-static constexpr Duration HarmPatience = 1500ms;
-/// How long a filling task waits for a server where it slows no serving task.
-static constexpr Duration DisturbingPatience = 3000ms;
-/// How long a task whose run failed waits for another server: two report
+static constexpr Duration MaxDataRackWait = 500ms;
+/// Longest wait of a serving task for a server without other serving images,
+/// while one has capacity: three report intervals.
+static constexpr Duration MaxUnsharedServerWait = 1500ms;
+/// Longest wait of a serving task for a server with its own image while only an
+/// empty one is offered: one and a half report intervals.
+static constexpr Duration MaxSameImageWait = 750ms;
+/// Without such capacity the task starts beside other images after
+/// MinMixedImagesWait, and up to MaxAddedInterferenceWait later, in
+/// proportion to the filling images that it would slow there.
+static constexpr Duration MinMixedImagesWait = 250ms;
+static constexpr Duration MaxAddedInterferenceWait = 1500ms;
+/// Longest wait of a filling task for a server where it lengthens no tail.
+static constexpr Duration MaxInterferenceWait = 3000ms;
+/// Longest wait of a task whose run failed for another server: two report
 /// intervals.
-static constexpr Duration FailurePatience = 1s;
-/// How long a task waits for processors that filling tasks don't use.
-static constexpr Duration IdlePatience = 150ms;
+static constexpr Duration MaxOtherServerWait = 1s;
+/// Longest wait of a task for processors that filling tasks do not use.
+static constexpr Duration MaxIdleCpusWait = 150ms;
 /// A job without a running task starts on any server after this time, if the
 /// fleet is not full.
-static constexpr Duration IdleJobPatience = 1s;
+static constexpr Duration MaxIdleJobWait = 1s;
 /// A gang that prefers one rack may use several after this time.
-static constexpr Duration GangPatience = 1500ms;
-/// Most starts in one answer to a report.
-static constexpr std::size_t MostStartsAtOnce = 64;
+static constexpr Duration MaxSingleRackWait = 1500ms;
+/// Limits the starts in one answer to a report.
+static constexpr std::size_t MaxStartsPerReport = 64;
 
 static constexpr std::int64_t Unlimited =
     std::numeric_limits<std::int64_t>::max();
 
 void Dispatcher::reset() {
-  Waits_.reset();
-  Taken_.clear();
-  Failed_.clear();
-  Stragglers_.reset();
+  ReadyTimes_.reset();
+  Proposed_.clear();
+  LastFailures_.clear();
+  StragglerDetector_.reset();
   Order_.reset();
   Isolation_.reset();
 }
 
-void Dispatcher::settle(const std::vector<TaskStart> &Starts) {
-  for (const TaskStart &Each : Starts)
-    Taken_.erase(Each.Task_);
+void Dispatcher::releaseProposed(const std::vector<TaskStart> &Starts) {
+  for (const TaskStart &Start : Starts)
+    Proposed_.erase(Start.Task_);
 }
 
-void Dispatcher::noteFailure(const TaskKey &Task, const std::string &ServerId,
-                             TimePoint Now) {
-  Failed_[Task] = {ServerId, Now};
+void Dispatcher::recordFailure(const TaskKey &Task, const std::string &ServerId,
+                               TimePoint Now) {
+  LastFailures_[Task] = {ServerId, Now};
 }
 
-/// Whether the task has just failed on this server, which may be the cause.
-bool Dispatcher::isToAvoid(const TaskKey &Task, const Plan &Own) const {
-  const auto Found = Failed_.find(Task);
-  return Found != Failed_.end() &&
-         Found->second.Server_ == Own.Server_.Facts_.Id_ &&
-         Own.Now_ - Found->second.At_ < FailurePatience;
+/// Returns whether the task has just failed on this server, which may be the
+/// cause.
+bool Dispatcher::hasJustFailedHere(const TaskKey &Task,
+                                   const ServerPlan &Plan) const {
+  const auto It = LastFailures_.find(Task);
+  return It != LastFailures_.end() &&
+         It->second.Server_ == Plan.Server_.Facts_.Id_ &&
+         Plan.Now_ - It->second.At_ < MaxOtherServerWait;
 }
 
 void Dispatcher::prune(const JobBook &Book) {
-  std::erase_if(Failed_, [&Book](const auto &Each) {
-    const TaskRecord *Task = Book.findTask(Each.first);
+  std::erase_if(LastFailures_, [&Book](const auto &Entry) {
+    const TaskRecord *Task = Book.findTask(Entry.first);
     return !Task || Task->State_ == TaskState::Done;
   });
   Isolation_.prune(Book);
-  Waits_.prune(Book);
+  ReadyTimes_.prune(Book);
 }
 
-/// Whether one of the step's tasks fits, near its data unless it has waited for
-/// long.
-bool Dispatcher::hasRoom(const StepSpec &Step, const Plan &Own,
-                         Duration Waited) const {
-  const ServerRoom &Left = Own.Left_;
-  const Resources *Held = Survey_.findHeld(Own.Server_.Facts_.Id_);
-  const bool IsHeld = !Step.LongRunning_ && !Step.Fills_ && Held;
-  const Resources Free = IsHeld ? Left.Free_ - *Held : Left.Free_;
+/// Returns whether one of the step's tasks fits on the server. The server must
+/// be in the rack of the step's data until the step has waited for
+/// MaxDataRackWait.
+bool Dispatcher::hasCapacity(const StepSpec &Step, const ServerPlan &Plan,
+                             Duration Waited) const {
+  const RemainingCapacity &Remaining = Plan.Remaining_;
+  const Resources *Reservation =
+      Survey_.findReservation(Plan.Server_.Facts_.Id_);
+  const bool IsReserved = !Step.LongRunning_ && !Step.Fills_ && Reservation;
+  const Resources Free =
+      IsReserved ? Remaining.Free_ - *Reservation : Remaining.Free_;
   if (!Step.getReserved().fitsIn(Free))
     return false;
-  return Step.DataRack_.empty() || Step.DataRack_ == Own.Server_.Facts_.Rack_ ||
-         Waited >= RackPatience;
+  return Step.DataRack_.empty() ||
+         Step.DataRack_ == Plan.Server_.Facts_.Rack_ ||
+         Waited >= MaxDataRackWait;
 }
 
-/// Whether a task that fits runs well there without slowing others.
-bool Dispatcher::isFit(const StepSpec &Step, Plan &Own, Duration Waited,
-                       bool IsIdleJob, std::uint64_t Waiting) const {
-  const ServerRoom &Left = Own.Left_;
+/// Returns whether a task that fits runs well on the server without slowing
+/// others.
+bool Dispatcher::isSuitable(const StepSpec &Step, ServerPlan &Plan,
+                            Duration Waited, bool IsIdleJob,
+                            std::uint64_t Waiting) const {
+  const RemainingCapacity &Remaining = Plan.Remaining_;
   if (Step.isServing())
-    return isFitToServe(Step, Left, Waited, Waiting);
+    return isSuitableForServing(Step, Remaining, Waited, Waiting);
   if (Step.Fills_)
-    return isFitToFill(Step, Own, Waited, IsIdleJob);
-  return Step.Need_.MilliCpus_ <= Left.Idle_ || Waited >= IdlePatience;
+    return isSuitableForFilling(Step, Plan, Waited, IsIdleJob);
+  return Step.Need_.MilliCpus_ <= Remaining.Idle_ || Waited >= MaxIdleCpusWait;
 }
 
-/// Keeps tasks of one image together: each serving image excludes some filling
-/// images, so servers with several leave room for few.
-bool Dispatcher::isFitToServe(const StepSpec &Step, const ServerRoom &Left,
-                              Duration Waited, std::uint64_t Waiting) const {
-  const bool IsAmongEquals =
-      Left.Serving_.size() == 1 && Left.Serving_.count(Step.Image_) == 1;
-  if (IsAmongEquals)
+/// Keeps tasks of one serving image together: each serving image excludes some
+/// filling images, so a server with several serving images can run few filling
+/// ones.
+bool Dispatcher::isSuitableForServing(const StepSpec &Step,
+                                      const RemainingCapacity &Remaining,
+                                      Duration Waited,
+                                      std::uint64_t Waiting) const {
+  const bool IsOnlyImage = Remaining.Serving_.size() == 1 &&
+                           Remaining.Serving_.count(Step.Image_) == 1;
+  if (IsOnlyImage)
     return true;
-  // A waiting task serves no requests, so it waits only for free room.
-  const bool HasEquals =
-      Survey_.hasRoomAmongEquals(Step.Image_, Step.getReserved(), Waiting);
-  if (Left.Serving_.empty())
-    return !HasEquals || Waited >= EqualsPatience;
-  if (HasEquals || Survey_.hasRoomAlone(Step.getReserved()))
-    return Waited >= CompanyPatience;
-  const double Harm = Effects_.getAddedHarm(Left.Serving_, Step.Image_);
-  const auto More = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double, Duration::period>(HarmPatience) * Harm);
-  return Waited >= MixingPatience + More;
+  // A waiting task serves no requests, so it waits only for free capacity.
+  const bool HasSameImageCapacity = Survey_.hasCapacityBesideSameImage(
+      Step.Image_, Step.getReserved(), Waiting);
+  if (Remaining.Serving_.empty())
+    return !HasSameImageCapacity || Waited >= MaxSameImageWait;
+  if (HasSameImageCapacity ||
+      Survey_.hasCapacityWithoutServing(Step.getReserved()))
+    return Waited >= MaxUnsharedServerWait;
+  const double AddedInterference =
+      Interference_.getAddedInterference(Remaining.Serving_, Step.Image_);
+  const auto ExtraWait = std::chrono::duration_cast<Duration>(
+      std::chrono::duration<double, Duration::period>(
+          MaxAddedInterferenceWait) *
+      AddedInterference);
+  return Waited >= MinMixedImagesWait + ExtraWait;
 }
 
-bool Dispatcher::isFitToFill(const StepSpec &Step, Plan &Own, Duration Waited,
-                             bool IsIdleJob) const {
-  const ServerRoom &Left = Own.Left_;
-  // Bounds the wait while there is room: it is paced where it slows others.
-  if (IsIdleJob && Survey_.isRoomy() && Waited >= IdleJobPatience)
+bool Dispatcher::isSuitableForFilling(const StepSpec &Step, ServerPlan &Plan,
+                                      Duration Waited, bool IsIdleJob) const {
+  const RemainingCapacity &Remaining = Plan.Remaining_;
+  // Bounds the wait while the fleet has spare capacity; the task is slowed down
+  // wherever it lengthens tails.
+  if (IsIdleJob && Survey_.hasSpareCapacity() && Waited >= MaxIdleJobWait)
     return true;
-  if (Step.Need_.MilliCpus_ > Left.Idle_ - Left.KeptIdle_)
+  if (Step.Need_.MilliCpus_ > Remaining.Idle_ - Remaining.IdleReserve_)
     return false;
-  if (Waited < DisturbingPatience &&
-      Effects_.isDisturbingAny(Left.Serving_, Step.Image_))
+  if (Waited < MaxInterferenceWait &&
+      Interference_.isInterferingWithAny(Remaining.Serving_, Step.Image_))
     return false;
-  return Paces_.getGuarded(Own.Server_.Facts_.Id_) == PaceGuard::FullPace &&
-         getTails(Own).fits(Step.Image_, Step.Need_.MilliCpus_);
+  return Paces_.getLimit(Plan.Server_.Facts_.Id_) == PaceController::FullPace &&
+         getHeadroom(Plan).fits(Step.Image_, Step.Need_.MilliCpus_);
 }
 
-TailRoom &Dispatcher::getTails(Plan &Own) const {
-  if (!Own.Tails_)
-    Own.Tails_.emplace(Effects_, Loads_, Own.Server_);
-  return *Own.Tails_;
+TailHeadroom &Dispatcher::getHeadroom(ServerPlan &Plan) const {
+  if (!Plan.Headroom_)
+    Plan.Headroom_.emplace(Interference_, Loads_, Plan.Server_);
+  return *Plan.Headroom_;
 }
 
 void Dispatcher::survey(const JobBook &Book, const ServerBoard &Board,
                         TimePoint Now) {
-  Stragglers_.survey(Book, Board, Now);
-  Survey_.take(Book, Board, Waits_, Now);
+  StragglerDetector_.survey(Book, Board, Now);
+  Survey_.update(Book, Board, ReadyTimes_, Now);
 }
 
-/// Whether only lasting tasks run there.
-static bool isIdleBut(const JobBook &Book, const ServerRecord &Server) {
+/// Returns whether only long-running tasks run on the server.
+static bool hasOnlyLongRunning(const JobBook &Book,
+                               const ServerRecord &Server) {
   return std::all_of(Server.Placed_.begin(), Server.Placed_.end(),
-                     [&Book](const auto &Each) {
-                       return Book.findJob(Each.first.Job_)
-                           ->Spec_.Steps_[Each.first.Step_]
+                     [&Book](const auto &Placed) {
+                       return Book.findJob(Placed.first.Job_)
+                           ->Spec_.Steps_[Placed.first.Step_]
                            .LongRunning_;
                      });
 }
@@ -169,48 +187,49 @@
   const Fitness Fit = Health_.getFitness(ServerId, Now);
   if (!MayStart || Fit == Fitness::Quarantined)
     return {};
-  if (Fit == Fitness::Probation && !isIdleBut(Book, *Server))
+  if (Fit == Fitness::Probation && !hasOnlyLongRunning(Book, *Server))
     return {};
   if (Fit == Fitness::Sound)
     if (const auto Start = planIsolated(Book, Board, *Server, Now)) {
-      Taken_.insert(Start->Task_);
+      Proposed_.insert(Start->Task_);
       return {*Start};
     }
   if (Isolation_.isClosed(Book, Board, *Server, Now))
     return {};
-  Plan Own{*Server,
-           ServerRoom::measure(*Server, Loads_),
-           Now,
-           {},
-           MostStartsAtOnce,
-           std::nullopt,
-           {},
-           {}};
-  Own.Left_.Free_ = Own.Left_.Free_ - Board.measureUnplaced(Book, *Server);
+  ServerPlan Plan{*Server,
+                  RemainingCapacity::compute(*Server, Loads_),
+                  Now,
+                  {},
+                  MaxStartsPerReport,
+                  std::nullopt,
+                  {},
+                  {}};
+  Plan.Remaining_.Free_ =
+      Plan.Remaining_.Free_ - Board.measureUnplaced(Book, *Server);
   if (Fit == Fitness::Probation)
-    Own.MostStarts_ = 1;
-  Order_.update(Book, Waits_, Now, Wall);
+    Plan.MaxStarts_ = 1;
+  Order_.update(Book, ReadyTimes_, Now, Wall);
   const std::size_t Images = Order_.countFillingImages();
-  Own.RefusedWhereItDisturbs_.assign(Images, Unlimited);
-  Own.Refused_.assign(Images, Unlimited);
-  for (const Candidate &Each : Order_.candidates()) {
-    if (isFull(Own))
+  Plan.RejectedCpusAvoidingInterference_.assign(Images, Unlimited);
+  Plan.RejectedCpus_.assign(Images, Unlimited);
+  for (const Candidate &Entry : Order_.candidates()) {
+    if (isFull(Plan))
       break;
-    const bool MayFit =
-        Each.Reserved_.fitsIn(Own.Left_.Free_) &&
-        (Each.IdleNeeded_ <= Own.Left_.Idle_ || Survey_.isRoomy());
-    // Its tasks may all have been placed since the order was made.
-    if (MayFit && !isRefused(Each, Own) &&
-        Book.readySteps().count(Each.Step_) != 0)
-      planStep(Book, Each, Own);
+    const bool MayFit = Entry.Reserved_.fitsIn(Plan.Remaining_.Free_) &&
+                        (Entry.IdleNeeded_ <= Plan.Remaining_.Idle_ ||
+                         Survey_.hasSpareCapacity());
+    // The step's tasks may all have been placed since the order was computed.
+    if (MayFit && !isKnownRejected(Entry, Plan) &&
+        Book.readySteps().count(Entry.Step_) != 0)
+      planStep(Book, Entry, Plan);
   }
-  // A copy would take room that a lasting task waits for.
-  if (!Survey_.isAnyLastingWaiting())
-    planCopies(Book, Own);
-  return std::move(Own.Starts_);
+  // A copy would take capacity that a long-running task waits for.
+  if (!Survey_.hasWaitingLongRunning())
+    planCopies(Book, Plan);
+  return std::move(Plan.Starts_);
 }
 
-/// A suspected task that the server starts by itself.
+/// Returns the suspected task that the server starts in isolation, if any.
 std::optional<TaskStart> Dispatcher::planIsolated(const JobBook &Book,
                                                   const ServerBoard &Board,
                                                   const ServerRecord &Server,
@@ -218,44 +237,45 @@
   const Resources Free = Server.Facts_.Capacity_ - Server.Used_ -
                          Board.measureUnplaced(Book, Server);
   const auto MayRun = [&](const JobRecord &Job, const TaskKey &Task) {
-    return Taken_.count(Task) == 0 &&
+    return Proposed_.count(Task) == 0 &&
            Job.Spec_.Steps_[Task.Step_].getReserved().fitsIn(Free) &&
            isAdvised(Job, Task, Server.Facts_.Id_, Now);
   };
   return Isolation_.plan(Book, Board, Server, Now, MayRun);
 }
 
-/// Starts copies of stragglers. The state machine refuses a second copy, and
-/// one on the server of the first run.
-void Dispatcher::planCopies(const JobBook &Book, Plan &Own) {
-  for (const TaskKey &Task : Stragglers_.list()) {
+/// Starts copies of stragglers. The state machine refuses a second copy, and a
+/// copy on the server of the first run.
+void Dispatcher::planCopies(const JobBook &Book, ServerPlan &Plan) {
+  for (const TaskKey &Task : StragglerDetector_.getLateTasks()) {
     const TaskRecord *Record = Book.findTask(Task);
     const bool IsOpen = Record && Record->State_ == TaskState::Placed &&
-                        Taken_.count(Task) == 0 && !isToAvoid(Task, Own);
-    if (!IsOpen || Own.Starts_.size() >= Own.MostStarts_)
+                        Proposed_.count(Task) == 0 &&
+                        !hasJustFailedHere(Task, Plan);
+    if (!IsOpen || Plan.Starts_.size() >= Plan.MaxStarts_)
       continue;
     const StepSpec &Step = *Book.findStep(Task);
-    const TaskStart Start{Task, Record->LastRun_ + 1, Own.Server_.Facts_.Id_};
-    const bool IsRoomy = Step.getReserved().fitsIn(Own.Left_.Free_) &&
-                         Step.Need_.MilliCpus_ <= Own.Left_.Idle_;
-    if (!IsRoomy || !Book.findObjection(Start).empty() ||
-        !isAdvised(*Book.findJob(Task.Job_), Task, Start.Server_, Own.Now_))
+    const TaskStart Start{Task, Record->LastRun_ + 1, Plan.Server_.Facts_.Id_};
+    const bool FitsHere = Step.getReserved().fitsIn(Plan.Remaining_.Free_) &&
+                          Step.Need_.MilliCpus_ <= Plan.Remaining_.Idle_;
+    if (!FitsHere || !Book.findObjection(Start).empty() ||
+        !isAdvised(*Book.findJob(Task.Job_), Task, Start.Server_, Plan.Now_))
       continue;
-    Own.Starts_.push_back(Start);
-    Taken_.insert(Task);
-    Own.Left_.take(Step);
+    Plan.Starts_.push_back(Start);
+    Proposed_.insert(Task);
+    Plan.Remaining_.place(Step);
   }
 }
 
-/// Whether no waiting task can fit any more.
-bool Dispatcher::isFull(const Plan &Own) const {
-  const ServerRoom &Left = Own.Left_;
-  if (Own.Starts_.size() >= Own.MostStarts_)
+/// Returns whether no waiting task can fit any more.
+bool Dispatcher::isFull(const ServerPlan &Plan) const {
+  const RemainingCapacity &Remaining = Plan.Remaining_;
+  if (Plan.Starts_.size() >= Plan.MaxStarts_)
     return true;
-  const LeastNeeds &Least = Order_.leastNeeds();
-  return Left.Free_.MemoryMib_ < Least.Memory_ ||
-         (Left.Free_.MilliCpus_ < Least.PlainCpus_ &&
-          Left.Idle_ < Least.FillingCpus_);
+  const MinimumNeeds &Minimum = Order_.minimumNeeds();
+  return Remaining.Free_.MemoryMib_ < Minimum.Memory_ ||
+         (Remaining.Free_.MilliCpus_ < Minimum.PlainCpus_ &&
+          Remaining.Idle_ < Minimum.FillingCpus_);
 }
 
 bool Dispatcher::isAdvised(const JobRecord &Job, const TaskKey &Task,
@@ -265,43 +285,48 @@
                             Now);
 }
 
-/// Whether a task of the same image that needs no more was refused.
-bool Dispatcher::isRefused(const Candidate &Step, const Plan &Own) const {
+/// Returns whether this plan already rejected a task of the same image that
+/// needs no more processors.
+bool Dispatcher::isKnownRejected(const Candidate &Step,
+                                 const ServerPlan &Plan) const {
   if (Step.FillingImage_ == Candidate::NotFilling)
     return false;
-  if (Step.IsIdleJob_ && Survey_.isRoomy())
+  if (Step.IsIdleJob_ && Survey_.hasSpareCapacity())
     return false;
-  const bool IsChoosy = Own.Now_ - Step.WaitsSince_ < DisturbingPatience;
-  const std::int64_t Least =
-      IsChoosy ? Own.RefusedWhereItDisturbs_[Step.FillingImage_]
-               : Own.Refused_[Step.FillingImage_];
-  return Step.IdleNeeded_ >= Least;
+  const bool AvoidsInterference =
+      Plan.Now_ - Step.ReadySince_ < MaxInterferenceWait;
+  const std::int64_t Minimum =
+      AvoidsInterference
+          ? Plan.RejectedCpusAvoidingInterference_[Step.FillingImage_]
+          : Plan.RejectedCpus_[Step.FillingImage_];
+  return Step.IdleNeeded_ >= Minimum;
 }
 
-void Dispatcher::refuse(const Candidate &Step, Plan &Own) {
+void Dispatcher::recordRejection(const Candidate &Step, ServerPlan &Plan) {
   if (Step.FillingImage_ == Candidate::NotFilling)
     return;
-  std::int64_t &Choosy = Own.RefusedWhereItDisturbs_[Step.FillingImage_];
-  Choosy = std::min(Choosy, Step.IdleNeeded_);
-  if (Own.Now_ - Step.WaitsSince_ < DisturbingPatience)
+  std::int64_t &AvoidingCpus =
+      Plan.RejectedCpusAvoidingInterference_[Step.FillingImage_];
+  AvoidingCpus = std::min(AvoidingCpus, Step.IdleNeeded_);
+  if (Plan.Now_ - Step.ReadySince_ < MaxInterferenceWait)
     return;
-  std::int64_t &Any = Own.Refused_[Step.FillingImage_];
-  Any = std::min(Any, Step.IdleNeeded_);
+  std::int64_t &AnyCpus = Plan.RejectedCpus_[Step.FillingImage_];
+  AnyCpus = std::min(AnyCpus, Step.IdleNeeded_);
 }
 
-/// Adds the starts of a step's tasks, as far as they fit.
-void Dispatcher::planStep(const JobBook &Book, const Candidate &From,
-                          Plan &Own) {
-  const ReadyStep &Ready = From.Step_;
+/// Adds starts of the step's tasks as long as they fit.
+void Dispatcher::planStep(const JobBook &Book, const Candidate &Entry,
+                          ServerPlan &Plan) {
+  const ReadyStep &Ready = Entry.Step_;
   const JobRecord &Job = *Book.findJob(Ready.Job_);
   const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
   TaskKey Key{Ready.Job_, Ready.Occurrence_, Ready.Step_, 0};
-  const std::string &ServerId = Own.Server_.Facts_.Id_;
-  if (Step.Gang_ || Job.Policy_.Service_ != Own.Server_.Facts_.Service_ ||
-      !isAdvised(Job, Key, ServerId, Own.Now_))
+  const std::string &ServerId = Plan.Server_.Facts_.Id_;
+  if (Step.Gang_ || Job.Policy_.Service_ != Plan.Server_.Facts_.Service_ ||
+      !isAdvised(Job, Key, ServerId, Plan.Now_))
     return;
-  const Duration Waited = Own.Now_ - From.WaitsSince_;
-  std::uint64_t Beside = Own.Server_.countTasksOf(Key);
+  const Duration Waited = Plan.Now_ - Entry.ReadySince_;
+  std::uint64_t TasksHere = Plan.Server_.countTasksOf(Key);
   bool IsIdleJob = Job.Placements_ == 0;
   const StepRecord &Record =
       Job.findOccurrence(Ready.Occurrence_)->Steps_[Ready.Step_];
@@ -311,27 +336,29 @@
     Key.Index_ = Index;
     if (Task.State_ != TaskState::Waiting || Isolation_.isIsolating(Key, Task))
       continue;
-    const bool IsCrowded = Step.SpreadLimit_ > 0 && Beside >= Step.SpreadLimit_;
-    if (IsCrowded || Own.Starts_.size() >= Own.MostStarts_ ||
-        !hasRoom(Step, Own, Waited))
+    const bool IsCrowded =
+        Step.SpreadLimit_ > 0 && TasksHere >= Step.SpreadLimit_;
+    if (IsCrowded || Plan.Starts_.size() >= Plan.MaxStarts_ ||
+        !hasCapacity(Step, Plan, Waited))
       return;
-    if (!isFit(Step, Own, Waited, IsIdleJob, Record.Waiting_))
-      return refuse(From, Own);
+    if (!isSuitable(Step, Plan, Waited, IsIdleJob, Record.Waiting_))
+      return recordRejection(Entry, Plan);
     const TaskStart Start{Key, Task.LastRun_ + 1, ServerId};
-    // Lasting tasks also fail by themselves, and another server may suit
-    // another image better.
-    const bool IsAvoided = !Step.LongRunning_ && isToAvoid(Start.Task_, Own);
-    if (Taken_.count(Start.Task_) != 0 || IsAvoided)
+    // Long-running tasks are not kept away from the server: they also fail for
+    // reasons of their own, and another server may suit another image better.
+    const bool IsAvoided =
+        !Step.LongRunning_ && hasJustFailedHere(Start.Task_, Plan);
+    if (Proposed_.count(Start.Task_) != 0 || IsAvoided)
       continue;
     if (!Book.findObjection(Start).empty())
       return;
-    Own.Starts_.push_back(Start);
-    Taken_.insert(Start.Task_);
+    Plan.Starts_.push_back(Start);
+    Proposed_.insert(Start.Task_);
     IsIdleJob = false;
-    Own.Left_.take(Step);
+    Plan.Remaining_.place(Step);
     if (Step.Fills_)
-      getTails(Own).take(Step.Image_, Step.Need_.MilliCpus_);
-    ++Beside;
+      getHeadroom(Plan).place(Step.Image_, Step.Need_.MilliCpus_);
+    ++TasksHere;
   }
 }
 
@@ -344,10 +371,10 @@
     const StepRecord &Record =
         Job.findOccurrence(Ready.Occurrence_)->Steps_[Ready.Step_];
     const bool IsWhole = Step.Gang_ && Record.Waiting_ == Record.Tasks_.size();
-    const TaskKey First{Ready.Job_, Ready.Occurrence_, Ready.Step_, 0};
-    if (!IsWhole || Taken_.count(First) != 0)
+    const TaskKey FirstTask{Ready.Job_, Ready.Occurrence_, Ready.Step_, 0};
+    if (!IsWhole || Proposed_.count(FirstTask) != 0)
       continue;
-    const bool MaySpread = Waits_.getWait(Ready, Now) >= GangPatience;
+    const bool MaySpread = ReadyTimes_.getWait(Ready, Now) >= MaxSingleRackWait;
     std::vector<TaskStart> Starts =
         planGangStarts(Book, Ready, MaySpread, [&](const ServerRecord &Server) {
           const std::string &Id = Server.Facts_.Id_;
@@ -357,12 +384,12 @@
                  Board.measureUnplaced(Book, Server) == Resources{} &&
                  !Isolation_.isClosed(Book, Board, Server, Now) &&
                  Health_.getFitness(Id, Now) == Fitness::Sound &&
-                 isAdvised(Job, First, Id, Now);
+                 isAdvised(Job, FirstTask, Id, Now);
         });
     if (Starts.empty())
       continue;
-    for (const TaskStart &Each : Starts)
-      Taken_.insert(Each.Task_);
+    for (const TaskStart &Start : Starts)
+      Proposed_.insert(Start.Task_);
     return Starts;
   }
   return {};
@@ -386,11 +413,11 @@
   std::size_t Unlabelled = 0;
   std::size_t Unadvised = 0;
   std::size_t Evacuated = 0;
-  std::size_t Resting = 0;
+  std::size_t Unavailable = 0;
   std::size_t Full = 0;
-  std::size_t Disturbed = 0;
+  std::size_t Interfering = 0;
   std::size_t Busy = 0;
-  std::size_t Open = 0;
+  std::size_t Startable = 0;
   for (const auto &[Id, Server] : Book.servers()) {
     if (Server.Facts_.Service_ != Job.Policy_.Service_)
       continue;
@@ -399,42 +426,44 @@
       continue;
     }
     const ServerLive *Live = Board.find(Id);
-    const ServerRoom Left = ServerRoom::measure(Server, Loads_);
-    const bool IsResting = !Live || !Live->isStaying() ||
-                           Live->NoStartsUntil_ > Now ||
-                           Health_.getFitness(Id, Now) != Fitness::Sound;
+    const RemainingCapacity Remaining =
+        RemainingCapacity::compute(Server, Loads_);
+    const bool IsUnavailable = !Live || !Live->isStaying() ||
+                               Live->NoStartsUntil_ > Now ||
+                               Health_.getFitness(Id, Now) != Fitness::Sound;
     if (Book.isEvacuated(Server.Facts_))
       ++Evacuated;
-    else if (IsResting)
-      ++Resting;
+    else if (IsUnavailable)
+      ++Unavailable;
     else if (!isAdvised(Job, {Step.Job_, Step.Occurrence_, Step.Step_, 0}, Id,
                         Now))
       ++Unadvised;
-    else if (!Spec.getReserved().fitsIn(Left.Free_))
+    else if (!Spec.getReserved().fitsIn(Remaining.Free_))
       ++Full;
-    else if (Spec.Fills_ &&
-             Effects_.isDisturbingAny(Left.Serving_, Spec.Image_))
-      ++Disturbed;
-    else if (Spec.Fills_ && Spec.Need_.MilliCpus_ > Left.Idle_)
+    else if (Spec.Fills_ && Interference_.isInterferingWithAny(
+                                Remaining.Serving_, Spec.Image_))
+      ++Interfering;
+    else if (Spec.Fills_ && Spec.Need_.MilliCpus_ > Remaining.Idle_)
       ++Busy;
     else
-      ++Open;
+      ++Startable;
   }
   std::string Text;
-  const auto Add = [&Text](std::size_t Count, const char *What) {
+  const auto Add = [&Text](std::size_t Count, const char *Reason) {
     if (Count > 0)
-      Text += (Text.empty() ? "" : ", ") + std::to_string(Count) + What;
+      Text += (Text.empty() ? "" : ", ") + std::to_string(Count) + Reason;
   };
   Add(Unlabelled, (" without the label " + Spec.Label_).c_str());
   Add(Unadvised, " without a ticket of the advice service");
   Add(Evacuated, " in a data centre that is being evacuated");
   Add(Full, " full");
-  Add(Disturbed, " where it would disturb");
+  Add(Interfering, " where it would slow serving tasks");
   Add(Busy, " without idle processors");
-  Add(Resting, " leaving, silent or in quarantine");
-  Add(Open, " not asked yet, or kept for others");
+  Add(Unavailable, " leaving, not reporting or quarantined");
+  Add(Startable,
+      " with capacity that is not offered yet, or reserved for others");
   if (Text.empty())
     Text = "no server of its service";
-  Add(Suspected, " tasks to be isolated, as servers crashed under them");
+  Add(Suspected, " tasks waiting for isolation, as their servers crashed");
   return Text;
 }
--- a/src/jobs/Dispatcher.h
+++ b/src/jobs/Dispatcher.h
@@ -1,8 +1,9 @@
-//===- Dispatcher.h - Which task starts on which server --------*- C++ -*-===//
+//===- Dispatcher.h - Chooses the tasks that a server starts ---*- C++ -*-===//
 //
-// Chooses the tasks that a server starts when it reports; the answer carries
-// the orders. A task that would do better elsewhere is held back for a bounded
-// time, then started where it fits. Deterministic: no clock, no I/O.
+// When a server reports, the dispatcher chooses the tasks that it starts; the
+// answer to the report carries the orders. A task that would run better on
+// another server is held back for a bounded time and then started where it
+// fits. Deterministic: reads no clock and does no I/O.
 //
 //===----------------------------------------------------------------------===//
 
@@ -10,16 +11,16 @@
 #define TULIPWEIR_SRC_JOBS_DISPATCHER_H
 
 #include "jobs/AdviceCache.h"
+#include "jobs/CapacitySurvey.h"
+#include "jobs/InterferenceModel.h"
 #include "jobs/IsolationPlanner.h"
 #include "jobs/PaceController.h"
 #include "jobs/ReadyTimes.h"
-#include "jobs/CapacitySurvey.h"
-#include "jobs/ServerBoard.h"
-#include "jobs/ServerHealth.h"
 #include "jobs/RemainingCapacity.h"
 #include "jobs/SchedulingOrder.h"
+#include "jobs/ServerBoard.h"
+#include "jobs/ServerHealth.h"
 #include "jobs/StragglerDetector.h"
-#include "jobs/InterferenceModel.h"
 #include "jobs/TailHeadroom.h"
 
 #include <optional>
@@ -27,106 +28,120 @@
 
 namespace tulipweir::jobs {
 
-/// Not thread-safe.
+/// Plans the starts of tasks. Not thread-safe.
 class Dispatcher {
 public:
-  /// All must outlive it.
-  Dispatcher(const TailEffects &Effects, const ServingLoads &Loads,
-             const PaceGuard &Paces, const ServerHealth &Health,
-             const AdviceBook &Advice)
-      : Effects_(Effects), Loads_(Loads), Paces_(Paces), Health_(Health),
-        Advice_(Advice) {}
+  /// All arguments must outlive the dispatcher.
+  Dispatcher(const InterferenceModel &Interference, const ServingLoads &Loads,
+             const PaceController &Paces, const ServerHealth &Health,
+             const AdviceCache &Advice)
+      : Interference_(Interference), Loads_(Loads), Paces_(Paces),
+        Health_(Health), Advice_(Advice) {}
 
   // Commands.
 
   void reset();
-  /// What the server shall start now. The tasks count as taken until settle.
+  /// Returns the starts for the server. Their tasks are not planned again until
+  /// releaseProposed is called.
   std::vector<TaskStart> plan(const JobBook &Book, const ServerBoard &Board,
                               const std::string &ServerId, TimePoint Now,
                               WallTime Wall);
-  /// The starts were applied or refused.
-  void settle(const std::vector<TaskStart> &Starts);
-  /// Looks at all servers and all that waits; now and then.
+  /// Called once the starts were applied or refused; their tasks may be planned
+  /// again.
+  void releaseProposed(const std::vector<TaskStart> &Starts);
+  /// Updates what depends on all servers and all waiting steps; called
+  /// periodically.
   void survey(const JobBook &Book, const ServerBoard &Board, TimePoint Now);
-  /// Whether a task that hardly works where it is, as it would disturb, is to
-  /// be stopped so that it goes on elsewhere; takes the room that it needs.
-  bool takeSafeRoom(const StepSpec &Step) { return Survey_.takeSafeRoom(Step); }
-  /// Whole gangs that can be placed now, over several servers.
+  /// Returns whether a filling task that is slowed down, as it would lengthen
+  /// tails, is to be stopped so that it continues on another server; claims the
+  /// processors that it needs there.
+  bool claimInterferenceFreeCpus(const StepSpec &Step) {
+    return Survey_.claimInterferenceFreeCpus(Step);
+  }
+  /// Returns the starts of one whole gang that can be placed now, over several
+  /// servers.
   std::vector<TaskStart> planGang(const JobBook &Book, const ServerBoard &Board,
                                   TimePoint Now);
-  /// A run of the task failed there: its next one goes elsewhere, if it can.
-  void noteFailure(const TaskKey &Task, const std::string &ServerId,
-                   TimePoint Now);
-  /// Forgets since when steps that are no longer ready have been waiting.
+  /// Records that a run of the task failed on the server: its next run starts
+  /// on another one, if possible.
+  void recordFailure(const TaskKey &Task, const std::string &ServerId,
+                     TimePoint Now);
+  /// Removes the entries of steps that are no longer ready and of tasks that
+  /// are done.
   void prune(const JobBook &Book);
 
   // Queries.
 
-  /// Why the step's tasks do not start: how many servers stand in which way.
+  /// Returns why the step's tasks do not start: the number of servers for each
+  /// reason.
   std::string explainWait(const JobBook &Book, const ServerBoard &Board,
                           const ReadyStep &Step, TimePoint Now) const;
 
 private:
-  /// A plan for one server in the making.
-  struct Plan {
+  /// The state of a plan for one server.
+  struct ServerPlan {
     const ServerRecord &Server_;
-    ServerRoom Left_;
+    RemainingCapacity Remaining_;
     TimePoint Now_;
     std::vector<TaskStart> Starts_;
-    std::size_t MostStarts_;
-    /// What the tasks that serve there still bear; measured once it is asked
-    /// for, as most reports come while nothing that fills would fit.
-    std::optional<TailRoom> Tails_;
-    /// By filling image, the least processors of a task that was refused: of
-    /// one that still waits for a place where it disturbs nobody, and of any.
-    /// What was refused stays so while the plan is made, for room only shrinks.
-    /// A long queue is mostly that.
-    std::vector<std::int64_t> RefusedWhereItDisturbs_;
-    std::vector<std::int64_t> Refused_;
+    std::size_t MaxStarts_;
+    /// How much filling work the serving tasks on the server tolerate. Computed
+    /// on first use, as most reports come while no waiting filling task would
+    /// fit.
+    std::optional<TailHeadroom> Headroom_;
+    /// By filling image, the smallest processor need of a rejected task: of a
+    /// task that still waits for a server without interference, and of any
+    /// task. A rejection holds for the whole plan, as capacity only shrinks
+    /// meanwhile. Most of a long queue is skipped this way.
+    std::vector<std::int64_t> RejectedCpusAvoidingInterference_;
+    std::vector<std::int64_t> RejectedCpus_;
   };
 
   std::optional<TaskStart> planIsolated(const JobBook &Book,
                                         const ServerBoard &Board,
                                         const ServerRecord &Server,
                                         TimePoint Now);
-  bool isFull(const Plan &Own) const;
-  TailRoom &getTails(Plan &Own) const;
-  /// Whether the step may run there as far as the advice service is asked.
+  bool isFull(const ServerPlan &Plan) const;
+  TailHeadroom &getHeadroom(ServerPlan &Plan) const;
+  /// Returns whether the step needs no advice or has a ticket for the server.
   bool isAdvised(const JobRecord &Job, const TaskKey &Task,
                  const std::string &ServerId, TimePoint Now) const;
-  void planCopies(const JobBook &Book, Plan &Own);
-  bool isRefused(const Candidate &Step, const Plan &Own) const;
-  static void refuse(const Candidate &Step, Plan &Own);
-  void planStep(const JobBook &Book, const Candidate &From, Plan &Own);
-  bool hasRoom(const StepSpec &Step, const Plan &Own, Duration Waited) const;
-  /// IsIdleJob: nothing of the job runs.
-  bool isFit(const StepSpec &Step, Plan &Own, Duration Waited, bool IsIdleJob,
-             std::uint64_t Waiting) const;
-  bool isFitToServe(const StepSpec &Step, const ServerRoom &Left,
-                    Duration Waited, std::uint64_t Waiting) const;
-  bool isFitToFill(const StepSpec &Step, Plan &Own, Duration Waited,
-                   bool IsIdleJob) const;
-
-  const TailEffects &Effects_;
+  void planCopies(const JobBook &Book, ServerPlan &Plan);
+  bool isKnownRejected(const Candidate &Step, const ServerPlan &Plan) const;
+  static void recordRejection(const Candidate &Step, ServerPlan &Plan);
+  void planStep(const JobBook &Book, const Candidate &Entry, ServerPlan &Plan);
+  bool hasCapacity(const StepSpec &Step, const ServerPlan &Plan,
+                   Duration Waited) const;
+  /// IsIdleJob means that nothing of the job runs.
+  bool isSuitable(const StepSpec &Step, ServerPlan &Plan, Duration Waited,
+                  bool IsIdleJob, std::uint64_t Waiting) const;
+  bool isSuitableForServing(const StepSpec &Step,
+                            const RemainingCapacity &Remaining, Duration Waited,
+                            std::uint64_t Waiting) const;
+  bool isSuitableForFilling(const StepSpec &Step, ServerPlan &Plan,
+                            Duration Waited, bool IsIdleJob) const;
+
+  const InterferenceModel &Interference_;
   const ServingLoads &Loads_;
-  const PaceGuard &Paces_;
+  const PaceController &Paces_;
   const ServerHealth &Health_;
-  const AdviceBook &Advice_;
+  const AdviceCache &Advice_;
   IsolationPlanner Isolation_;
 
-  /// Where a task's last run failed, and when.
-  struct FailedAt {
+  /// The server and the time of a task's last failed run.
+  struct TaskFailure {
     std::string Server_;
     TimePoint At_;
   };
-  bool isToAvoid(const TaskKey &Task, const Plan &Own) const;
-
-  std::map<TaskKey, FailedAt> Failed_;
-  ReadyTimes Waits_;
-  RoomSurvey Survey_{Effects_, Loads_, Health_};
-  std::set<TaskKey> Taken_; ///< Proposed, not applied yet.
-  Stragglers Stragglers_;
-  ServiceOrder Order_;
+  bool hasJustFailedHere(const TaskKey &Task, const ServerPlan &Plan) const;
+
+  std::map<TaskKey, TaskFailure> LastFailures_;
+  ReadyTimes ReadyTimes_;
+  CapacitySurvey Survey_{Interference_, Loads_, Health_};
+  /// Tasks with a start that was planned but not applied or refused yet.
+  std::set<TaskKey> Proposed_;
+  StragglerDetector StragglerDetector_;
+  SchedulingOrder Order_;
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/GangPlanner.cpp
+++ b/src/jobs/GangPlanner.cpp
@@ -9,9 +9,10 @@
 
 using Servers = std::vector<const ServerRecord *>;
 
-/// Fills one server after the other; empty if not all tasks fit.
-static std::vector<TaskStart> fill(const JobBook &Book, const ReadyStep &Ready,
-                                   const Servers &Places) {
+/// Fills one server after the other; returns nothing if not all tasks fit.
+static std::vector<TaskStart> placeInOrder(const JobBook &Book,
+                                           const ReadyStep &Ready,
+                                           const Servers &Candidates) {
   const JobRecord &Job = *Book.findJob(Ready.Job_);
   const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
   const StepRecord &Record =
@@ -20,21 +21,21 @@
   for (const TaskRecord &Task : Record.Tasks_)
     Run = std::max(Run, Task.LastRun_);
   std::vector<TaskStart> Starts;
-  for (const ServerRecord *Server : Places) {
+  for (const ServerRecord *Server : Candidates) {
     Resources Free = Server->Facts_.Capacity_ - Server->Used_;
-    std::uint64_t Beside = 0;
+    std::uint64_t TasksHere = 0;
     while (Starts.size() < Record.Tasks_.size()) {
       const TaskStart Start{
           {Ready.Job_, Ready.Occurrence_, Ready.Step_, Starts.size()},
           Run + 1,
           Server->Facts_.Id_};
       const bool IsCrowded =
-          Step.SpreadLimit_ > 0 && Beside >= Step.SpreadLimit_;
+          Step.SpreadLimit_ > 0 && TasksHere >= Step.SpreadLimit_;
       if (IsCrowded || !Step.getReserved().fitsIn(Free) ||
           !Book.findObjection(Start).empty())
         break;
       Free = Free - Step.getReserved();
-      ++Beside;
+      ++TasksHere;
       Starts.push_back(Start);
     }
   }
@@ -60,12 +61,12 @@
       Order.begin(), Order.end(),
       [&Step](const std::string *Rack) { return *Rack == Step.DataRack_; });
   for (const std::string *Rack : Order)
-    if (auto Starts = fill(Book, Ready, Racks[*Rack]); !Starts.empty())
+    if (auto Starts = placeInOrder(Book, Ready, Racks[*Rack]); !Starts.empty())
       return Starts;
   if (Step.SameRack_ && !MaySpread)
     return {};
   Servers All;
   for (const std::string *Rack : Order)
     All.insert(All.end(), Racks[*Rack].begin(), Racks[*Rack].end());
-  return fill(Book, Ready, All);
+  return placeInOrder(Book, Ready, All);
 }
--- a/src/jobs/GangPlanner.h
+++ b/src/jobs/GangPlanner.h
@@ -1,4 +1,4 @@
-//===- GangPlanner.h - Places for all tasks of a gang ----------*- C++ -*-===//
+//===- GangPlanner.h - Placement of all tasks of a gang --------*- C++ -*-===//
 
 #ifndef TULIPWEIR_SRC_JOBS_GANGPLANNER_H
 #define TULIPWEIR_SRC_JOBS_GANGPLANNER_H
@@ -10,10 +10,10 @@
 
 namespace tulipweir::jobs {
 
-/// Starts of all tasks of a gang that waits whole, over the servers that
-/// MayUse allows, or none if there is no room for all. Racks where all fit are
-/// preferred, the data's rack first; a step that has to stay on one rack gets
-/// several only if MaySpread. Pure.
+/// Returns the starts of all tasks of a gang of which no task runs yet, on the
+/// servers that MayUse allows, or nothing if they do not all fit. Racks where
+/// all of them fit are preferred, the data's rack first; a step that has to
+/// stay on one rack gets several racks only if MaySpread. Pure.
 std::vector<TaskStart>
 planGangStarts(const JobBook &Book, const ReadyStep &Ready, bool MaySpread,
                const std::function<bool(const ServerRecord &Server)> &MayUse);
--- a/src/jobs/IsolationPlanner.h
+++ b/src/jobs/IsolationPlanner.h
@@ -1,10 +1,10 @@
-//===- IsolationPlanner.h - Where suspected tasks run alone ----*- C++ -*-===//
+//===- IsolationPlanner.h - Isolated runs of suspected tasks ---*- C++ -*-===//
 //
-// Tasks under which servers crashed start one to a server, and nothing else
-// starts there until the run has proved to be harmless: the next crash then
-// tells the culprit from what ran beside it. The more crashes, the more the
-// planner keeps such tasks from servers that others rely on. Deterministic: no
-// clock, no I/O.
+// A task whose servers crashed is suspected. The planner starts one such task
+// per server and lets nothing else start there until the run has proved
+// harmless, so that the next crash tells the cause from its neighbours. The
+// more crashes a task has, the longer it is kept away from servers that other
+// tasks depend on. Deterministic: reads no clock and does no I/O.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,7 @@
 
 namespace tulipweir::jobs {
 
-/// Not thread-safe.
+/// Plans the starts of suspected tasks. Not thread-safe.
 class IsolationPlanner {
 public:
   using MayRun = std::function<bool(const JobRecord &Job, const TaskKey &Task)>;
@@ -30,23 +30,24 @@
   // Commands.
 
   void reset();
-  /// The suspected task that the server starts now, if any. May: whether other
-  /// reasons speak against the task's start there.
+  /// Returns the suspected task that the server starts now, if any. May tells
+  /// whether other conditions allow the task's start there.
   std::optional<TaskStart> plan(const JobBook &Book, const ServerBoard &Board,
                                 const ServerRecord &Server, TimePoint Now,
                                 const MayRun &May);
-  /// Forgets tasks that no longer wait.
+  /// Removes the entries of tasks that no longer wait.
   void prune(const JobBook &Book);
 
   // Queries.
 
-  /// Whether the task's next run is to be planned here. Tasks with one crash
-  /// are not isolated while there are more of them than servers for that, and
-  /// tasks that last wait only for a bounded time until their third crash.
+  /// Returns whether the task's next run is planned by this class. A task with
+  /// one crash is not isolated while there are more of them than servers for
+  /// isolation; a long-running task waits for isolation for a bounded time
+  /// only, until its third crash.
   bool isIsolating(const TaskKey &Key, const TaskRecord &Task) const;
 
-  /// Whether nothing else may start on the server: a suspected run there is
-  /// not proved yet, or one is about to start.
+  /// Returns whether nothing else may start on the server, as a suspected run
+  /// there is not proved yet or is about to start.
   bool isClosed(const JobBook &Book, const ServerBoard &Board,
                 const ServerRecord &Server, TimePoint Now) const;
 
@@ -55,40 +56,40 @@
     TaskKey Task_;
     TimePoint Until_{};
   };
-  /// Whether the task's last or next run starts without isolation.
-  bool isReleased(const TaskKey &Key, const TaskRecord &Task) const;
-  /// A server that reports, and what a start there depends on.
-  struct Reporter {
+  /// Returns whether the task's last or next run starts without isolation.
+  bool isExempt(const TaskKey &Key, const TaskRecord &Task) const;
+  /// The server that reports, and the inputs that a start there depends on.
+  struct StartContext {
     const JobBook &Book_;
     const ServerBoard &Board_;
     const ServerRecord &Server_;
     TimePoint Now_;
-    const MayRun &May_;
+    const MayRun &MayRun_;
   };
-  std::optional<TaskStart> planReserved(const Reporter &From);
-  std::optional<TaskStart> findStart(const Reporter &From,
+  std::optional<TaskStart> planReserved(const StartContext &Context);
+  std::optional<TaskStart> findStart(const StartContext &Context,
                                      const TaskKey &Key) const;
   void refresh(const JobBook &Book, const ServerBoard &Board, TimePoint Now);
-  void listStable(const JobBook &Book, const ServerBoard &Board);
+  void refreshStable(const JobBook &Book, const ServerBoard &Board);
   bool isReservedElsewhere(const TaskKey &Task, const std::string &Id) const;
   bool isSuitable(const TaskKey &Task, const CrashRecords &Crashes,
                   const ServerBoard &Board, const ServerRecord &Server,
                   TimePoint Now) const;
-  static bool isQuiet(const ServerBoard &Board, const ServerRecord &Server);
+  static bool isSettled(const ServerBoard &Board, const ServerRecord &Server);
 
-  // As of the last refresh, at RefreshedAt_.
-  std::vector<TaskKey> Waiting_; ///< To be isolated; the most urgent first.
-  std::size_t NextLook_ = 0;     ///< Where in Waiting_ the next report begins.
-  bool IsCrowded_ = false;       ///< Too many tasks with one crash.
-  std::size_t Isolated_ = 0;     ///< Runs that are not proved yet.
-  std::set<std::string> Stable_; ///< Services with a server that is.
+  // State as of the last refresh, at RefreshedAt_.
+  std::vector<TaskKey> Waiting_;   ///< The most urgent task first.
+  std::size_t NextConsidered_ = 0; ///< Index in Waiting_ for the next report.
+  bool HasTooManyFirstSuspects_ = false; ///< Too many to isolate each.
+  std::size_t UnprovedRuns_ = 0; ///< Number of runs that are not proved yet.
+  std::set<std::string> StableServices_; ///< With a stable server.
   TimePoint RefreshedAt_{};
 
-  std::map<TaskKey, TimePoint>
-      Since_; ///< When the task was first seen to wait.
-  /// The run that starts without isolation, as the task has waited too long.
-  std::map<TaskKey, std::uint64_t> Released_;
-  std::map<std::string, Reservation> Reserved_; ///< By server.
+  std::map<TaskKey, TimePoint> WaitingSince_; ///< When first seen waiting.
+  /// The run of each task that starts without isolation, as the task waited too
+  /// long.
+  std::map<TaskKey, std::uint64_t> ExemptRuns_;
+  std::map<std::string, Reservation> Reservations_; ///< By server id.
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/JobBook.cpp
+++ b/src/jobs/JobBook.cpp
@@ -158,7 +158,7 @@
 }
 
 CommandResult JobBook::apply(const NoteMaintenance &Value) {
-  return {Waves_.noteBegun(Value.Wave_, Value.Vm_) ? Verdict::Done
+  return {Waves_.markBegun(Value.Wave_, Value.Vm_) ? Verdict::Done
                                                    : Verdict::AlreadyDone,
           {}};
 }
--- a/src/jobs/JobBookImage.cpp
+++ b/src/jobs/JobBookImage.cpp
@@ -69,7 +69,7 @@
     Server.IsAfterCrash_ =
         Book.Incarnations_.isAfterCrash(Server.Facts_.Address_);
   Book.Evacuated_ = {Image.Evacuated_.begin(), Image.Evacuated_.end()};
-  Book.Waves_ = WaveBook::makeOf(std::move(Image.Waves_));
+  Book.Waves_ = WaveBook::makeFrom(std::move(Image.Waves_));
   for (JobRecord &Job : Image.Jobs_)
     Book.Jobs_[Job.Spec_.Id_] = std::move(Job);
   Book.rebuildIndexes();
--- a/src/jobs/JobLeader.cpp
+++ b/src/jobs/JobLeader.cpp
@@ -138,7 +138,7 @@
 /// Also where another leads: reports that it decides teach this member, too.
 void JobLeader::Impl::keepLoads() {
   const TimePoint Now = Time_.now();
-  Loads_.survey(Now);
+  Loads_.updateRanges(Now);
   if (Now < NextForgetting_)
     return;
   NextForgetting_ = Now + PruneInterval;
@@ -283,7 +283,7 @@
   if (Starts.empty())
     return;
   propose(StartTasks{Starts}, [this, Starts](const Outcome<CommandResult> &) {
-    Dispatcher_.settle(Starts);
+    Dispatcher_.releaseProposed(Starts);
   });
 }
 
--- a/src/jobs/JobLeaderAdvice.cpp
+++ b/src/jobs/JobLeaderAdvice.cpp
@@ -12,9 +12,9 @@
 
 void JobLeader::Impl::askAdvice() {
   const TimePoint Now = Time_.now();
-  if (!Advisor_.isThere() || IsAsking_ || Now < NextQuestion_)
+  if (!Advisor_.isAvailable() || IsAsking_ || Now < NextQuestion_)
     return;
-  const std::optional<AdviceQuestion> Question =
+  const std::optional<AdviceRequest> Question =
       Machine_.read([&](const JobBook &Book) {
         const auto IsUsable = [&](const std::string &Id) {
           const ServerRecord *Server = Book.findServer(Id);
@@ -22,7 +22,7 @@
                  Health_.getFitness(Id, Now) == Fitness::Sound;
         };
         Advice_.prune(Book);
-        return Advice_.findQuestion(Book, IsUsable, Now);
+        return Advice_.findNextRequest(Book, IsUsable, Now);
       });
   if (!Question)
     return;
@@ -42,7 +42,7 @@
                });
 }
 
-void JobLeader::Impl::noteAdvice(const AdviceQuestion &Question,
+void JobLeader::Impl::noteAdvice(const AdviceRequest &Question,
                                  const Outcome<Advice> &Answer) {
   IsAsking_ = false;
   Event Line;
@@ -52,8 +52,9 @@
                std::to_string(Question.Step_.Step_);
   Line.Count_ = Question.Servers_.size();
   if (Answer) {
-    Advice_.note(Question, Answer.value(), Time_.now());
-    Line.Outcome_ = std::to_string(Answer.value().Good_.size()) + " may run it";
+    Advice_.addAnswer(Question, Answer.value(), Time_.now());
+    Line.Outcome_ =
+        std::to_string(Answer.value().EligibleServers_.size()) + " may run it";
   } else {
     NextQuestion_ = Time_.now() + ErrorPause;
     Line.Outcome_ = "none";
--- a/src/jobs/JobLeaderCalls.cpp
+++ b/src/jobs/JobLeaderCalls.cpp
@@ -43,7 +43,7 @@
       return false;
     Command.Host_ = Queue->Host_;
     Command.PathPrefix_ = Queue->PathPrefix_;
-    NeedsAdvice = Queue->Advice_.IsNeeded_ && !Advisor_.isThere();
+    NeedsAdvice = Queue->Advice_.IsNeeded_ && !Advisor_.isAvailable();
     return true;
   });
   if (!HasQueue)
--- a/src/jobs/JobLeaderImpl.h
+++ b/src/jobs/JobLeaderImpl.h
@@ -126,8 +126,7 @@
   void logWave(std::uint64_t Wave, const std::string &Vm,
                const std::string &What, const std::string &Why);
   void askAdvice();
-  void noteAdvice(const AdviceQuestion &Question,
-                  const Outcome<Advice> &Answer);
+  void noteAdvice(const AdviceRequest &Question, const Outcome<Advice> &Answer);
   /// What is known of how the server went, with the runs lost with it.
   CrashEvidence judgeCrash(const std::string &Server, Departure How,
                            const std::vector<LostRun> &Lost) const;
@@ -204,12 +203,12 @@
 
   std::uint64_t Term_ = 0;
   ServerBoard Board_;
-  TailEffects Effects_;
+  InterferenceModel Effects_;
   ServingLoads Loads_;
   TailLearner Learner_{Effects_, Loads_};
-  PaceGuard Paces_;
+  PaceController Paces_;
   ServerHealth Health_;
-  AdviceBook Advice_;
+  AdviceCache Advice_;
   CrashHistory Crashes_;
   Dispatcher Dispatcher_{Effects_, Loads_, Paces_, Health_, Advice_};
   PaceSetter Setter_{Time_, Machine_, Log_, Effects_, Learner_, Paces_};
@@ -221,7 +220,7 @@
   TimePoint NextQuestion_{};
   TimePoint NextPrune_{};
   TimePoint NextForgetting_{}; ///< Of the loads of what is no more.
-  WaveKeeper Waves_;
+  WavePlanner Waves_;
   TimePoint LeadingSince_{};
   TimePoint LastTick_{};
   /// Until then the relays are asked twice before a server is given up.
--- a/src/jobs/JobLeaderNotes.cpp
+++ b/src/jobs/JobLeaderNotes.cpp
@@ -65,7 +65,7 @@
   const TimePoint Now = Time_.now();
   for (const TaskEnd &End : Ended.Ends_) {
     if (End.How_ == RunEnd::Failed)
-      Dispatcher_.noteFailure(End.Task_, Ended.Server_, Now);
+      Dispatcher_.recordFailure(End.Task_, Ended.Server_, Now);
     if (End.How_ == RunEnd::Failed)
       noteSick(Ended.Server_, End.Task_.Job_, "runs of several jobs failed");
     if (End.How_ != RunEnd::Done || !Live)
--- a/src/jobs/JobLeaderOrders.cpp
+++ b/src/jobs/JobLeaderOrders.cpp
@@ -37,7 +37,7 @@
   if (!Step.Fills_)
     return true;
   return Still >= StallOfFilling &&
-         Paces_.getLeast(Server) == PaceGuard::FullPace;
+         Paces_.getMinPace(Server) == PaceController::FullPace;
 }
 
 /// Whether so few others of the step are away that this task may be, too.
@@ -100,7 +100,7 @@
       Step.Fills_ && Step.Checkpointing_ &&
       Running.Percent_ < LeastPercentToStay &&
       Paces_.getPace(Server.Facts_.Id_, Step.Image_) < LeastPaceToStay;
-  if (!IsSlow || !Dispatcher_.takeSafeRoom(Step))
+  if (!IsSlow || !Dispatcher_.claimInterferenceFreeCpus(Step))
     return false;
   Meter_.add(Counted::TasksMoved, 1);
   return true;
--- a/src/jobs/JobLeaderReports.cpp
+++ b/src/jobs/JobLeaderReports.cpp
@@ -219,7 +219,7 @@
     Meter_.add(Counted::ReportsLate, 1);
     return reply(Current, ServerOrders{});
   }
-  Setter_.note(Report);
+  Setter_.updatePaces(Report);
   EndTasks Command{Id, {}};
   Machine_.read([&](const JobBook &Book) {
     const ServerRecord *Server = Book.findServer(Id);
@@ -269,7 +269,7 @@
   hold(Current);
   propose(StartTasks{Starts}, [this, Current,
                                Starts](const Outcome<CommandResult> &Applied) {
-    Dispatcher_.settle(Starts);
+    Dispatcher_.releaseProposed(Starts);
     if (!Applied)
       return reply(Current, Applied.error());
     for (std::size_t I = 0; I < Starts.size(); ++I) {
@@ -350,7 +350,7 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(
           Settings_.ReportInterval_)
           .count());
-  Setter_.addPaces(Report, *Board_.find(Id), Orders);
+  Setter_.addPaceOrders(Report, *Board_.find(Id), Orders);
   // Another member may lead by now.
   const TimePoint Now = Time_.now();
   if (Group_.findLeaseTerm(Now) != Term_)
--- a/src/jobs/JobLeaderWaves.cpp
+++ b/src/jobs/JobLeaderWaves.cpp
@@ -8,7 +8,7 @@
 void JobLeader::Impl::startWave(const WaveSpec &Spec, const Done<void> &Reply) {
   if (!isLeading())
     return Reply(makeNotLeading());
-  if (!Provider_.isThere())
+  if (!Provider_.isAvailable())
     return Reply(fail(ErrorCode::Unavailable,
                       "the settings name no provider of VMs to order from"));
   propose(StartWave{Spec},
@@ -17,7 +17,7 @@
               return Reply(Applied.error());
             logWave(Spec.Id_, "", "accepted",
                     std::to_string(Spec.Vms_.size()) + " VMs, at most " +
-                        std::to_string(Spec.MostAtOnce_) + " at once");
+                        std::to_string(Spec.MaxConcurrent_) + " at once");
             Reply(succeed());
           });
 }
@@ -49,20 +49,20 @@
 /// order in turns would undo each other's plans.
 void JobLeader::Impl::keepWaves() {
   const TimePoint Now = Time_.now();
-  if (!Provider_.isThere() || Now - LeadingSince_ < Settings_.HolderLease_)
+  if (!Provider_.isAvailable() || Now - LeadingSince_ < Settings_.HolderLease_)
     return;
   listVms();
   const std::optional<MaintenanceOrder> Order = Machine_.read(
       [&](const JobBook &Book) { return Waves_.plan(Book, Now); });
   for (const auto &[Id, Known] : Board_.servers()) {
     ServerLive &Live = *Board_.find(Id);
-    Live.IsEmptying_ = Waves_.isEmptying(Id);
+    Live.IsEmptying_ = Waves_.isDraining(Id);
     Live.WasEmptying_ = Live.WasEmptying_ || Live.IsEmptying_;
   }
   if (!Order || IsOrdering_)
     return;
   IsOrdering_ = true;
-  Waves_.noteOrdered(*Order, Now);
+  Waves_.recordOrder(*Order, Now);
   Provider_.maintain(Order->Vm_, Order->Wave_, Term_,
                      [Weak = weak_from_this(), &Strand = Strand_, Term = Term_,
                       Order = *Order](const Outcome<MaintenanceReply> &Reply) {
@@ -89,7 +89,7 @@
         return;
       Self->IsListing_ = false;
       if (Vms)
-        Self->Waves_.noteList(Vms.value(), Now);
+        Self->Waves_.updateVms(Vms.value(), Now);
     });
   });
 }
@@ -97,7 +97,7 @@
 void JobLeader::Impl::noteMaintenance(const MaintenanceOrder &Order,
                                       const Outcome<MaintenanceReply> &Reply) {
   IsOrdering_ = false;
-  const bool IsSettled = Waves_.noteReply(Order, Reply, Time_.now());
+  const bool IsSettled = Waves_.handleReply(Order, Reply, Time_.now());
   static constexpr std::array<const char *, 5> Names = {
       "begun", "fenced", "busy", "not in the wave", "no such VM"};
   logWave(Order.Wave_, Order.Vm_,
--- a/src/jobs/JobPacking.h
+++ b/src/jobs/JobPacking.h
@@ -80,7 +80,7 @@
 inline auto fields(EndTasks &X) { return std::tie(X.Server_, X.Ends_); }
 inline auto fields(ForgetJobs &X) { return std::tie(X.Ids_); }
 inline auto fields(WaveSpec &X) {
-  return std::tie(X.Id_, X.Vms_, X.DeadlineMs_, X.MostAtOnce_);
+  return std::tie(X.Id_, X.Vms_, X.DeadlineMs_, X.MaxConcurrent_);
 }
 inline auto fields(WaveRecord &X) { return std::tie(X.Spec_, X.Begun_); }
 inline auto fields(StartWave &X) { return std::tie(X.Spec_); }
--- a/src/jobs/PaceController.h
+++ b/src/jobs/PaceController.h
@@ -1,10 +1,11 @@
-//===- PaceController.h - Filling work beside work that serves ------*- C++ -*-===//
+//===- PaceController.h - Speed of filling tasks ---------------*- C++ -*-===//
 //
-// How fast filling tasks work on each server. A plan comes from what is known
-// of pairs and loads (planPaces); this keeps it, follows only changes that are
-// worth an order, and guards against what the plan does not know: a tail that
-// stays over its target all the same slows everything that fills beside it, in
-// two steps, until it is well again. Pure.
+// Controls how fast filling tasks (best-effort work that uses idle processors)
+// run beside serving tasks. planPaces computes the paces from the known
+// interference and load; the controller stores them and drops changes that are
+// too small for an order. As a feedback against what the model does not cover,
+// a tail that stays over its target slows down all filling tasks on the
+// server, in two steps, until it recovers. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,58 +20,59 @@
 
 namespace tulipweir::jobs {
 
-/// By filling image, the percent of their speed at which its tasks may work;
-/// the full speed for those that are not named.
+/// By filling image, the percentage of full speed at which its tasks may run;
+/// images that are not listed run at full speed.
 using ImagePaces = std::map<std::string, std::uint64_t>;
 
-/// What one report says of a server where something serves.
+/// The tails that one report contains, for a server with serving tasks.
 struct TailReading {
-  std::uint64_t TailPercent_ = 0; ///< The worst tail, of its target.
-  bool HasFilling_ = false;       ///< Something fills there that may work.
+  std::uint64_t TailPercent_ = 0; ///< The longest tail, of its target.
+  bool HasFilling_ = false;       ///< A filling task there is not stopped.
 };
 
-/// Not thread-safe.
-class PaceGuard {
+/// Holds the paces of each server. Not thread-safe.
+class PaceController {
 public:
   static constexpr std::uint64_t FullPace = 100;
 
   // Commands.
 
   void reset() { Servers_.clear(); }
-  /// Nothing serves there, or the server is gone.
+  /// Called when no task serves on the server any more, or the server is gone.
   void forget(const std::string &ServerId) { Servers_.erase(ServerId); }
-  void note(const std::string &ServerId, const TailReading &Reading,
-            const ImagePaces &Planned, TimePoint Now);
+  void update(const std::string &ServerId, const TailReading &Reading,
+              const ImagePaces &Planned, TimePoint Now);
 
   // Queries.
 
   std::uint64_t getPace(const std::string &ServerId,
                         const std::string &Image) const;
-  /// What the guard leaves to all that fills on the server; the full speed
-  /// while no tail stays over its target.
-  std::uint64_t getGuarded(const std::string &ServerId) const;
-  /// The least pace of any image there.
-  std::uint64_t getLeast(const std::string &ServerId) const;
-  /// Whether a pace has changed a moment ago, or the guard holds something
-  /// back: the server is better heard sooner than usual.
-  bool isMoving(const std::string &ServerId, TimePoint Now) const;
-  /// Whether the server has to be told paces: some are not the full one, or
-  /// were not a moment ago.
-  bool isToBeTold(const std::string &ServerId, TimePoint Now) const;
+  /// Returns the limit for all filling tasks on the server; full speed while no
+  /// tail stays over its target.
+  std::uint64_t getLimit(const std::string &ServerId) const;
+  /// Returns the lowest pace of any image on the server.
+  std::uint64_t getMinPace(const std::string &ServerId) const;
+  /// Returns whether a pace changed recently or the limit is below full speed,
+  /// so that the server should report more often.
+  bool isAdjusting(const std::string &ServerId, TimePoint Now) const;
+  /// Returns whether the server needs pace orders: some pace is below full
+  /// speed, or was until recently.
+  bool needsOrders(const std::string &ServerId, TimePoint Now) const;
 
 private:
-  struct Level {
-    ImagePaces Planned_;
-    std::uint64_t Guarded_ = FullPace;
-    double Smoothed_ = 0; ///< Of the tail: one report is a rough figure.
-    TimePoint CorrectedAt_{};
-    TimePoint GoodUntil_{}; ///< When a tail was last below its target.
+  struct ServerState {
+    ImagePaces PlannedPaces_;
+    std::uint64_t Limit_ = FullPace;
+    double SmoothedPercent_ = 0; ///< Smoothed, as one report is noisy.
+    TimePoint AdjustedAt_{};
+    TimePoint LastGoodAt_{}; ///< When the smoothed tail was last good.
     TimePoint ChangedAt_{};
   };
-  static void correct(Level &Own, const TailReading &Reading, TimePoint Now);
-  static bool follow(Level &Own, const ImagePaces &Planned);
+  static void adjustLimit(ServerState &State, const TailReading &Reading,
+                          TimePoint Now);
+  static bool adoptPlan(ServerState &State, const ImagePaces &Planned);
 
-  std::map<std::string, Level> Servers_;
+  std::map<std::string, ServerState> Servers_;
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/PacePlan.cpp
+++ b/src/jobs/PacePlan.cpp
@@ -9,102 +9,107 @@
 using namespace tulipweir;
 using namespace tulipweir::jobs;
 
-/// How near to its target a tail may be expected: readings scatter by a tenth,
-/// of which some tasks on a server have the worse half (logarithm).
-static constexpr double Margin = 0.12;
-/// Below that filling work is not worth its disturbance, percent.
-static constexpr std::uint64_t LeastPace = 10;
+/// Distance that an expected tail keeps from its target (logarithm): readings
+/// scatter by a tenth, so that some tasks on a server exceed their expected
+/// tail.
+static constexpr double TargetMargin = 0.12;
+/// Below this percentage filling work is not worth its interference.
+static constexpr std::uint64_t MinPace = 10;
 
 namespace {
 
-/// What one filling image adds to the tails.
-struct Source {
+/// The effect of one filling image on the tails.
+struct FillingImage {
   const std::string *Image_;
   double Share_ = 0;
-  std::vector<double> Weights_; ///< One for each tail.
-  double Heaviest_ = 0;         ///< Of these.
-  std::uint64_t Pace_ = PaceGuard::FullPace;
+  std::vector<double> Weights_; ///< One weight for each tail.
+  double Heaviest_ = 0;         ///< The largest of the weights.
+  std::uint64_t Pace_ = PaceController::FullPace;
 };
 
-/// The tails of one serving image.
-struct Tail {
+/// The expected tail of one serving image.
+struct ServingTail {
   const std::string *Image_;
-  double Over_ = 0; ///< Logarithm by which it is expected to be too long.
+  double Excess_ = 0; ///< Logarithm above the longest allowed tail.
 };
 
 } // namespace
 
-static double getWorst(const std::vector<Tail> &Tails) {
-  double Worst = 0;
-  for (const Tail &Each : Tails)
-    Worst = std::max(Worst, Each.Over_);
-  return Worst;
+static double getMaxExcess(const std::vector<ServingTail> &Tails) {
+  double MaxExcess = 0;
+  for (const ServingTail &Entry : Tails)
+    MaxExcess = std::max(MaxExcess, Entry.Excess_);
+  return MaxExcess;
 }
 
-/// The largest share at which the tails are as long as they may be; 0 if there
-/// is none.
-static double findShare(const std::vector<Tail> &Tails, const Source &From) {
-  double Share = From.Share_;
+/// Returns the largest share at which no tail is too long; 0 if there is none.
+static double findMaxShare(const std::vector<ServingTail> &Tails,
+                           const FillingImage &Filling) {
+  double Share = Filling.Share_;
   for (std::size_t I = 0; I < Tails.size(); ++I) {
-    if (Tails[I].Over_ <= 0)
+    if (Tails[I].Excess_ <= 0)
       continue;
-    if (From.Weights_[I] <= 0)
+    if (Filling.Weights_[I] <= 0)
       return 0;
-    Share = std::min(Share, From.Share_ - Tails[I].Over_ / From.Weights_[I]);
+    Share = std::min(Share,
+                     Filling.Share_ - Tails[I].Excess_ / Filling.Weights_[I]);
   }
   return std::max(Share, 0.0);
 }
 
-/// All work more slowly where there are not processors enough for all.
-static void share(std::vector<Source> &Sources, double Left) {
-  double Asked = 0;
-  for (const Source &Each : Sources)
-    Asked += Each.Share_ * ServerRoom::UsedOfFilling * double(Each.Pace_) /
-             double(PaceGuard::FullPace);
-  if (Asked <= Left)
+/// Slows all images down by the same factor if there are not enough processors
+/// for all.
+static void scaleToCapacity(std::vector<FillingImage> &Sources,
+                            double Available) {
+  double Requested = 0;
+  for (const FillingImage &Entry : Sources)
+    Requested += Entry.Share_ * RemainingCapacity::FillingUsedShare *
+                 double(Entry.Pace_) / double(PaceController::FullPace);
+  if (Requested <= Available)
     return;
-  const double Part = std::max(Left, 0.0) / Asked;
-  for (Source &Each : Sources)
-    Each.Pace_ = static_cast<std::uint64_t>(double(Each.Pace_) * Part);
+  const double Factor = std::max(Available, 0.0) / Requested;
+  for (FillingImage &Entry : Sources)
+    Entry.Pace_ = static_cast<std::uint64_t>(double(Entry.Pace_) * Factor);
 }
 
-ImagePaces jobs::planPaces(const TailEffects &Effects,
-                           const std::map<std::string, double> &Bases,
-                           const FillingUse &Asked, double LeftShare) {
-  std::vector<Source> Sources;
-  for (const auto &[Image, Share] : Asked)
+ImagePaces jobs::planPaces(const InterferenceModel &Interference,
+                           const std::map<std::string, double> &Baselines,
+                           const FillingUse &RequestedShares,
+                           double AvailableShare) {
+  std::vector<FillingImage> Sources;
+  for (const auto &[Image, Share] : RequestedShares)
     Sources.push_back({&Image, Share, {}});
-  std::vector<Tail> Tails;
-  for (const auto &[Image, Base] : Bases) {
-    Tail Own{&Image, Base + Margin};
-    for (Source &Each : Sources) {
-      const double Weight = Effects.getWeight(Image, *Each.Image_);
-      Each.Weights_.push_back(Weight);
-      Own.Over_ += Weight * Each.Share_;
-      Each.Heaviest_ = std::max(Each.Heaviest_, Weight);
+  std::vector<ServingTail> Tails;
+  for (const auto &[Image, Baseline] : Baselines) {
+    ServingTail NewTail{&Image, Baseline + TargetMargin};
+    for (FillingImage &Entry : Sources) {
+      const double Weight = Interference.getWeight(Image, *Entry.Image_);
+      Entry.Weights_.push_back(Weight);
+      NewTail.Excess_ += Weight * Entry.Share_;
+      Entry.Heaviest_ = std::max(Entry.Heaviest_, Weight);
     }
-    Tails.push_back(Own);
+    Tails.push_back(NewTail);
   }
   std::stable_sort(Sources.begin(), Sources.end(),
-                   [](const Source &A, const Source &B) {
+                   [](const FillingImage &A, const FillingImage &B) {
                      return A.Heaviest_ > B.Heaviest_;
                    });
-  for (Source &Each : Sources) {
-    if (getWorst(Tails) <= 0)
+  for (FillingImage &Entry : Sources) {
+    if (getMaxExcess(Tails) <= 0)
       break;
-    const double Share = findShare(Tails, Each);
-    Each.Pace_ = static_cast<std::uint64_t>(double(PaceGuard::FullPace) *
-                                            Share / Each.Share_);
-    if (Each.Pace_ < LeastPace)
-      Each.Pace_ = 0;
-    const double Left = Each.Pace_ == 0 ? 0 : Share;
+    const double Share = findMaxShare(Tails, Entry);
+    Entry.Pace_ = static_cast<std::uint64_t>(double(PaceController::FullPace) *
+                                             Share / Entry.Share_);
+    if (Entry.Pace_ < MinPace)
+      Entry.Pace_ = 0;
+    const double NewShare = Entry.Pace_ == 0 ? 0 : Share;
     for (std::size_t I = 0; I < Tails.size(); ++I)
-      Tails[I].Over_ -= Each.Weights_[I] * (Each.Share_ - Left);
+      Tails[I].Excess_ -= Entry.Weights_[I] * (Entry.Share_ - NewShare);
   }
-  share(Sources, LeftShare);
+  scaleToCapacity(Sources, AvailableShare);
   ImagePaces Paces;
-  for (const Source &Each : Sources)
-    if (Each.Pace_ < PaceGuard::FullPace)
-      Paces[*Each.Image_] = Each.Pace_;
+  for (const FillingImage &Entry : Sources)
+    if (Entry.Pace_ < PaceController::FullPace)
+      Paces[*Entry.Image_] = Entry.Pace_;
   return Paces;
 }
--- a/src/jobs/PaceSetter.h
+++ b/src/jobs/PaceSetter.h
@@ -1,17 +1,17 @@
-//===- PaceSetter.h - From reported tails to orders on pace ----*- C++ -*-===//
+//===- PaceSetter.h - Pace orders from reported tails ----------*- C++ -*-===//
 //
-// Turns what a server reports of its tasks into paces, and these into orders
-// for that server. An order is told once, and again only where the task works
-// as if it had not arrived.
+// Computes paces from the tails that a server reports and adds the orders to
+// the answer. A pace is sent once, and again only if the task runs as if the
+// order had not arrived.
 //
 //===----------------------------------------------------------------------===//
 
 #ifndef TULIPWEIR_SRC_JOBS_PACESETTER_H
 #define TULIPWEIR_SRC_JOBS_PACESETTER_H
 
+#include "jobs/InterferenceModel.h"
 #include "jobs/PaceController.h"
 #include "jobs/ServerBoard.h"
-#include "jobs/InterferenceModel.h"
 #include "jobs/TailLearner.h"
 #include "tulipweir/core/EventLog.h"
 #include "tulipweir/core/Time.h"
@@ -20,28 +20,29 @@
 
 namespace tulipweir::jobs {
 
-/// On the leader's strand only; holds references to its parts.
+/// Runs on the leader's strand only; holds references to the leader's parts.
 class PaceSetter {
 public:
   PaceSetter(const Clock &Time, const JobMachine &Machine, EventLog &Log,
-             const TailEffects &Effects, TailLearner &Learner, PaceGuard &Paces)
-      : Time_(Time), Machine_(Machine), Log_(Log), Effects_(Effects),
+             const InterferenceModel &Interference, TailLearner &Learner,
+             PaceController &Paces)
+      : Time_(Time), Machine_(Machine), Log_(Log), Interference_(Interference),
         Learner_(Learner), Paces_(Paces) {}
 
   /// Learns from the tails that serving tasks report, and sets the pace of the
-  /// filling tasks beside them.
-  void note(const ServerReport &Report);
-  /// Also for the tasks that this very answer starts.
-  void addPaces(const ServerReport &Report, ServerLive &Live,
-                ServerOrders &Orders) const;
+  /// filling tasks on the same server.
+  void updatePaces(const ServerReport &Report);
+  /// Adds pace orders, also for the tasks that this answer starts.
+  void addPaceOrders(const ServerReport &Report, ServerLive &Live,
+                     ServerOrders &Orders) const;
 
 private:
   const Clock &Time_;
   const JobMachine &Machine_;
   EventLog &Log_;
-  const TailEffects &Effects_;
+  const InterferenceModel &Interference_;
   TailLearner &Learner_;
-  PaceGuard &Paces_;
+  PaceController &Paces_;
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/RemainingCapacity.cpp
+++ b/src/jobs/RemainingCapacity.cpp
@@ -3,42 +3,43 @@
 using namespace tulipweir;
 using namespace tulipweir::jobs;
 
-static std::int64_t getPart(std::int64_t Cpus, double Part) {
-  return static_cast<std::int64_t>(double(Cpus) * Part);
+static std::int64_t scale(std::int64_t Cpus, double Share) {
+  return static_cast<std::int64_t>(double(Cpus) * Share);
 }
 
-/// What a task is expected to use of what it declares; of one that serves,
-/// before it is heard.
-static std::int64_t getUsedCpus(const StepSpec &Step) {
+/// Returns the processors that a new task is expected to use of those it
+/// declares; for a serving task, before its first report.
+static std::int64_t estimateTaskCpus(const StepSpec &Step) {
   const std::int64_t Cpus = Step.Need_.MilliCpus_;
   if (Step.isServing())
-    return getPart(Cpus, ServingLoads::UsualLoad);
-  return Step.Fills_ ? getPart(Cpus, ServerRoom::UsedOfFilling) : Cpus;
+    return scale(Cpus, ServingLoads::DefaultLoad);
+  return Step.Fills_ ? scale(Cpus, RemainingCapacity::FillingUsedShare) : Cpus;
 }
 
-std::int64_t ServerRoom::measureIdle(const ServerRecord &Server,
-                                     const ServingLoads &Loads) {
+std::int64_t RemainingCapacity::computeIdleCpus(const ServerRecord &Server,
+                                                const ServingLoads &Loads) {
   std::int64_t Filling = 0;
   for (const auto &[Image, Cpus] : Server.FillingCpus_)
     Filling += Cpus;
   return Server.Facts_.Capacity_.MilliCpus_ - (Server.OtherCpus_ - Filling) -
-         getPart(Filling, UsedOfFilling) - Loads.getUsed(Server);
+         scale(Filling, FillingUsedShare) - Loads.estimateUsedCpus(Server);
 }
 
-ServerRoom ServerRoom::measure(const ServerRecord &Server,
-                               const ServingLoads &Loads) {
-  ServerRoom Left;
-  Left.Free_ = Server.Facts_.Capacity_ - Server.Used_;
-  Left.Idle_ = measureIdle(Server, Loads);
-  Left.Serving_ = Server.Serving_;
+RemainingCapacity RemainingCapacity::compute(const ServerRecord &Server,
+                                             const ServingLoads &Loads) {
+  RemainingCapacity Remaining;
+  Remaining.Free_ = Server.Facts_.Capacity_ - Server.Used_;
+  Remaining.Idle_ = computeIdleCpus(Server, Loads);
+  Remaining.Serving_ = Server.Serving_;
   if (!Server.Serving_.empty())
-    Left.KeptIdle_ = getPart(Server.Facts_.Capacity_.MilliCpus_, 1 - MostUsed);
-  return Left;
+    Remaining.IdleReserve_ =
+        scale(Server.Facts_.Capacity_.MilliCpus_, 1 - MaxUsedShare);
+  return Remaining;
 }
 
-void ServerRoom::take(const StepSpec &Step) {
+void RemainingCapacity::place(const StepSpec &Step) {
   Free_ = Free_ - Step.getReserved();
   if (Step.isServing())
     ++Serving_[Step.Image_];
-  Idle_ -= getUsedCpus(Step);
+  Idle_ -= estimateTaskCpus(Step);
 }
--- a/src/jobs/SchedulingOrder.cpp
+++ b/src/jobs/SchedulingOrder.cpp
@@ -8,40 +8,42 @@
 using namespace tulipweir::jobs;
 using namespace std::chrono_literals;
 
-/// A job that takes so many times as long as allowed is worth nothing.
+/// A job that takes more than this many times its allowed duration is worth
+/// nothing.
 static constexpr std::uint64_t LateFactor = 3;
-/// Bounds the work of an update; the most urgent come first.
-static constexpr std::size_t MostSteps = 1024;
-/// An update goes over the whole queue; with a pause of so much for each step,
-/// its share of the processor does not grow with the queue. A short queue is
-/// looked at anew whenever something joins it.
-static constexpr Duration PausePerStep = 40us;
-static constexpr std::size_t ShortQueue = 16;
-/// What can still be in time changes with time alone.
-static constexpr Duration MostAge = 100ms;
+/// Bounds the work of an update; the most urgent steps come first.
+static constexpr std::size_t MaxSteps = 1024;
+/// An update visits the whole queue. With this pause for each step its share of
+/// the processor does not grow with the queue; a short queue is updated
+/// whenever a step joins.
+static constexpr Duration UpdatePausePerStep = 40us;
+static constexpr std::size_t ShortQueueLength = 16;
+/// Whether a job can still meet its objective changes with time alone, so the
+/// order is never older than this.
+static constexpr Duration MaxAge = 100ms;
 static constexpr std::int64_t Unlimited =
     std::numeric_limits<std::int64_t>::max();
 
-void ServiceOrder::reset() {
+void SchedulingOrder::reset() {
   Candidates_.clear();
   FillingImages_.clear();
-  Least_ = {Unlimited, Unlimited, Unlimited};
+  Minimum_ = {Unlimited, Unlimited, Unlimited};
   Value_.reset();
-  LastValued_ = 0;
-  MadeAt_ = TimePoint::min();
+  LastAddedSequence_ = 0;
+  UpdatedAt_ = TimePoint::min();
 }
 
-/// The longest chain of declared work that is left of an occurrence.
+/// Returns the longest chain of declared work that remains in an occurrence.
 static std::uint64_t getRemainingMs(const JobRecord &Job,
                                     const OccurrenceRecord &Occurrence) {
   std::vector<std::uint64_t> Ends;
   std::uint64_t Longest = 0;
-  for (std::size_t At = 0; At < Job.Spec_.Steps_.size(); ++At) {
-    const StepSpec &Step = Job.Spec_.Steps_[At];
+  for (std::size_t Index = 0; Index < Job.Spec_.Steps_.size(); ++Index) {
+    const StepSpec &Step = Job.Spec_.Steps_[Index];
     std::uint64_t Begin = 0;
     for (const std::uint64_t Other : Step.DependsOn_)
       Begin = std::max(Begin, Ends[Other]);
-    const StepRecord &Record = Occurrence.Steps_[At];
+    const StepRecord &Record = Occurrence.Steps_[Index];
     const bool IsDone = Record.Done_ == Record.Tasks_.size();
     Ends.push_back(Begin + (IsDone ? 0 : Step.EstimateMs_));
     Longest = std::max(Longest, Ends.back());
@@ -49,8 +51,9 @@
   return Longest;
 }
 
-/// 0: can still be done by its objective; 1: late, but worth something; 2: too
-/// late for anybody, though it has to be done.
+/// Returns 0 if the job can still meet its objective, 1 if it is late but still
+/// worth something, and 2 if it is too late to be worth anything, though it
+/// still has to run.
 static std::size_t getLateness(const JobRecord &Job,
                                const OccurrenceRecord &Occurrence,
                                WallTime Wall) {
@@ -63,73 +66,74 @@
   return End <= Job.AcceptedMs_ + LateFactor * Allowed ? 1 : 2;
 }
 
-void ServiceOrder::noteNewJobs(const JobBook &Book) {
-  std::uint64_t Newest = LastValued_;
+void SchedulingOrder::addNewJobs(const JobBook &Book) {
+  std::uint64_t Newest = LastAddedSequence_;
   for (const ReadyStep &Ready : Book.readySteps())
-    if (Ready.Sequence_ > LastValued_) {
+    if (Ready.Sequence_ > LastAddedSequence_) {
       Value_.noteJob(*Book.findJob(Ready.Job_));
       Newest = std::max(Newest, Ready.Sequence_);
     }
-  LastValued_ = Newest;
+  LastAddedSequence_ = Newest;
 }
 
-void ServiceOrder::add(const JobBook &Book, const ReadyStep &Ready,
-                       ReadyTimes &Waits, TimePoint Now) {
+void SchedulingOrder::add(const JobBook &Book, const ReadyStep &Ready,
+                          ReadyTimes &Waits, TimePoint Now) {
   const JobRecord &Job = *Book.findJob(Ready.Job_);
   const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
-  Candidate Own{Ready, Step.getReserved()};
-  Own.WaitsSince_ = Now - Waits.getWait(Ready, Now);
-  Own.IsIdleJob_ = Job.Placements_ == 0;
+  Candidate NewCandidate{Ready, Step.getReserved()};
+  NewCandidate.ReadySince_ = Now - Waits.getWait(Ready, Now);
+  NewCandidate.IsIdleJob_ = Job.Placements_ == 0;
   if (Step.Fills_) {
-    Own.IdleNeeded_ = Step.Need_.MilliCpus_;
-    Own.FillingImage_ =
+    NewCandidate.IdleNeeded_ = Step.Need_.MilliCpus_;
+    NewCandidate.FillingImage_ =
         FillingImages_.try_emplace(Step.Image_, FillingImages_.size())
             .first->second;
   }
-  Candidates_.push_back(std::move(Own));
-  Least_.Memory_ = std::min(Least_.Memory_, Step.Need_.MemoryMib_);
-  std::int64_t &Cpus = Step.Fills_ ? Least_.FillingCpus_ : Least_.PlainCpus_;
+  Candidates_.push_back(std::move(NewCandidate));
+  Minimum_.Memory_ = std::min(Minimum_.Memory_, Step.Need_.MemoryMib_);
+  std::int64_t &Cpus =
+      Step.Fills_ ? Minimum_.FillingCpus_ : Minimum_.PlainCpus_;
   Cpus = std::min(Cpus, Step.Need_.MilliCpus_);
 }
 
-void ServiceOrder::update(const JobBook &Book, ReadyTimes &Waits, TimePoint Now,
-                          WallTime Wall) {
-  const bool IsNew = MadeAt_ == TimePoint::min();
-  const Duration Age = IsNew ? MostAge : Now - MadeAt_;
-  const bool HasNews = Version_ != Book.getReadyVersion();
+void SchedulingOrder::update(const JobBook &Book, ReadyTimes &Waits,
+                             TimePoint Now, WallTime Wall) {
+  const bool IsNew = UpdatedAt_ == TimePoint::min();
+  const Duration Age = IsNew ? MaxAge : Now - UpdatedAt_;
+  const bool HasNewSteps = Version_ != Book.getReadyVersion();
   const Duration Pause =
-      Candidates_.size() < ShortQueue
+      Candidates_.size() < ShortQueueLength
           ? Duration(0)
-          : PausePerStep * static_cast<std::int64_t>(Candidates_.size());
-  if (Age < (HasNews ? Pause : MostAge))
+          : UpdatePausePerStep * static_cast<std::int64_t>(Candidates_.size());
+  if (Age < (HasNewSteps ? Pause : MaxAge))
     return;
-  MadeAt_ = Now;
+  UpdatedAt_ = Now;
   Version_ = Book.getReadyVersion();
-  noteNewJobs(Book);
+  addNewJobs(Book);
   Candidates_.clear();
   FillingImages_.clear();
-  Least_ = {Unlimited, Unlimited, Unlimited};
-  // Within a priority, what can still be in time goes first, for it is over
-  // soon; then what lasts; then what is late.
+  Minimum_ = {Unlimited, Unlimited, Unlimited};
+  // Within a priority, steps that can still meet their objective come first, as
+  // that chance ends soon; then long-running steps; then late ones.
   std::array<std::vector<const ReadyStep *>, 3> Later;
   std::vector<std::pair<double, const ReadyStep *>> Filling;
   const auto AddLater = [&] {
     std::stable_sort(
         Filling.begin(), Filling.end(),
         [](const auto &A, const auto &B) { return A.first > B.first; });
-    for (const auto &[Density, Each] : Filling)
-      add(Book, *Each, Waits, Now);
+    for (const auto &[Density, Ready] : Filling)
+      add(Book, *Ready, Waits, Now);
     Filling.clear();
     for (std::vector<const ReadyStep *> &Class : Later) {
-      for (const ReadyStep *Each : Class)
-        add(Book, *Each, Waits, Now);
+      for (const ReadyStep *Ready : Class)
+        add(Book, *Ready, Waits, Now);
       Class.clear();
     }
   };
-  std::size_t LookedAt = 0;
+  std::size_t Considered = 0;
   std::uint64_t Priority = 0;
   for (const ReadyStep &Ready : Book.readySteps()) {
-    if (++LookedAt > MostSteps)
+    if (++Considered > MaxSteps)
       break;
     if (Ready.Priority_ != Priority)
       AddLater();
@@ -139,12 +143,12 @@
     const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
     const std::size_t Lateness =
         Step.LongRunning_ ? 0 : getLateness(Job, Occurrence, Wall);
-    const bool GoesFirst =
+    const bool IsFirstClass =
         !Step.LongRunning_ ||
         Waits.getWait(Ready, Now) >= ReadyTimes::LastingPatience;
     if (Lateness == 0 && Step.Fills_)
       Filling.emplace_back(Value_.getDensity(Job, Occurrence), &Ready);
-    else if (Lateness == 0 && GoesFirst)
+    else if (Lateness == 0 && IsFirstClass)
       add(Book, Ready, Waits, Now);
     else
       Later.at(Lateness).push_back(&Ready);
--- a/src/jobs/SchedulingOrder.h
+++ b/src/jobs/SchedulingOrder.h
@@ -1,9 +1,9 @@
-//===- SchedulingOrder.h - In which order waiting steps are served *- C++ -*-===//
+//===- SchedulingOrder.h - Scheduling order of waiting steps ---*- C++ -*-===//
 //
-// The first waiting steps in the order in which they get room, with what their
-// tasks need. Made anew when steps have come, but not for each of some thousand
-// reports a second: a long queue would then cost most where there is most to
-// do. Pure.
+// The first waiting steps in the order in which they get capacity, with the
+// needs of their tasks. The order is recomputed when steps were added, but not
+// for each of some thousand reports a second: a long queue would then cost
+// most when the load is highest. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,55 +20,57 @@
 
 namespace tulipweir::jobs {
 
-/// The least that any waiting task needs, thousandths of processors and MiB.
-struct LeastNeeds {
+/// The smallest needs of any waiting task, in MiB and thousandths of
+/// processors.
+struct MinimumNeeds {
   std::int64_t Memory_ = 0;
   std::int64_t PlainCpus_ = 0;
   std::int64_t FillingCpus_ = 0;
 };
 
-/// A waiting step as a plan looks at it first.
+/// A waiting step with the values that a plan checks first.
 struct Candidate {
   static constexpr std::size_t NotFilling =
       std::numeric_limits<std::size_t>::max();
 
   ReadyStep Step_;
-  Resources Reserved_;          ///< Of each task.
-  std::int64_t IdleNeeded_ = 0; ///< Idle processors, of each that fills.
-  /// Which of the order's filling images its tasks have.
+  Resources Reserved_; ///< The capacity that each task reserves.
+  /// Idle processors that each task needs; zero for steps that do not fill.
+  std::int64_t IdleNeeded_ = 0;
+  /// Index of the tasks' filling image in this order.
   std::size_t FillingImage_ = NotFilling;
-  TimePoint WaitsSince_{};
-  bool IsIdleJob_ = false; ///< Nothing of its job ran when the order was made.
+  TimePoint ReadySince_{};
+  bool IsIdleJob_ = false; ///< Nothing of the job ran at the last update.
 };
 
-/// Not thread-safe.
-class ServiceOrder {
+/// The waiting steps in scheduling order. Not thread-safe.
+class SchedulingOrder {
 public:
   // Commands.
 
   void reset();
-  /// Makes the order anew if steps came since, or it is old.
+  /// Recomputes the order if steps were added since, or it is too old.
   void update(const JobBook &Book, ReadyTimes &Waits, TimePoint Now,
               WallTime Wall);
 
-  // Queries, as of the last update.
+  // Queries; all answers are as of the last update.
 
   const std::vector<Candidate> &candidates() const { return Candidates_; }
-  const LeastNeeds &leastNeeds() const { return Least_; }
+  const MinimumNeeds &minimumNeeds() const { return Minimum_; }
   std::size_t countFillingImages() const { return FillingImages_.size(); }
 
 private:
-  void noteNewJobs(const JobBook &Book);
+  void addNewJobs(const JobBook &Book);
   void add(const JobBook &Book, const ReadyStep &Ready, ReadyTimes &Waits,
            TimePoint Now);
 
   std::vector<Candidate> Candidates_;
-  LeastNeeds Least_;
+  MinimumNeeds Minimum_;
   std::unordered_map<std::string, std::size_t> FillingImages_;
   JobValue Value_;
-  std::uint64_t LastValued_ = 0; ///< Sequence of the newest job in Value_.
-  std::uint64_t Version_ = 0;    ///< Of the book's ready steps, when made.
-  TimePoint MadeAt_ = TimePoint::min();
+  std::uint64_t LastAddedSequence_ = 0; ///< Of the newest job in Value_.
+  std::uint64_t Version_ = 0; ///< Of the ready steps, at the last update.
+  TimePoint UpdatedAt_ = TimePoint::min();
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/ServingLoads.h
+++ b/src/jobs/ServingLoads.h
@@ -1,12 +1,12 @@
-//===- ServingLoads.h - How busy tasks that serve are ----------*- C++ -*-===//
+//===- ServingLoads.h - Load of serving tasks ------------------*- C++ -*-===//
 //
-// The tail of a task that serves says two things: how much its own users ask of
-// it at the moment, and how much what fills beside it disturbs. The tasks of
-// one step serve the same users, each beside other work, so what their tails
-// have in common is the first. Known apart, the second is learned from
-// differences of a tenth rather than against swings of a factor of three; and
-// a tail that grows with the load as that of a queue does tells what the tasks
-// use of the processors that they reserve. Pure.
+// The tail of a serving task depends on the load of its own users and on the
+// interference of filling tasks beside it. The tasks of one step serve the
+// same users beside different filling tasks, so what their tails have in
+// common is the load. With the load known, interference is learned from
+// differences of a tenth instead of swings by a factor of three. A tail that
+// grows with the load as in a queue also tells the share of their reserved
+// processors that the tasks use. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,68 +23,70 @@
 
 namespace tulipweir::jobs {
 
-/// The serving tasks of one server, by its last report; processors in
-/// thousandths.
+/// Totals of the serving tasks on one server, as of its last report; processors
+/// in thousandths.
 struct ServingUse {
   std::int64_t Reserved_ = 0;
-  std::int64_t Used_ = 0; ///< As is expected by their load.
-  /// By image, the longest tail by its own load, as findBase has it.
-  std::map<std::string, double> WorstBases_;
+  std::int64_t Used_ = 0; ///< Expected use at the current load.
+  /// By image, the longest baseline, as findBaseline returns it.
+  std::map<std::string, double> WorstBaselines_;
 };
 
-/// Not thread-safe.
+/// Estimated baselines and loads by step and server. Not thread-safe.
 class ServingLoads {
 public:
-  /// Before anything is known: serving tasks reserve for their peaks, and use
-  /// half on average. The best of several shares on both users' days
-  /// (docs/MEASUREMENTS.md).
-  static constexpr double UsualLoad = 0.52;
+  /// Used before anything is known: serving tasks reserve capacity for their
+  /// peaks and use about half of it on average. The value gave the best results
+  /// of several on both users' days (docs/MEASUREMENTS.md).
+  static constexpr double DefaultLoad = 0.52;
 
   // Commands.
 
-  /// A task's reading: the logarithm of its tail over its target, less what is
-  /// known of the filling work beside it. The base before it, as findBase.
-  std::optional<double> note(const StepKey &Step, const std::string &Image,
-                             double LogTail, TimePoint Now);
-  /// What a server's report named of its serving tasks.
-  void noteServer(const std::string &ServerId, ServingUse Use);
-  /// Compares the steps of each image; now and then.
-  void survey(TimePoint Now);
-  /// Forgets steps and servers that are no more.
+  /// Adds a task's reading: the logarithm of its tail over its target, less the
+  /// known interference. Returns the baseline before the reading, as
+  /// findBaseline would.
+  std::optional<double> addSample(const StepKey &Step, const std::string &Image,
+                                  double LogTail, TimePoint Now);
+  /// Stores the totals of a server's report.
+  void updateServer(const std::string &ServerId, ServingUse Use);
+  /// Compares the steps of each image; called periodically.
+  void updateRanges(TimePoint Now);
+  /// Removes steps and servers that no longer exist.
   void prune(const JobBook &Book);
 
   // Queries.
 
-  /// The logarithm of the tail over the target that the step's tasks have at
-  /// present by their own load; nothing while too little is known.
-  std::optional<double> findBase(const StepKey &Step) const;
-  /// The share of what they reserve that the step's tasks use at present.
+  /// Returns the logarithm of the tail over the target that the current load
+  /// alone causes for the step's tasks; nothing until enough readings arrived.
+  std::optional<double> findBaseline(const StepKey &Step) const;
+  /// Returns the share of their reserved processors that the step's tasks
+  /// currently use.
   double getLoad(const StepKey &Step) const;
-  /// The longest of the bases of the image's tasks on the server; a usual one
-  /// where that is not known.
-  double getWorstBase(const std::string &ServerId,
-                      const std::string &Image) const;
-  /// The processors that the serving tasks of a server are expected to use,
-  /// thousandths.
-  std::int64_t getUsed(const ServerRecord &Server) const;
+  /// Returns the longest baseline of the image's tasks on the server, or a
+  /// default if it is not known.
+  double getWorstBaseline(const std::string &ServerId,
+                          const std::string &Image) const;
+  /// Returns the processors that the server's serving tasks are expected to
+  /// use, thousandths.
+  std::int64_t estimateUsedCpus(const ServerRecord &Server) const;
 
 private:
   struct StepLoad {
     std::string Image_;
-    double Base_ = 0;
+    double Baseline_ = 0;
     std::uint64_t Samples_ = 0;
-    TimePoint NotedAt_{};
+    TimePoint UpdatedAt_{};
   };
-  /// Of the bases of an image's steps, as far as they were seen.
-  struct Range {
+  /// The range of the baselines of an image's steps that were seen so far.
+  struct TailRange {
     double Lowest_ = 0;
     double Highest_ = 0;
   };
 
   std::map<StepKey, StepLoad> Steps_;
-  std::map<std::string, Range> Images_;
+  std::map<std::string, TailRange> Images_;
   std::map<std::string, ServingUse> Servers_;
-  TimePoint NextSurvey_{};
+  TimePoint NextRangeUpdate_{};
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/StragglerDetector.h
+++ b/src/jobs/StragglerDetector.h
@@ -1,7 +1,7 @@
-//===- StragglerDetector.h - Runs that a copy may overtake ------------*- C++ -*-===//
+//===- StragglerDetector.h - Detection of late runs ------------*- C++ -*-===//
 //
-// Finds runs of speculative steps that take much longer than was declared, or
-// will at their present speed: their server may be slow, or stand still. Pure.
+// Finds runs of speculative steps that take much longer than declared, or will
+// at their current speed: their server may be slow or hang. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,19 +12,19 @@
 
 namespace tulipweir::jobs {
 
-/// Not thread-safe.
-class Stragglers {
+/// Lists late runs for speculative copies. Not thread-safe.
+class StragglerDetector {
 public:
   // Commands.
 
   void reset();
-  /// Goes over all that runs, if the last time was long enough ago.
+  /// Checks all runs, if the last check was long enough ago.
   void survey(const JobBook &Book, const ServerBoard &Board, TimePoint Now);
 
   // Queries.
 
-  /// The tasks found, those that began first at the front.
-  const std::vector<TaskKey> &list() const { return Late_; }
+  /// Returns the tasks of the late runs, the oldest run first.
+  const std::vector<TaskKey> &getLateTasks() const { return Late_; }
 
 private:
   static bool isLate(const StepSpec &Step, const RunProgress &Run,
--- a/src/jobs/TailHeadroom.h
+++ b/src/jobs/TailHeadroom.h
@@ -1,18 +1,18 @@
-//===- TailHeadroom.h - What serving tasks on a server still bear --*- C++ -*-===//
+//===- TailHeadroom.h - Interference that a server tolerates ---*- C++ -*-===//
 //
-// How much filling work a server's serving tasks bear before a tail is expected
-// to reach its target: what their own load leaves of it at the moment, less
-// what the filling work there is known to add. A pair that disturbs may work
-// beside a service in a quiet hour, and even one that hardly does may not
-// beside a service at its peak. Pure.
+// How much filling work the serving tasks of a server tolerate before a tail
+// is expected to reach its target: the distance that their own load leaves,
+// less the known effect of the filling tasks there. An interfering pair may
+// run together while the service is idle, and even a weakly interfering one
+// may not while it is at its peak. Pure.
 //
 //===----------------------------------------------------------------------===//
 
 #ifndef TULIPWEIR_SRC_JOBS_TAILHEADROOM_H
 #define TULIPWEIR_SRC_JOBS_TAILHEADROOM_H
 
-#include "jobs/ServingLoads.h"
 #include "jobs/InterferenceModel.h"
+#include "jobs/ServingLoads.h"
 #include "tulipweir/jobs/JobBook.h"
 
 #include <string>
@@ -21,37 +21,39 @@
 
 namespace tulipweir::jobs {
 
-/// Of one server, for one plan. Not thread-safe; all that it is made of must
-/// outlive it.
-class TailRoom {
+/// The headroom of one server during one plan. Not thread-safe; all arguments
+/// must outlive it.
+class TailHeadroom {
 public:
-  TailRoom(const TailEffects &Effects, const ServingLoads &Loads,
-           const ServerRecord &Server);
+  TailHeadroom(const InterferenceModel &Interference, const ServingLoads &Loads,
+               const ServerRecord &Server);
 
   // Commands.
 
-  /// So many more processors, thousandths, are filled by tasks of the image.
-  void take(const std::string &Filling, std::int64_t MilliCpus);
+  /// Subtracts a task of the image that uses this many more processors,
+  /// thousandths.
+  void place(const std::string &Filling, std::int64_t MilliCpus);
 
   // Queries.
 
-  /// Whether no tail is expected to reach its target with these, too.
+  /// Returns whether no tail is expected to reach its target with this task
+  /// added.
   bool fits(const std::string &Filling, std::int64_t MilliCpus) const;
-  /// The logarithm by which the longest tail may still grow; below zero when it
-  /// is expected to be over its target.
-  double getLeast() const;
+  /// Returns the logarithm by which the longest tail may still grow; below zero
+  /// if it is expected to exceed its target.
+  double getMinHeadroom() const;
 
 private:
   /// The serving tasks of one image.
   struct Group {
     const std::string *Image_;
-    double Left_ = 0; ///< Logarithm of its target over the expected tail.
+    double Headroom_ = 0; ///< Logarithm of the target over the expected tail.
   };
-  /// One for each group; looked up once, as a plan asks for many tasks of few
-  /// images.
+  /// Returns one weight for each group; cached, as a plan asks for many tasks
+  /// of few images.
   const std::vector<double> &getWeights(const std::string &Filling) const;
 
-  const TailEffects &Effects_;
+  const InterferenceModel &Interference_;
   const double Capacity_;
   std::vector<Group> Groups_;
   mutable std::vector<std::pair<std::string, std::vector<double>>> Weights_;
--- a/src/jobs/TailLearner.cpp
+++ b/src/jobs/TailLearner.cpp
@@ -16,48 +16,51 @@
   return {Running.Task_.Job_, Running.Task_.Occurrence_, Running.Task_.Step_};
 }
 
-/// What the tails of one image's tasks on a server have beyond their loads.
+/// The part of the tails of one image's tasks on a server that their load does
+/// not explain.
 struct TailLearner::Excess {
-  double Sum_ = 0; ///< Logarithms.
+  double Sum_ = 0; ///< Sum of logarithms.
   double Count_ = 0;
 };
 
-/// A task that is not at work yet has no tail.
-void TailLearner::noteTail(const RunningTask &Running, const StepSpec &Step,
-                           double Explained, Excess &Of, TimePoint Now) {
+/// Adds the tail of a task; a task that has not started to serve has none.
+void TailLearner::addTailSample(const RunningTask &Running,
+                                const StepSpec &Step, double ExplainedLog,
+                                Excess &Unexplained, TimePoint Now) {
   if (Running.Measure_ == 0 || Running.Percent_ < Percent)
     return;
   const double LogTail =
       std::log(double(Running.Measure_) / double(Step.TailTargetMs_));
-  const auto Base =
-      Loads_.note(getKey(Running), Step.Image_, LogTail - Explained, Now);
-  if (!Base)
+  const auto Baseline = Loads_.addSample(getKey(Running), Step.Image_,
+                                         LogTail - ExplainedLog, Now);
+  if (!Baseline)
     return;
-  Of.Sum_ += LogTail - *Base;
-  ++Of.Count_;
+  Unexplained.Sum_ += LogTail - *Baseline;
+  ++Unexplained.Count_;
 }
 
 void TailLearner::addLoad(const RunningTask &Running, const StepSpec &Step,
-                          ServingUse &To) const {
+                          ServingUse &Use) const {
   const StepKey Key = getKey(Running);
-  To.Reserved_ += Step.Need_.MilliCpus_;
-  To.Used_ += static_cast<std::int64_t>(double(Step.Need_.MilliCpus_) *
-                                        Loads_.getLoad(Key));
-  const std::optional<double> Base = Loads_.findBase(Key);
-  if (!Base)
+  Use.Reserved_ += Step.Need_.MilliCpus_;
+  Use.Used_ += static_cast<std::int64_t>(double(Step.Need_.MilliCpus_) *
+                                         Loads_.getLoad(Key));
+  const std::optional<double> Baseline = Loads_.findBaseline(Key);
+  if (!Baseline)
     return;
-  const auto [Worst, IsFirst] = To.WorstBases_.try_emplace(Step.Image_, *Base);
-  Worst->second = std::max(Worst->second, *Base);
+  const auto [It, IsFirst] =
+      Use.WorstBaselines_.try_emplace(Step.Image_, *Baseline);
+  It->second = std::max(It->second, *Baseline);
 }
 
 ServerTails TailLearner::learn(const JobBook &Book, const ServerReport &Report,
                                TimePoint Now) {
-  ServerTails Found;
+  ServerTails Result;
   const double Capacity =
       std::max(1.0, double(Report.Facts_.Capacity_.MilliCpus_));
   FillingUse Use;
-  double Filled = 0;
-  double Others = 0; // Used by tasks that neither fill nor serve.
+  double FilledShare = 0;
+  double OtherCpus = 0; // Processors used by tasks that neither fill nor serve.
   std::vector<std::pair<const StepSpec *, const RunningTask *>> Tails;
   for (const RunningTask &Running : Report.Running_) {
     const StepSpec *Step = Book.findStep(Running.Task_);
@@ -66,36 +69,41 @@
     const double Measure = double(Running.Measure_);
     if (Step->isServing()) {
       Tails.emplace_back(Step, &Running);
-      addLoad(Running, *Step, Found.Serving_);
+      addLoad(Running, *Step, Result.Serving_);
     } else if (Step->Fills_) {
       Use[Step->Image_] += Measure / Capacity;
-      Found.Asked_[Step->Image_] += double(Step->Need_.MilliCpus_) / Capacity;
-      Filled += Measure / Capacity;
+      Result.RequestedShares_[Step->Image_] +=
+          double(Step->Need_.MilliCpus_) / Capacity;
+      FilledShare += Measure / Capacity;
     } else {
-      Others += Measure;
+      OtherCpus += Measure;
     }
   }
-  Found.HasServing_ = !Tails.empty();
-  Found.HasFilling_ = !Use.empty();
-  Found.LeftShare_ =
-      ServerRoom::MostUsed - (Others + double(Found.Serving_.Used_)) / Capacity;
-  // Where processors are short, all tails grow, whatever fills.
-  const bool IsTelling = Filled <= Found.LeftShare_;
-  /// By serving image: what is explained by what fills, and what is not.
-  std::map<std::string, std::pair<double, Excess>> Beyond;
+  Result.HasServing_ = !Tails.empty();
+  Result.HasFilling_ = !Use.empty();
+  Result.AvailableShare_ =
+      RemainingCapacity::MaxUsedShare -
+      (OtherCpus + double(Result.Serving_.Used_)) / Capacity;
+  // Where processors are short, all tails grow, whichever images fill.
+  const bool HasEnoughCpus = FilledShare <= Result.AvailableShare_;
+  /// By serving image, the logarithm that the filling tasks explain, and the
+  /// rest.
+  std::map<std::string, std::pair<double, Excess>> Groups;
   for (const auto &[Step, Running] : Tails) {
-    Found.WorstPercent_ = std::max(
-        Found.WorstPercent_, Running->Measure_ * Percent / Step->TailTargetMs_);
-    const auto [Own, IsFirst] = Beyond.try_emplace(Step->Image_);
+    Result.WorstPercent_ =
+        std::max(Result.WorstPercent_,
+                 Running->Measure_ * Percent / Step->TailTargetMs_);
+    const auto [It, IsFirst] = Groups.try_emplace(Step->Image_);
     if (IsFirst)
-      Own->second.first = Effects_.predict(Step->Image_, Use);
-    noteTail(*Running, *Step, Own->second.first, Own->second.second, Now);
+      It->second.first = Interference_.predict(Step->Image_, Use);
+    addTailSample(*Running, *Step, It->second.first, It->second.second, Now);
   }
-  // One sample for all tasks of an image: a learned one costs as much as all
-  // else of a report.
-  for (const auto &[Image, Own] : Beyond)
-    if (IsTelling && Own.second.Count_ > 0)
-      Effects_.learn(Image, Use, std::exp(Own.second.Sum_ / Own.second.Count_));
-  Loads_.noteServer(Report.Facts_.Id_, Found.Serving_);
-  return Found;
+  // One sample for all tasks of an image: a sample costs as much as the rest of
+  // the report.
+  for (const auto &[Image, Group] : Groups)
+    if (HasEnoughCpus && Group.second.Count_ > 0)
+      Interference_.learn(Image, Use,
+                          std::exp(Group.second.Sum_ / Group.second.Count_));
+  Loads_.updateServer(Report.Facts_.Id_, Result.Serving_);
+  return Result;
 }
--- a/src/jobs/TailLearner.h
+++ b/src/jobs/TailLearner.h
@@ -1,7 +1,7 @@
-//===- TailLearner.h - From reports to loads and pairs ---------*- C++ -*-===//
+//===- TailLearner.h - Learns load and interference ------------*- C++ -*-===//
 //
-// Reads what a report says of serving tasks and of what fills beside them, and
-// teaches that to ServingLoads and TailEffects. Whoever hears a report may
+// Reads serving and filling tasks from a report and adds samples to
+// ServingLoads and InterferenceModel. Every node that receives a report may
 // learn from it, whether it leads or not. Pure.
 //
 //===----------------------------------------------------------------------===//
@@ -9,29 +9,31 @@
 #ifndef TULIPWEIR_SRC_JOBS_TAILLEARNER_H
 #define TULIPWEIR_SRC_JOBS_TAILLEARNER_H
 
-#include "jobs/ServingLoads.h"
 #include "jobs/InterferenceModel.h"
+#include "jobs/ServingLoads.h"
 #include "tulipweir/jobs/JobBook.h"
 #include "tulipweir/jobs/ServerReport.h"
 
 namespace tulipweir::jobs {
 
-/// What a report says of a server where something may serve.
+/// What a report contains about a server that may have serving tasks.
 struct ServerTails {
   bool HasServing_ = false;
   bool HasFilling_ = false;
   std::uint64_t WorstPercent_ = 0; ///< The longest tail, of its target.
   ServingUse Serving_;
-  FillingUse Asked_; ///< By what is declared, by image.
-  /// The share of the server's processors that is left for what fills.
-  double LeftShare_ = 0;
+  /// By image, the declared share of the server's processors.
+  FillingUse RequestedShares_;
+  /// The share of the server's processors that is available to filling tasks.
+  double AvailableShare_ = 0;
 };
 
-/// Not thread-safe; holds references to its parts.
+/// Updates the models with reports. Not thread-safe; holds references to its
+/// parts.
 class TailLearner {
 public:
-  TailLearner(TailEffects &Effects, ServingLoads &Loads)
-      : Effects_(Effects), Loads_(Loads) {}
+  TailLearner(InterferenceModel &Interference, ServingLoads &Loads)
+      : Interference_(Interference), Loads_(Loads) {}
 
   ServerTails learn(const JobBook &Book, const ServerReport &Report,
                     TimePoint Now);
@@ -39,12 +41,12 @@
 private:
   struct Excess;
 
-  void noteTail(const RunningTask &Running, const StepSpec &Step,
-                double Explained, Excess &Of, TimePoint Now);
+  void addTailSample(const RunningTask &Running, const StepSpec &Step,
+                     double ExplainedLog, Excess &Unexplained, TimePoint Now);
   void addLoad(const RunningTask &Running, const StepSpec &Step,
-               ServingUse &To) const;
+               ServingUse &Use) const;
 
-  TailEffects &Effects_;
+  InterferenceModel &Interference_;
   ServingLoads &Loads_;
 };
 
--- a/src/jobs/WavePlanner.h
+++ b/src/jobs/WavePlanner.h
@@ -1,9 +1,9 @@
-//===- WavePlanner.h - Which VM has its maintenance next --------*- C++ -*-===//
+//===- WavePlanner.h - Plans the maintenance of VMs ------------*- C++ -*-===//
 //
-// Empties servers of open waves and decides which of their VMs may be put into
-// maintenance now, so that never more of a wave are down than allowed. What is
-// known of VMs comes from the provider's list and its answers; a VM whose order
-// was not clearly answered counts as down. Pure.
+// Drains the servers of open waves and decides which of their VMs may be put
+// into maintenance next, so that the number of a wave's VMs that are down
+// never exceeds its limit. The states of VMs come from the provider's list and
+// its answers; a VM whose order got no clear answer counts as down. Pure.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,60 +24,64 @@
 struct MaintenanceOrder {
   std::uint64_t Wave_ = 0;
   std::string Vm_;
-  std::string Server_; ///< The incarnation on it, as last listed.
+  std::string Server_; ///< The backend server on the VM, as last listed.
   bool operator==(const MaintenanceOrder &) const = default;
 };
 
-/// Not thread-safe.
-class WaveKeeper {
+/// Plans the next maintenance order of a term. Not thread-safe.
+class WavePlanner {
 public:
   // Commands.
 
   void reset();
-  /// The provider's list, as of an order sent at AskedAt.
-  void noteList(const VmList &List, TimePoint AskedAt);
-  /// Chooses the servers to empty, and the next order if one may go out.
+  /// Stores the provider's list, which was requested at AskedAt.
+  void updateVms(const VmList &List, TimePoint AskedAt);
+  /// Chooses the servers to drain and returns the next order, if one may be
+  /// sent.
   std::optional<MaintenanceOrder> plan(const JobBook &Book, TimePoint Now);
-  /// The order left; whether it was carried out is open.
-  void noteOrdered(const MaintenanceOrder &Order, TimePoint Now);
-  /// An answer, or an error for none. True if the VM's maintenance has begun,
-  /// or never will.
-  bool noteReply(const MaintenanceOrder &Order,
-                 const Outcome<MaintenanceReply> &Reply, TimePoint Now);
+  /// Records that the order was sent; whether it was carried out is not known
+  /// yet.
+  void recordOrder(const MaintenanceOrder &Order, TimePoint Now);
+  /// Handles an answer, or an error if there was none. Returns true if the VM's
+  /// maintenance has begun or never will.
+  bool handleReply(const MaintenanceOrder &Order,
+                   const Outcome<MaintenanceReply> &Reply, TimePoint Now);
 
   // Queries.
 
-  /// Whether the server shall start nothing, as its VM is next.
-  bool isEmptying(const std::string &ServerId) const {
-    return Emptying_.count(ServerId) != 0;
+  /// Returns whether the server must start nothing, as its VM is next.
+  bool isDraining(const std::string &ServerId) const {
+    return DrainingSince_.count(ServerId) != 0;
   }
-  /// Whether a list is wanted: there is something to decide.
+  /// Returns whether a new list is needed for a decision.
   bool isListDue(const JobBook &Book, TimePoint Now) const;
 
 private:
-  /// What this leader did with a VM of a wave.
-  struct Ordered {
+  /// The state of this leader's order for a VM of a wave.
+  struct OrderState {
     std::uint64_t Wave_ = 0;
     TimePoint At_{};
-    bool IsInFlight_ = false; ///< An order is on its way.
-    bool IsUnclear_ = false;  ///< An earlier one may have been carried out.
-    bool IsDown_ = false;     ///< Begun, and not seen up again since.
+    bool IsInFlight_ = false; ///< An order was sent and is not answered yet.
+    bool IsUnclear_ = false;  ///< An earlier order may have been carried out.
+    bool IsDown_ = false;     ///< Maintenance has begun; not seen up since.
     bool mayBeDown() const { return IsInFlight_ || IsUnclear_ || IsDown_; }
   };
   bool isUp(const std::string &Vm) const;
   std::uint64_t countDown(const WaveRecord &Wave) const;
-  bool mayOrder(const JobBook &Book, const ServerRecord &Server,
-                TimePoint Now) const;
+  bool mayMaintain(const JobBook &Book, const ServerRecord &Server,
+                   TimePoint Now) const;
 
   std::map<std::string, VmInfo> Vms_;
   bool HasList_ = false;
-  bool IsWhole_ = true; ///< Of the last list.
+  bool IsComplete_ = true; ///< The last list named every VM.
   TimePoint ListedAt_{};
-  std::map<std::string, Ordered> Ordered_; ///< By VM.
-  /// By server, since when it is being emptied.
-  std::map<std::string, TimePoint> Emptying_;
-  std::map<std::string, TimePoint> NotBefore_; ///< By VM: busy, or an error.
-  bool IsFenced_ = false; ///< Another leads; this term orders nothing more.
+  std::map<std::string, OrderState> Orders_; ///< By VM.
+  /// By server id, when draining began.
+  std::map<std::string, TimePoint> DrainingSince_;
+  /// By VM, when a next order may be sent after a busy answer or an error.
+  std::map<std::string, TimePoint> RetryAt_;
+  /// Another leader has a higher fencing token; this term sends no more orders.
+  bool IsFenced_ = false;
 };
 
 } // namespace tulipweir::jobs
--- a/src/jobs/Waves.cpp
+++ b/src/jobs/Waves.cpp
@@ -6,9 +6,9 @@
 using namespace tulipweir;
 using namespace tulipweir::jobs;
 
-/// Completed waves are kept for questions about them; a deployment has some a
-/// week (docs/CAPACITY.md: 120 VMs are restarted or replaced on a day).
-static constexpr std::size_t MostKept = 256;
+/// Completed waves are kept for queries; a deployment has some waves a week
+/// (docs/CAPACITY.md: 120 VMs are restarted or replaced on a day).
+static constexpr std::size_t MaxKeptWaves = 256;
 
 bool WaveRecord::hasBegun(const std::string &Vm) const {
   return std::find(Begun_.begin(), Begun_.end(), Vm) != Begun_.end();
@@ -25,10 +25,10 @@
     return !Named.insert(Vm).second;
   });
   Waves_.emplace(Spec.Id_, std::move(Record));
-  while (Waves_.size() > MostKept) {
+  while (Waves_.size() > MaxKeptWaves) {
     const auto Oldest =
-        std::find_if(Waves_.begin(), Waves_.end(), [](const auto &Each) {
-          return Each.second.isCompleted();
+        std::find_if(Waves_.begin(), Waves_.end(), [](const auto &Entry) {
+          return Entry.second.isCompleted();
         });
     if (Oldest == Waves_.end())
       break;
@@ -37,31 +37,31 @@
   return true;
 }
 
-bool WaveBook::noteBegun(std::uint64_t Wave, const std::string &Vm) {
-  const auto Found = Waves_.find(Wave);
-  if (Found == Waves_.end() || Found->second.hasBegun(Vm))
+bool WaveBook::markBegun(std::uint64_t Wave, const std::string &Vm) {
+  const auto It = Waves_.find(Wave);
+  if (It == Waves_.end() || It->second.hasBegun(Vm))
     return false;
-  const std::vector<std::string> &Vms = Found->second.Spec_.Vms_;
+  const std::vector<std::string> &Vms = It->second.Spec_.Vms_;
   if (std::find(Vms.begin(), Vms.end(), Vm) == Vms.end())
     return false;
-  Found->second.Begun_.push_back(Vm);
+  It->second.Begun_.push_back(Vm);
   return true;
 }
 
 const WaveRecord *WaveBook::find(std::uint64_t Wave) const {
-  const auto Found = Waves_.find(Wave);
-  return Found == Waves_.end() ? nullptr : &Found->second;
+  const auto It = Waves_.find(Wave);
+  return It == Waves_.end() ? nullptr : &It->second;
 }
 
-bool WaveBook::isAnyOpen() const {
-  return std::any_of(Waves_.begin(), Waves_.end(), [](const auto &Each) {
-    return !Each.second.isCompleted();
+bool WaveBook::hasOpenWave() const {
+  return std::any_of(Waves_.begin(), Waves_.end(), [](const auto &Entry) {
+    return !Entry.second.isCompleted();
   });
 }
 
-WaveBook WaveBook::makeOf(std::vector<WaveRecord> Records) {
+WaveBook WaveBook::makeFrom(std::vector<WaveRecord> Records) {
   WaveBook Book;
-  for (WaveRecord &Each : Records)
-    Book.Waves_[Each.Spec_.Id_] = std::move(Each);
+  for (WaveRecord &Record : Records)
+    Book.Waves_[Record.Spec_.Id_] = std::move(Record);
   return Book;
 }
--- a/tests/jobs/DispatcherTest.cpp
+++ b/tests/jobs/DispatcherTest.cpp
@@ -1,5 +1,4 @@
-//===- DispatcherTest.cpp - Which task starts where
-//-------------------------===//
+//===- DispatcherTest.cpp - Task starts planned for one server -----------===//
 
 #include "jobs/Dispatcher.h"
 
@@ -18,51 +17,52 @@
     Board_.reset(Book_, Now_, 10s);
     submitted();
   }
-  /// Plans for a server at the present time, and places what came of it.
+  /// Plans for a server at the current time and places the planned tasks.
   std::vector<TaskStart> plan(const std::string &Server) {
     Dispatcher_.survey(Book_, Board_, Now_);
     auto Starts =
         Dispatcher_.plan(Book_, Board_, Server, Now_, WallTime(Wall_));
     apply(StartTasks{Starts});
-    Dispatcher_.settle(Starts);
+    Dispatcher_.releaseProposed(Starts);
     return Starts;
   }
   void advance(Duration By) {
     Now_ += By;
     Wall_ += std::chrono::duration_cast<WallTime>(By).count();
   }
-  /// Teaches that the pair disturbs.
-  void teach(const std::string &Serving, const std::string &Filling) {
+  /// Trains the model until the pair interferes.
+  void trainInterference(const std::string &Serving,
+                         const std::string &Filling) {
     for (int I = 0; I < 400; ++I) {
       const double Share = 0.01 * (I % 30);
-      Effects_.learn(Serving, {{Filling, Share}},
-                     Share > 0.1 ? 3.0 + 10 * Share : 0.4);
+      Interference_.learn(Serving, {{Filling, Share}},
+                          Share > 0.1 ? 3.0 + 10 * Share : 0.4);
     }
-    ASSERT_TRUE(Effects_.isDisturbing(Serving, Filling));
+    ASSERT_TRUE(Interference_.isInterfering(Serving, Filling));
   }
   void submitted() {}
 
   TimePoint Now_{1h};
   std::int64_t Wall_ = 1000;
   ServerBoard Board_;
-  TailEffects Effects_;
+  InterferenceModel Interference_;
   ServingLoads Loads_;
-  PaceGuard Paces_;
+  PaceController Paces_;
   ServerHealth Health_;
-  AdviceBook Advice_;
-  Dispatcher Dispatcher_{Effects_, Loads_, Paces_, Health_, Advice_};
+  AdviceCache Advice_;
+  Dispatcher Dispatcher_{Interference_, Loads_, Paces_, Health_, Advice_};
 };
 
 } // namespace
 
-TEST_F(DispatcherTest, AServerIsFilledAndNotOverfilled) {
+TEST_F(DispatcherTest, ServerIsFilledUpToItsCapacity) {
   submit(makeJob("j", {makeStep(9, 1000)}));
   EXPECT_EQ(plan("s1").size(), 4U);
   EXPECT_EQ(plan("s1").size(), 0U);
   EXPECT_EQ(plan("s2").size(), 4U);
 }
 
-TEST_F(DispatcherTest, WhatIsUrgentGoesFirst) {
+TEST_F(DispatcherTest, UrgentJobStartsFirst) {
   Configuration Two = makeConfiguration(2);
   QueuePolicy Slow = Two.Queues_[0];
   Slow.PathPrefix_ = "/slow/";
@@ -80,7 +80,7 @@
   EXPECT_EQ(Starts[2].Task_.Job_, "slow");
 }
 
-TEST_F(DispatcherTest, WhatCanStillBeInTimeGoesBeforeWhatCannot) {
+TEST_F(DispatcherTest, JobThatCanMeetItsObjectiveStartsBeforeLateJob) {
   submit(makeJob("late", {makeStep(4, 1000)}));
   advance(60s);
   SubmitJob Fresh = makeSubmit(makeJob("fresh", {makeStep(2, 1000)}));
@@ -92,8 +92,9 @@
   EXPECT_EQ(Starts[2].Task_.Job_, "late") << "it still has to be done";
 }
 
-TEST_F(DispatcherTest, FillingWorkThatIsNearlyDoneGoesFirst) {
-  // Both can still be in time; the large one came first and is due first.
+TEST_F(DispatcherTest, NearlyDoneFillingJobStartsFirst) {
+  // Both jobs can still meet their deadline; the large one was submitted first
+  // and is due first.
   submit(makeJob("large", {makeFilling(8, "f"), makeFilling(8, "f")}));
   submit(makeJob("small", {makeFilling(2, "f")}));
   const auto Starts = plan("s1");
@@ -103,7 +104,7 @@
   EXPECT_EQ(Starts[2].Task_.Job_, "large");
 }
 
-TEST_F(DispatcherTest, WhatWaitsForALabelThatNoServerHasSaysSo) {
+TEST_F(DispatcherTest, MissingLabelIsExplained) {
   StepSpec Bound = makeStep(1, 1000);
   Bound.Label_ = "b";
   submit(makeJob("j", {Bound}));
@@ -113,7 +114,7 @@
       "2 without the label b");
 }
 
-TEST_F(DispatcherTest, ShortWorkGoesBeforeWhatLasts) {
+TEST_F(DispatcherTest, ShortTasksStartBeforeLongRunningOnes) {
   submit(makeJob("lasting", {makeServing(4, "a")}));
   SubmitJob Fresh = makeSubmit(makeJob("short", {makeStep(3, 1000)}));
   Fresh.AcceptedMs_ = static_cast<std::uint64_t>(Wall_);
@@ -124,7 +125,7 @@
   EXPECT_EQ(Starts[3].Task_.Job_, "lasting");
 }
 
-TEST_F(DispatcherTest, DataIsWaitedForAMomentOnly) {
+TEST_F(DispatcherTest, WaitForDataRackIsBounded) {
   StepSpec Near = makeStep(1, 1000);
   Near.DataRack_ = "r9";
   submit(makeJob("j", {Near}));
@@ -133,9 +134,9 @@
   EXPECT_EQ(plan("s1").size(), 1U);
 }
 
-TEST_F(DispatcherTest, ImagesThatServeAreKeptApart) {
+TEST_F(DispatcherTest, ServingImagesAreKeptApart) {
   submit(makeJob("a", {makeServing(1, "a")}));
-  ASSERT_EQ(plan("s1").size(), 1U) << "nothing serves anywhere";
+  ASSERT_EQ(plan("s1").size(), 1U) << "no server has serving tasks";
   submit(makeJob("b", {makeServing(1, "b")}));
   plan("s1");
   advance(400ms);
@@ -143,25 +144,26 @@
   EXPECT_EQ(plan("s2").size(), 1U);
 }
 
-TEST_F(DispatcherTest, AnImageWaitsForRoomAmongItsEqualsOnlyWhileThereIsSome) {
+TEST_F(DispatcherTest,
+       ServingTaskWaitsForSameImageServerOnlyWhileOneHasCapacity) {
   submit(makeJob("a", {makeServing(2, "a")}));
   ASSERT_EQ(plan("s1").size(), 2U);
   submit(makeJob("more", {makeServing(2, "a")}));
-  EXPECT_TRUE(plan("s2").empty()) << "s1 has room for both";
+  EXPECT_TRUE(plan("s2").empty()) << "s1 has capacity for both";
   EXPECT_EQ(plan("s1").size(), 2U);
   submit(makeJob("yet", {makeServing(1, "a")}));
   EXPECT_EQ(plan("s2").size(), 1U) << "s1 is full";
 }
 
-TEST_F(DispatcherTest,
-       WhereAnImageMustServeBesideAnotherTheLeastHarmComesFirst) {
+TEST_F(DispatcherTest, MixedServingImagesStartWhereLeastInterferenceIsAdded) {
   submit(makeJob("a", {makeServing(1, "a")}));
   ASSERT_EQ(plan("s1").size(), 1U);
   submit(makeJob("b", {makeServing(1, "b")}));
   ASSERT_EQ(plan("s2").size(), 1U);
-  // What fills may work freely beside b, and neither beside a nor beside c.
-  teach("a", "heavy");
-  teach("c", "heavy");
+  // The filling image "heavy" may run freely beside b, but neither beside a nor
+  // beside c.
+  trainInterference("a", "heavy");
+  trainInterference("c", "heavy");
   submit(makeJob("c", {makeServing(1, "c")}));
   plan("s1");
   advance(300ms);
@@ -169,21 +171,21 @@
   EXPECT_EQ(plan("s1").size(), 1U);
 }
 
-TEST_F(DispatcherTest, WhatLastsMayComeBackToWhereItFailed) {
+TEST_F(DispatcherTest, LongRunningTaskMayReturnToServerWhereItFailed) {
   submit(makeJob("a", {makeServing(1, "a")}));
   const auto First = plan("s1");
   ASSERT_EQ(First.size(), 1U);
   end(First[0], RunEnd::Failed);
-  Dispatcher_.noteFailure(First[0].Task_, "s1", Now_);
+  Dispatcher_.recordFailure(First[0].Task_, "s1", Now_);
   EXPECT_EQ(plan("s1").size(), 1U);
 }
 
-TEST_F(DispatcherTest, AFillingTaskStaysAwayFromWhatItDisturbs) {
+TEST_F(DispatcherTest, FillingTaskAvoidsServersWhereItInterferes) {
   submit(makeJob("serve", {makeServing(3, "a")}));
   plan("s1");
   advance(400ms);
   plan("s1");
-  teach("a", "heavy");
+  trainInterference("a", "heavy");
   submit(makeJob("fill", {makeFilling(1, "heavy")}));
   EXPECT_TRUE(plan("s1").empty());
   EXPECT_EQ(plan("s2").size(), 1U);
@@ -191,50 +193,50 @@
   EXPECT_EQ(plan("s1").size(), 1U);
 }
 
-TEST_F(DispatcherTest, AJobOfWhichNothingRunsIsNotKeptWaitingWhileThereIsRoom) {
+TEST_F(DispatcherTest, IdleJobStartsAfterBoundedWaitIfFleetHasCapacity) {
   submit(makeJob("serve", {makeServing(1, "a"), makeServing(1, "a")}));
   plan("s1");
   advance(400ms);
   plan("s1");
   apply(RemoveServer{"s2", {}, false});
-  teach("a", "heavy");
+  trainInterference("a", "heavy");
   submit(makeJob("fill", {makeFilling(3, "heavy")}));
   EXPECT_TRUE(plan("s1").empty());
   advance(1100ms);
-  EXPECT_EQ(plan("s1").size(), 1U) << "one, so that it goes on";
+  EXPECT_EQ(plan("s1").size(), 1U) << "one task, so that the job progresses";
 }
 
-TEST_F(DispatcherTest, AQuarantinedServerGetsNothingAndThenOneTask) {
+TEST_F(DispatcherTest, QuarantinedServerGetsNothingAndThenOneTask) {
   submit(makeJob("j", {makeStep(4, 1000)}));
   for (const char *Job : {"a", "b", "c"})
     Health_.noteFailed("s1", Job, Now_);
   EXPECT_TRUE(plan("s1").empty());
   advance(4s);
   EXPECT_EQ(plan("s1").size(), 1U);
-  EXPECT_TRUE(plan("s1").empty()) << "until that one is done";
+  EXPECT_TRUE(plan("s1").empty()) << "until that task is done";
 }
 
-TEST_F(DispatcherTest, ATaskThatFailedIsTriedElsewhereFirst) {
+TEST_F(DispatcherTest, FailedTaskIsRetriedOnAnotherServer) {
   submit(makeJob("j", {makeStep(1, 1000)}));
   const auto First = plan("s1");
   ASSERT_EQ(First.size(), 1U);
   end(First[0], RunEnd::Failed);
-  Dispatcher_.noteFailure(First[0].Task_, "s1", Now_);
+  Dispatcher_.recordFailure(First[0].Task_, "s1", Now_);
   EXPECT_TRUE(plan("s1").empty());
   EXPECT_EQ(plan("s2").size(), 1U);
 }
 
-TEST_F(DispatcherTest, ATaskThatFailedReturnsWhereNothingElseTakesIt) {
+TEST_F(DispatcherTest, FailedTaskReturnsIfNoOtherServerTakesIt) {
   submit(makeJob("j", {makeStep(1, 1000)}));
   const auto First = plan("s1");
   end(First.at(0), RunEnd::Failed);
-  Dispatcher_.noteFailure(First[0].Task_, "s1", Now_);
+  Dispatcher_.recordFailure(First[0].Task_, "s1", Now_);
   EXPECT_TRUE(plan("s1").empty());
   advance(1100ms);
   EXPECT_EQ(plan("s1").size(), 1U);
 }
 
-TEST_F(DispatcherTest, ATaskIsPlannedOnceWhileItsStartIsOpen) {
+TEST_F(DispatcherTest, TaskWithPendingStartIsNotPlannedAgain) {
   submit(makeJob("j", {makeStep(1, 1000)}));
   EXPECT_EQ(Dispatcher_.plan(Book_, Board_, "s1", Now_, WallTime(Wall_)).size(),
             1U);
@@ -242,13 +244,13 @@
       Dispatcher_.plan(Book_, Board_, "s2", Now_, WallTime(Wall_)).empty());
 }
 
-TEST_F(DispatcherTest, ACopyOvertakesARunThatIsLate) {
+TEST_F(DispatcherTest, StragglerIsCopied) {
   StepSpec Step = makeStep(1, 1000);
   Step.Speculative_ = true;
   submit(makeJob("j", {Step, makeStep(1, 100)}));
   const auto First = plan("s1");
   ASSERT_EQ(First.size(), 2U);
-  // Of declared 500 ms; half done after 700.
+  // The run is declared with 500 ms and is half done after 700 ms.
   ServerReport Report;
   Report.Facts_ = makeServer("s1");
   Report.Running_ = {{First[0].Task_, 1, "", 1, 0}};
@@ -260,7 +262,7 @@
   Board_.note(Report, Now_, 10s);
   EXPECT_TRUE(plan("s2").empty()) << "it may take twice as long";
   advance(700ms);
-  EXPECT_TRUE(plan("s1").empty()) << "not beside the first";
+  EXPECT_TRUE(plan("s1").empty()) << "not on the server of the first run";
   const auto Copy = plan("s2");
   ASSERT_EQ(Copy.size(), 1U);
   EXPECT_EQ(Copy[0].Task_, First[0].Task_);
@@ -271,7 +273,7 @@
   EXPECT_EQ(Book_.findTask(Copy[0].Task_)->State_, TaskState::Done);
 }
 
-TEST_F(DispatcherTest, NothingElseIsCopied) {
+TEST_F(DispatcherTest, NonSpeculativeTaskIsNotCopied) {
   submit(makeJob("j", {makeStep(1, 1000)}));
   const auto First = plan("s1");
   ASSERT_EQ(First.size(), 1U);
@@ -284,11 +286,11 @@
   EXPECT_TRUE(plan("s2").empty());
 }
 
-TEST_F(DispatcherTest, WhatLastsIsNotStarvedByShortWork) {
-  // Both servers are full of short tasks of one processor; a task that lasts
-  // needs three of the four.
-  StepSpec Lasting = makeServing(1, "a");
-  Lasting.Need_.MilliCpus_ = 3000;
+TEST_F(DispatcherTest, LongRunningTaskIsNotStarvedByShortTasks) {
+  // Both servers are full of short tasks of one processor; a long-running task
+  // needs three of the four processors.
+  StepSpec LongRunning = makeServing(1, "a");
+  LongRunning.Need_.MilliCpus_ = 3000;
   const auto SubmitShort = [this](const std::string &Id) {
     SubmitJob Fresh = makeSubmit(makeJob(Id, {makeStep(8, 1000)}));
     Fresh.AcceptedMs_ = static_cast<std::uint64_t>(Wall_);
@@ -298,9 +300,9 @@
   std::map<std::string, std::vector<TaskStart>> Running;
   for (const char *Server : {"s1", "s2"})
     Running[Server] = plan(Server);
-  submit(makeJob("lasting", {Lasting}));
+  submit(makeJob("lasting", {LongRunning}));
   bool HasStarted = false;
-  // One short task ends in each turn, and more are always waiting.
+  // One short task ends in each round, and more are always waiting.
   for (int Turn = 0; Turn < 40 && !HasStarted; ++Turn) {
     advance(100ms);
     SubmitShort("more" + std::to_string(Turn));
@@ -318,14 +320,14 @@
   EXPECT_TRUE(HasStarted);
 }
 
-TEST_F(DispatcherTest, NothingIsCopiedWhileWhatLastsWaits) {
+TEST_F(DispatcherTest, NothingIsCopiedWhileLongRunningTaskWaits) {
   StepSpec Step = makeStep(1, 1000);
   Step.Speculative_ = true;
-  StepSpec Lasting = makeServing(1, "a");
-  Lasting.Need_.MilliCpus_ = 8000; // More than any server has.
+  StepSpec LongRunning = makeServing(1, "a");
+  LongRunning.Need_.MilliCpus_ = 8000; // More than any server has.
   submit(makeJob("j", {Step}));
   const auto First = plan("s1");
-  submit(makeJob("lasting", {Lasting}));
+  submit(makeJob("lasting", {LongRunning}));
   ServerReport Report;
   Report.Facts_ = makeServer("s1");
   Report.Running_ = {{First.at(0).Task_, 1, "", 1, 0}};
@@ -335,13 +337,12 @@
   EXPECT_TRUE(plan("s2").empty());
 }
 
-// At a leader that was behind, plans cost ten times as much as usual, for each
-// looked at every waiting step in turn: 0.2 to 0.7 ms of 0.02. So the longer
-// the queue, the slower the leader, and the longer the queue. A plan now looks
-// once at what an image may do on a server; these are the cases that it must
-// not throw into one.
+// A plan that checks every waiting step costs 0.2 to 0.7 ms instead of 0.02 ms
+// on the long queue of an overloaded leader, which slows the leader further and
+// makes the queue longer. A plan therefore checks a filling image once per
+// server; these tests cover the cases that must be kept apart nevertheless.
 
-TEST_F(DispatcherTest, WhatIsRefusedKeepsNoSmallerTaskOfItsImageAway) {
+TEST_F(DispatcherTest, RejectionDoesNotBlockSmallerTaskOfSameImage) {
   submit(makeJob("plain", {makeStep(1, 1000)}));
   ASSERT_EQ(plan("s1").size(), 1U);
   submit(makeJob("large", {makeFilling(1, "f", 3500)}));
@@ -352,20 +353,21 @@
   EXPECT_EQ(Starts[0].Task_.Job_, "small");
 }
 
-TEST_F(DispatcherTest, WhatIsRefusedKeepsNoOtherImageAway) {
-  teach("l", "f");
+TEST_F(DispatcherTest, RejectionDoesNotBlockOtherImages) {
+  trainInterference("l", "f");
   submit(makeJob("serving", {makeServing(1, "l")}));
   ASSERT_EQ(plan("s1").size(), 1U);
   for (const char *Id : {"f1", "f2", "f3"})
     submit(makeJob(Id, {makeFilling(1, "f")}));
   submit(makeJob("other", {makeFilling(1, "g")}));
   const auto Starts = plan("s1");
-  ASSERT_EQ(Starts.size(), 1U) << "it disturbs nobody";
+  ASSERT_EQ(Starts.size(), 1U) << "it interferes with no serving task";
   EXPECT_EQ(Starts[0].Task_.Job_, "other");
 }
 
-TEST_F(DispatcherTest, WhatStillWaitsForABetterPlaceKeepsNobodyWhoNeedNot) {
-  teach("l", "f");
+TEST_F(DispatcherTest,
+       RejectionOfWaitingTaskDoesNotBlockTaskThatHasWaitedLongEnough) {
+  trainInterference("l", "f");
   submit(makeJob("serving", {makeServing(1, "l")}));
   ASSERT_EQ(plan("s1").size(), 1U);
   submit(makeJob("waited", {makeFilling(1, "f", 100)}));
--- a/tests/jobs/GangPlannerTest.cpp
+++ b/tests/jobs/GangPlannerTest.cpp
@@ -1,4 +1,4 @@
-//===- GangPlannerTest.cpp - Racks of gangs -------------------------------===//
+//===- GangPlannerTest.cpp - Placement of gangs on racks -----------------===//
 
 #include "jobs/GangPlanner.h"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Two servers on each of the racks r1 (the fixture's) and r2.
+/// Two servers on each of the racks r1 (from the fixture) and r2.
 class GangPlannerTest : public JobBookTest {
 protected:
   GangPlannerTest() {
@@ -28,7 +28,7 @@
     Step.DataRack_ = DataRack;
     submit(makeJob("g", {Step}));
   }
-  /// Tasks by rack.
+  /// Counts the tasks by rack.
   std::map<std::string, std::size_t> plan(bool MaySpread) {
     std::map<std::string, std::size_t> Count;
     const auto Starts =
@@ -36,8 +36,8 @@
                        [this](const ServerRecord &Server) {
                          return Unusable_ != Server.Facts_.Id_;
                        });
-    for (const TaskStart &Each : Starts)
-      ++Count[Book_.findServer(Each.Server_)->Facts_.Rack_];
+    for (const TaskStart &Start : Starts)
+      ++Count[Book_.findServer(Start.Server_)->Facts_.Rack_];
     return Count;
   }
 
@@ -48,34 +48,34 @@
 
 } // namespace
 
-TEST_F(GangPlannerTest, ARackWhereAllFitIsPreferred) {
+TEST_F(GangPlannerTest, RackThatFitsWholeGangIsPreferred) {
   submitGang(6, /*SameRack=*/false);
   Unusable_ = "s1";
   EXPECT_EQ(plan(true), (Racks{{"r2", 6}}));
 }
 
-TEST_F(GangPlannerTest, TheDatasRackComesFirst) {
+TEST_F(GangPlannerTest, DataRackIsPreferred) {
   submitGang(6, /*SameRack=*/false, "r2");
   EXPECT_EQ(plan(true), (Racks{{"r2", 6}}));
 }
 
-TEST_F(GangPlannerTest, WhatShouldStayOnOneRackIsSpreadOnlyInTheEnd) {
+TEST_F(GangPlannerTest, SameRackGangIsSpreadOnlyIfAllowed) {
   submitGang(10, /*SameRack=*/true);
   EXPECT_EQ(plan(false), Racks{});
   EXPECT_EQ(plan(true), (Racks{{"r1", 8}, {"r2", 2}}));
 }
 
-TEST_F(GangPlannerTest, OtherGangsAreSpreadAtOnce) {
+TEST_F(GangPlannerTest, OtherGangsAreSpreadImmediately) {
   submitGang(10, /*SameRack=*/false);
   EXPECT_EQ(plan(false), (Racks{{"r1", 8}, {"r2", 2}}));
 }
 
-TEST_F(GangPlannerTest, AGangIsPlacedWholeOrNotAtAll) {
+TEST_F(GangPlannerTest, GangIsPlacedAsAWholeOrNotAtAll) {
   submitGang(17, /*SameRack=*/false);
   EXPECT_EQ(plan(true), Racks{});
 }
 
-TEST_F(GangPlannerTest, TheBookTakesWhatIsPlanned) {
+TEST_F(GangPlannerTest, PlannedStartsAreAccepted) {
   submitGang(10, /*SameRack=*/false);
   const auto Starts = planGangStarts(Book_, *Book_.readySteps().begin(), true,
                                      [](const ServerRecord &) { return true; });
--- a/tests/jobs/IsolationPlannerTest.cpp
+++ b/tests/jobs/IsolationPlannerTest.cpp
@@ -1,4 +1,4 @@
-//===- IsolationPlannerTest.cpp - Where suspected tasks run alone ---------===//
+//===- IsolationPlannerTest.cpp - Isolated runs of suspected tasks -------===//
 
 #include "jobs/IsolationPlanner.h"
 #include "jobs/JobFixture.h"
@@ -35,8 +35,8 @@
 } // namespace
 
 // A report considers a bounded number of suspects; those behind many that fit
-// nowhere must be considered by later reports.
-TEST_F(IsolationPlannerTest, ASuspectBehindManyThatFitNowhereStarts) {
+// on no server must be considered by later reports.
+TEST_F(IsolationPlannerTest, SuspectBehindManyUnplaceableOnesStarts) {
   static constexpr std::uint64_t Unplaceable = 150;
   StepSpec Large = makeStep(Unplaceable, 5000);
   Large.Need_.MemoryMib_ = 1;
@@ -55,7 +55,7 @@
   EXPECT_EQ(Start->Task_.Job_, "small");
 }
 
-TEST_F(IsolationPlannerTest, TheMostUrgentSuspectStartsFirst) {
+TEST_F(IsolationPlannerTest, MostUrgentSuspectStartsFirst) {
   submit(makeJob("first", {makeStep(1, 100)}));
   submit(makeJob("second", {makeStep(1, 100)}));
   crashTwice("second", 1);
--- a/tests/jobs/JobLeaderPacesTest.cpp
+++ b/tests/jobs/JobLeaderPacesTest.cpp
@@ -1,4 +1,4 @@
-//===- JobLeaderPacesTest.cpp - Paces that a leader tells -----------------===//
+//===- JobLeaderPacesTest.cpp - Pace orders of a leader ------------------===//
 
 #include "jobs/LeaderFixture.h"
 
@@ -9,13 +9,13 @@
 using namespace tulipweir::jobs::test;
 using namespace std::chrono_literals;
 
-TEST_F(JobLeaderTest, APaceIsToldOnceAndAgainOnlyWhereItWasLost) {
+TEST_F(JobLeaderTest, PaceOrderIsRepeatedOnlyIfLost) {
   call(CallKind::Submit, "s", {makeServing(1, "serve", 500)});
   call(CallKind::Submit, "f", {makeFilling(1, "fill")});
   std::map<TaskKey, std::uint64_t> Runs;
   std::vector<PaceOrder> Paces;
-  // Both run; the tail stays over its target, whoever is to blame.
-  const auto Beat = [&](std::uint64_t Used) {
+  // Both tasks run; the tail stays over its target, whatever the cause.
+  const auto SendReport = [&](std::uint64_t Used) {
     Strand_.advance(250ms);
     ServerReport Report = makeReport("s1");
     for (const auto &[Task, Run] : Runs)
@@ -27,22 +27,23 @@
     Paces.insert(Paces.end(), Orders.Paces_.begin(), Orders.Paces_.end());
   };
   for (int I = 0; I < 30 && Runs.size() < 2; ++I)
-    Beat(1000);
+    SendReport(1000);
   ASSERT_EQ(Runs.size(), 2U);
   for (int I = 0; I < 40 && (Paces.empty() || Paces.back().Percent_ > 0); ++I)
-    Beat(Paces.empty() ? 1000 : Paces.back().Percent_ * 10);
+    SendReport(Paces.empty() ? 1000 : Paces.back().Percent_ * 10);
   ASSERT_FALSE(Paces.empty());
   EXPECT_EQ(Paces.back().Percent_, 0U);
-  const std::size_t Told = Paces.size();
+  const std::size_t SentCount = Paces.size();
   for (int I = 0; I < 20; ++I)
-    Beat(0);
-  EXPECT_EQ(Paces.size(), Told) << "a repeated order begins its delay anew";
+    SendReport(0);
+  EXPECT_EQ(Paces.size(), SentCount) << "a repeated order restarts its delay";
   for (int I = 0; I < 5; ++I)
-    Beat(1000);
-  EXPECT_EQ(Paces.size(), Told + 1) << "it works on as if nothing had come";
+    SendReport(1000);
+  EXPECT_EQ(Paces.size(), SentCount + 1)
+      << "the task runs as if the order was lost";
 }
 
-TEST_F(JobLeaderTest, WhatAMemberHeardOfPairsHoldsOnceItLeads) {
+TEST_F(JobLeaderTest, InterferenceLearnedAsFollowerAppliesAfterElection) {
   call(CallKind::Submit, "serves", {makeServing(1, "s")});
   call(CallKind::Submit, "fills", {makeFilling(1, "heavy")});
   ServerOrders Orders = report(makeReport("s1"));
@@ -54,10 +55,10 @@
   // Beside the filling task the tail grows by exp(5 * share).
   const auto MakeReport = [&](std::uint64_t UsedCpus, double BaseMs) {
     ServerReport Report = makeReport("s1");
-    for (const StartOrder &Each : Orders.Starts_) {
-      Report.Running_.push_back(makeRunning(Each));
+    for (const StartOrder &Start : Orders.Starts_) {
+      Report.Running_.push_back(makeRunning(Start));
       RunningTask &Last = Report.Running_.back();
-      const bool IsServing = Each.Task_.Job_ == "serves";
+      const bool IsServing = Start.Task_.Job_ == "serves";
       Last.Percent_ = IsServing ? 100 : 50;
       const double Tail = BaseMs * std::exp(5 * double(UsedCpus) / 4000);
       Last.Measure_ = IsServing ? std::uint64_t(Tail) : UsedCpus;
@@ -73,12 +74,13 @@
   Group_.IsLeader_ = true;
   ++Group_.Term_;
   Strand_.advance(100ms);
-  // Its own load has risen; at full speed the tail would be over its target.
+  // The load has risen; with the filling task at full speed the tail would
+  // exceed its target.
   std::optional<PaceOrder> Last;
   for (int I = 0; I < 12; ++I) {
-    const ServerOrders Told = report(MakeReport(0, 70));
-    if (!Told.Paces_.empty())
-      Last = Told.Paces_.back();
+    const ServerOrders Answer = report(MakeReport(0, 70));
+    if (!Answer.Paces_.empty())
+      Last = Answer.Paces_.back();
     Strand_.advance(250ms);
   }
   ASSERT_TRUE(Last);
--- a/tests/jobs/JobWavesTest.cpp
+++ b/tests/jobs/JobWavesTest.cpp
@@ -1,4 +1,4 @@
-//===- JobWavesTest.cpp - A leader with a provider of VMs -----------------===//
+//===- JobWavesTest.cpp - Maintenance waves of a leader ------------------===//
 
 #include "jobs/LeaderFixture.h"
 
@@ -25,18 +25,19 @@
     EXPECT_TRUE(IsDone);
   }
   Outcome<WaveRecord> showWave(std::uint64_t Wave) {
-    Outcome<WaveRecord> Got = fail(ErrorCode::Internal, "no answer");
-    Leader_.showWave(Wave,
-                     [&Got](const Outcome<WaveRecord> &Found) { Got = Found; });
+    Outcome<WaveRecord> Answer = fail(ErrorCode::Internal, "no answer");
+    Leader_.showWave(Wave, [&Answer](const Outcome<WaveRecord> &Record) {
+      Answer = Record;
+    });
     Strand_.runAll();
-    return Got;
+    return Answer;
   }
   void answer(const Outcome<MaintenanceReply> &Reply) {
     ASSERT_FALSE(Provider_.Orders_.empty());
     Provider_.Orders_.back().Reply_(Reply);
     Strand_.runAll();
   }
-  /// Reports of both servers, with these runs at work on them.
+  /// Sends reports of both servers with these runs in progress.
   void reportBoth(const std::vector<StartOrder> &OnFirst,
                   const std::vector<StartOrder> &OnSecond) {
     First_ = reportWith("s1", OnFirst);
@@ -45,8 +46,8 @@
   ServerOrders reportWith(const std::string &Id,
                           const std::vector<StartOrder> &Starts) {
     ServerReport Report = makeReport(Id);
-    for (const StartOrder &Each : Starts) {
-      Report.Running_.push_back(makeRunning(Each));
+    for (const StartOrder &Start : Starts) {
+      Report.Running_.push_back(makeRunning(Start));
       Report.Running_.back().Percent_ = 100;
     }
     return report(Report);
@@ -58,7 +59,7 @@
 
 } // namespace
 
-TEST_F(JobWavesTest, AWaveIsStoredOrderedAndCompleted) {
+TEST_F(JobWavesTest, WaveIsStoredOrderedAndCompleted) {
   report(makeReport("s1"));
   EXPECT_EQ(showWave(3).error().Code_, ErrorCode::NotFound);
   startWave({"v1"});
@@ -66,7 +67,7 @@
   ASSERT_TRUE(showWave(3));
   EXPECT_FALSE(showWave(3).value().isCompleted());
   EXPECT_TRUE(Provider_.Orders_.empty())
-      << "an earlier leader's orders may be under way";
+      << "an order of an earlier leader may be in flight";
   Strand_.advance(4s);
   report(makeReport("s1"));
   Strand_.advance(100ms);
@@ -78,16 +79,16 @@
   EXPECT_TRUE(showWave(3).value().isCompleted());
   EXPECT_TRUE(Machine_.read([](const JobBook &Book) {
     return Book.findServer("s1") == nullptr && Book.isOver("s1");
-  })) << "nothing of that life runs any more";
+  })) << "no run of that incarnation is left";
 }
 
-TEST_F(JobWavesTest, NothingIsListedWithoutAWave) {
+TEST_F(JobWavesTest, VmsAreNotListedWithoutAWave) {
   report(makeReport("s1"));
   Strand_.advance(10s);
-  EXPECT_EQ(Provider_.Lists_, 0U) << "each call costs";
+  EXPECT_EQ(Provider_.Lists_, 0U) << "each call has a cost";
 }
 
-TEST_F(JobWavesTest, AServerThatIsNextGetsNothingNew) {
+TEST_F(JobWavesTest, DrainingServerGetsNoNewTasks) {
   startWave({"v1"});
   report(makeReport("s1"));
   call(CallKind::Submit, "j", {makeStep(1, 1000)});
@@ -98,10 +99,10 @@
   Strand_.advance(100ms);
   call(CallKind::Submit, "k", {makeStep(1, 1000)});
   EXPECT_TRUE(reportWith("s1", Before.Starts_).Starts_.empty());
-  EXPECT_TRUE(Provider_.Orders_.empty()) << "its work ends first";
+  EXPECT_TRUE(Provider_.Orders_.empty()) << "its tasks end first";
 }
 
-TEST_F(JobWavesTest, TasksThatLastGoOneAtATime) {
+TEST_F(JobWavesTest, LongRunningTasksLeaveOneAtATime) {
   StepSpec Serving = makeStep(2, 1000);
   Serving.LongRunning_ = true;
   Serving.MayMiss_ = 1;
@@ -115,12 +116,13 @@
   reportBoth(Running, {});
   Strand_.advance(100ms);
   reportBoth(Running, {});
-  ASSERT_EQ(First_.Stops_.size(), 1U) << "one of two may be away";
+  ASSERT_EQ(First_.Stops_.size(), 1U) << "one of two tasks may be missing";
   const StopOrder Stopped = First_.Stops_[0];
   reportBoth(Running, {});
   ASSERT_EQ(First_.Stops_.size(), 1U);
-  EXPECT_EQ(First_.Stops_[0], Stopped) << "the same is told again";
-  // It has ended; the other one stays until this one works elsewhere.
+  EXPECT_EQ(First_.Stops_[0], Stopped) << "the same order is repeated";
+  // The first run has ended; the second one stays until the first runs on
+  // another server.
   ServerReport Ended = makeReport("s1");
   Ended.Running_ = {makeRunning(Running[1])};
   Ended.Running_[0].Percent_ = 100;
@@ -135,7 +137,7 @@
   EXPECT_TRUE(Provider_.Orders_.empty());
 }
 
-TEST_F(JobWavesTest, NobodyIsSparedWhileAnotherIsNotHeardFrom) {
+TEST_F(JobWavesTest, NoTaskIsStoppedWhileAnotherServerDoesNotReport) {
   StepSpec Serving = makeStep(2, 1000);
   Serving.LongRunning_ = true;
   Serving.MayMiss_ = 1;
@@ -148,7 +150,7 @@
   ASSERT_EQ(OnFirst.size() + OnSecond.size(), 2U);
   startWave({"v1"});
   reportBoth(OnFirst, OnSecond);
-  // The other server falls silent, within its lease.
+  // The other server stops reporting, but its lease has not expired.
   Strand_.advance(3500ms);
   reportWith("s1", OnFirst);
   Strand_.advance(100ms);
@@ -157,7 +159,7 @@
   EXPECT_EQ(reportWith("s1", OnFirst).Stops_.size(), 1U);
 }
 
-TEST_F(JobWavesTest, ANewLeaderWaitsBeforeItOrders) {
+TEST_F(JobWavesTest, NewLeaderWaitsBeforeItsFirstOrder) {
   report(makeReport("s1"));
   startWave({"v1"});
   Strand_.advance(2s);
@@ -170,26 +172,27 @@
   EXPECT_EQ(Provider_.Orders_[0].FencingToken_, 2U);
 }
 
-TEST_F(JobWavesTest, AnAnswerToAnEarlierTermIsDropped) {
+TEST_F(JobWavesTest, AnswerForEarlierTermIsDropped) {
   report(makeReport("s1"));
   startWave({"v1"});
   Strand_.advance(3500ms);
   ASSERT_EQ(Provider_.Orders_.size(), 1U);
   Group_.Term_ = 2;
   Strand_.advance(200ms);
-  // This term knows nothing of that order, and finds out by its own.
+  // The new term does not know that order; it sends its own.
   answer(MaintenanceReply::Begun);
   EXPECT_FALSE(showWave(3).value().isCompleted());
-  EXPECT_EQ(Log_.count(EventKind::Maintenance), 1U) << "of the wave itself";
+  EXPECT_EQ(Log_.count(EventKind::Maintenance), 1U)
+      << "only the event of the wave itself";
 }
 
-TEST_F(JobWavesTest, AnUnansweredOrderIsSentAgain) {
+TEST_F(JobWavesTest, UnansweredOrderIsRetried) {
   report(makeReport("s1"));
   startWave({"v1"});
   Strand_.advance(3500ms);
   ASSERT_EQ(Provider_.Orders_.size(), 1U);
   Strand_.advance(1s);
-  EXPECT_EQ(Provider_.Orders_.size(), 1U) << "the first is under way";
+  EXPECT_EQ(Provider_.Orders_.size(), 1U) << "the first order is in flight";
   answer(fail(ErrorCode::Timeout, "no answer"));
   EXPECT_EQ(Log_.last(EventKind::Maintenance).Outcome_, "not answered");
   EXPECT_FALSE(showWave(3).value().isCompleted());
--- a/tests/jobs/LeaderFixture.h
+++ b/tests/jobs/LeaderFixture.h
@@ -149,7 +149,7 @@
     std::vector<std::string> Servers_;
     Done Reply_;
   };
-  bool isThere() const override { return IsThere_; }
+  bool isAvailable() const override { return IsThere_; }
   void ask(const StepKey &Step, const std::vector<std::string> &Servers,
            Duration, Done Reply) override {
     Asked_.push_back({Step, Servers, std::move(Reply)});
@@ -201,7 +201,7 @@
     std::uint64_t FencingToken_ = 0;
     Done<MaintenanceReply> Reply_;
   };
-  bool isThere() const override { return true; }
+  bool isAvailable() const override { return true; }
   void listVms(Done<VmList> Reply) override {
     ++Lists_;
     Reply(VmList{Vms_, true});
--- a/tests/jobs/PaceControllerTest.cpp
+++ b/tests/jobs/PaceControllerTest.cpp
@@ -1,4 +1,4 @@
-//===- PaceControllerTest.cpp - What a tail over its target does to paces ------===//
+//===- PaceControllerTest.cpp - Paces and tails over the target ----------===//
 
 #include "jobs/PaceController.h"
 
@@ -10,107 +10,110 @@
 
 namespace {
 
-class PaceGuardTest : public ::testing::Test {
+class PaceControllerTest : public ::testing::Test {
 protected:
-  void note(std::uint64_t TailPercent, const ImagePaces &Planned = {}) {
+  void update(std::uint64_t TailPercent, const ImagePaces &Planned = {}) {
     Time_ += 250ms;
-    Guard_.note("s", {TailPercent, true}, Planned, Time_);
+    Controller_.update("s", {TailPercent, true}, Planned, Time_);
   }
-  std::uint64_t pace() const { return Guard_.getPace("s", "a"); }
+  std::uint64_t readPace() const { return Controller_.getPace("s", "a"); }
 
-  PaceGuard Guard_;
+  PaceController Controller_;
   TimePoint Time_{1h};
 };
 
 } // namespace
 
-TEST_F(PaceGuardTest, WithoutServingTasksEverythingWorksAtFullSpeed) {
-  EXPECT_EQ(pace(), 100U);
-  EXPECT_EQ(Guard_.getLeast("s"), 100U);
-  EXPECT_FALSE(Guard_.isToBeTold("s", Time_));
+TEST_F(PaceControllerTest, FillingTasksRunAtFullSpeedWithoutServingTasks) {
+  EXPECT_EQ(readPace(), 100U);
+  EXPECT_EQ(Controller_.getMinPace("s"), 100U);
+  EXPECT_FALSE(Controller_.needsOrders("s", Time_));
 }
 
-TEST_F(PaceGuardTest, AllThatFillsIsSlowedOnlyWhenATailStaysOverForLong) {
-  note(150);
-  note(150);
-  EXPECT_EQ(pace(), 100U);
+TEST_F(PaceControllerTest, FillingTasksAreSlowedOnlyIfATailStaysOverItsTarget) {
+  update(150);
+  update(150);
+  EXPECT_EQ(readPace(), 100U);
   for (int I = 0; I < 20; ++I)
-    note(150);
-  EXPECT_EQ(pace(), 0U) << "well before 5 s are over";
+    update(150);
+  EXPECT_EQ(readPace(), 0U) << "in less than 5 s";
   for (int I = 0; I < 20; ++I)
-    note(50);
-  EXPECT_EQ(pace(), 100U);
+    update(50);
+  EXPECT_EQ(readPace(), 100U);
 }
 
-TEST_F(PaceGuardTest, NothingFillsBesideATailThatIsOverForLong) {
-  // Rough figures dip below the target now and then; harm is counted after
-  // 5.5 s, in which the last step must have had its effect of 0.65 s.
+TEST_F(PaceControllerTest, FillingTasksStopBeforeAViolationIsCounted) {
+  // Noisy readings fall below the target now and then; a violation is counted
+  // after 5.5 s, in which the last reduction must have had its effect of 0.65
+  // s.
   const std::uint64_t Tails[] = {130, 95, 120, 98, 140, 110, 92, 130};
   Duration Until{};
-  for (int I = 0; pace() > 0 && I < 100; ++I) {
-    note(Tails[I % 8]);
+  for (int I = 0; readPace() > 0 && I < 100; ++I) {
+    update(Tails[I % 8]);
     Until += 250ms;
   }
   EXPECT_LE(Until, 4s);
 }
 
-TEST_F(PaceGuardTest, OneCorrectionWaitsForTheEffectOfTheLast) {
-  for (int I = 0; pace() == 100 && I < 100; ++I)
-    note(150);
-  const std::uint64_t First = pace();
-  ASSERT_GT(First, 0U);
-  Guard_.note("s", {300, true}, {}, Time_ + 1ms);
-  Guard_.note("s", {300, true}, {}, Time_ + 600ms);
-  EXPECT_EQ(pace(), First);
-  Guard_.note("s", {300, true}, {}, Time_ + 700ms);
-  EXPECT_EQ(pace(), 0U);
+TEST_F(PaceControllerTest, AdjustmentWaitsForEffectOfPreviousOne) {
+  for (int I = 0; readPace() == 100 && I < 100; ++I)
+    update(150);
+  const std::uint64_t Reduced = readPace();
+  ASSERT_GT(Reduced, 0U);
+  Controller_.update("s", {300, true}, {}, Time_ + 1ms);
+  Controller_.update("s", {300, true}, {}, Time_ + 600ms);
+  EXPECT_EQ(readPace(), Reduced);
+  Controller_.update("s", {300, true}, {}, Time_ + 700ms);
+  EXPECT_EQ(readPace(), 0U);
 }
 
-TEST_F(PaceGuardTest, TheSlowerOfPlanAndGuardCounts) {
-  note(50, {{"a", 40}});
-  EXPECT_EQ(pace(), 40U);
-  EXPECT_EQ(Guard_.getPace("s", "b"), 100U);
-  EXPECT_EQ(Guard_.getLeast("s"), 40U);
-  EXPECT_EQ(Guard_.getGuarded("s"), 100U);
+TEST_F(PaceControllerTest, LowerOfPlanAndLimitApplies) {
+  update(50, {{"a", 40}});
+  EXPECT_EQ(readPace(), 40U);
+  EXPECT_EQ(Controller_.getPace("s", "b"), 100U);
+  EXPECT_EQ(Controller_.getMinPace("s"), 40U);
+  EXPECT_EQ(Controller_.getLimit("s"), 100U);
   for (int I = 0; I < 20; ++I)
-    note(150, {{"a", 40}});
-  EXPECT_EQ(pace(), 0U);
-  EXPECT_EQ(Guard_.getPace("s", "b"), 0U);
+    update(150, {{"a", 40}});
+  EXPECT_EQ(readPace(), 0U);
+  EXPECT_EQ(Controller_.getPace("s", "b"), 0U);
 }
 
-TEST_F(PaceGuardTest, SmallChangesOfAPlanAreNotWorthAnOrder) {
-  note(50, {{"a", 50}});
-  note(50, {{"a", 57}});
-  EXPECT_EQ(pace(), 50U);
-  note(50, {{"a", 62}});
-  EXPECT_EQ(pace(), 62U);
-  note(50, {{"a", 95}});
-  note(50, {});
-  EXPECT_EQ(pace(), 100U) << "the full speed is always told";
-  note(50, {{"a", 4}});
-  note(50, {{"a", 0}});
-  EXPECT_EQ(pace(), 0U) << "and so is a stop";
+TEST_F(PaceControllerTest, SmallPaceChangesAreIgnored) {
+  update(50, {{"a", 50}});
+  update(50, {{"a", 57}});
+  EXPECT_EQ(readPace(), 50U);
+  update(50, {{"a", 62}});
+  EXPECT_EQ(readPace(), 62U);
+  update(50, {{"a", 95}});
+  update(50, {});
+  EXPECT_EQ(readPace(), 100U) << "a return to full speed is always ordered";
+  update(50, {{"a", 4}});
+  update(50, {{"a", 0}});
+  EXPECT_EQ(readPace(), 0U) << "a stop is always ordered";
 }
 
-TEST_F(PaceGuardTest, AServerWhosePacesRestIsHeardAsUsual) {
-  note(50, {{"a", 50}});
-  EXPECT_TRUE(Guard_.isMoving("s", Time_));
+TEST_F(PaceControllerTest, ServerWithStablePacesReportsAsUsual) {
+  update(50, {{"a", 50}});
+  EXPECT_TRUE(Controller_.isAdjusting("s", Time_));
   for (int I = 0; I < 4; ++I)
-    note(50, {{"a", 50}});
-  EXPECT_FALSE(Guard_.isMoving("s", Time_));
-  EXPECT_TRUE(Guard_.isToBeTold("s", Time_)) << "what starts has to be told";
+    update(50, {{"a", 50}});
+  EXPECT_FALSE(Controller_.isAdjusting("s", Time_));
+  EXPECT_TRUE(Controller_.needsOrders("s", Time_))
+      << "new tasks need the order";
   for (int I = 0; I < 10; ++I)
-    note(150, {{"a", 50}});
-  EXPECT_TRUE(Guard_.isMoving("s", Time_)) << "the guard has to see its effect";
+    update(150, {{"a", 50}});
+  EXPECT_TRUE(Controller_.isAdjusting("s", Time_))
+      << "the effect of the limit must be observed";
 }
 
-TEST_F(PaceGuardTest, AChangedPaceIsRepeatedForAWhile) {
-  note(50, {{"a", 50}});
-  EXPECT_TRUE(Guard_.isToBeTold("s", Time_));
-  note(50);
-  EXPECT_TRUE(Guard_.isToBeTold("s", Time_)) << "an answer may be lost";
+TEST_F(PaceControllerTest, ChangedPaceIsRepeatedForSomeTime) {
+  update(50, {{"a", 50}});
+  EXPECT_TRUE(Controller_.needsOrders("s", Time_));
+  update(50);
+  EXPECT_TRUE(Controller_.needsOrders("s", Time_)) << "an answer may be lost";
   for (int I = 0; I < 12; ++I)
-    note(10);
-  EXPECT_EQ(pace(), 100U);
-  EXPECT_FALSE(Guard_.isToBeTold("s", Time_));
+    update(10);
+  EXPECT_EQ(readPace(), 100U);
+  EXPECT_FALSE(Controller_.needsOrders("s", Time_));
 }
--- a/tests/jobs/SchedulingOrderTest.cpp
+++ b/tests/jobs/SchedulingOrderTest.cpp
@@ -1,4 +1,4 @@
-//===- SchedulingOrderTest.cpp - When the order of service is made anew ------===//
+//===- SchedulingOrderTest.cpp - Recomputation of the scheduling order ---===//
 
 #include "jobs/SchedulingOrder.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-class ServiceOrderTest : public JobBookTest {
+class SchedulingOrderTest : public JobBookTest {
 protected:
   void update() { Order_.update(Book_, Waits_, Now_, WallTime(1000)); }
   std::size_t count() const { return Order_.candidates().size(); }
@@ -22,12 +22,12 @@
 
   TimePoint Now_{1h};
   ReadyTimes Waits_;
-  ServiceOrder Order_;
+  SchedulingOrder Order_;
 };
 
 } // namespace
 
-TEST_F(ServiceOrderTest, AShortQueueIsLookedAtAnewWhenSomethingJoins) {
+TEST_F(SchedulingOrderTest, ShortQueueIsUpdatedImmediately) {
   submit(makeJob("a", {makeStep(1, 100)}));
   update();
   submit(makeJob("b", {makeStep(1, 100)}));
@@ -35,7 +35,7 @@
   EXPECT_EQ(count(), 2U);
 }
 
-TEST_F(ServiceOrderTest, ALongQueueIsLookedAtAnewAfterAPauseOnly) {
+TEST_F(SchedulingOrderTest, LongQueueIsUpdatedAfterAPause) {
   submitMany(300);
   update();
   ASSERT_EQ(count(), 300U);
@@ -48,10 +48,10 @@
   EXPECT_EQ(count(), 301U);
 }
 
-TEST_F(ServiceOrderTest, TimeAloneMakesItAnewInTheEnd) {
+TEST_F(SchedulingOrderTest, OrderIsUpdatedAfterMaxAge) {
   submit(makeJob("a", {makeStep(1, 100)}));
   update();
-  // Nothing joins; what has started leaves.
+  // No step was added; the started one is removed.
   start(makeStart("a", 0, "s1"));
   update();
   EXPECT_EQ(count(), 1U);
@@ -60,7 +60,7 @@
   EXPECT_EQ(count(), 0U);
 }
 
-TEST_F(ServiceOrderTest, ACandidateSaysWhatItsTasksNeed) {
+TEST_F(SchedulingOrderTest, CandidateHoldsNeedsOfItsTasks) {
   StepSpec Filling = makeStep(1, 700);
   Filling.Fills_ = true;
   Filling.Image_ = "f";
@@ -69,10 +69,10 @@
   ASSERT_EQ(count(), 1U);
   EXPECT_EQ(Order_.candidates()[0].Reserved_.MilliCpus_, 0);
   EXPECT_EQ(Order_.candidates()[0].IdleNeeded_, 700);
-  EXPECT_EQ(Order_.leastNeeds().FillingCpus_, 700);
+  EXPECT_EQ(Order_.minimumNeeds().FillingCpus_, 700);
 }
 
-TEST_F(ServiceOrderTest, OnlyTheFirstOfAVeryLongQueueAreKept) {
+TEST_F(SchedulingOrderTest, VeryLongQueueIsTruncated) {
   submitMany(1500);
   update();
   EXPECT_EQ(count(), 1024U);
--- a/tests/jobs/ServingLoadsTest.cpp
+++ b/tests/jobs/ServingLoadsTest.cpp
@@ -1,9 +1,9 @@
-//===- ServingLoadsTest.cpp - The hours of tasks that serve ---------------===//
+//===- ServingLoadsTest.cpp - Load estimates of serving tasks ------------===//
 //
-// The pattern: services whose users come and go, by a factor of four within
-// twenty seconds, each step at an hour of its own; tails are those of a queue,
-// the shortest over the share that is not used. So it was measured: tails of 30
-// to 110 ms under a target of 150, scattered by a tenth.
+// The simulated services have loads that change by a factor of four within
+// twenty seconds, each step with its own phase. Tails are those of a queue:
+// the shortest tail over the idle share. This gives tails of 30 to 110 ms
+// under a target of 150 ms, scattered by a tenth, like those of real services.
 //
 //===----------------------------------------------------------------------===//
 
@@ -37,24 +37,24 @@
     const double Phase = double(Step) / Steps + Seconds_ / PeriodS;
     return MeanLoad * (1 + Swing * std::sin(2 * Pi * Phase));
   }
-  double baseOf(int Step) const {
+  double baselineOf(int Step) const {
     return std::log(ShortestMs / (1 - loadOf(Step)) / TargetMs);
   }
-  /// Reports of ten tasks of each step, twice a second; Disturbed of them have
-  /// tails that are three times as long.
-  void run(double ForS, int Disturbed = 0) {
+  /// Sends reports of ten tasks of each step, twice a second; Interfered of
+  /// them have tails that are three times as long.
+  void run(double ForS, int Interfered = 0) {
     std::normal_distribution<double> Noise(0, 0.1);
     for (int Round = 0; Round < int(ForS * 20); ++Round) {
       Seconds_ += 0.05;
       Now_ += 50ms;
       for (int Step = 0; Step < Steps; ++Step) {
-        const bool IsDisturbed = Round % 10 < Disturbed;
-        Loads_.note(makeKey(Step), "image",
-                    baseOf(Step) + Noise(Random_) +
-                        (IsDisturbed ? std::log(3) : 0),
-                    Now_);
+        const bool IsInterfered = Round % 10 < Interfered;
+        Loads_.addSample(makeKey(Step), "image",
+                         baselineOf(Step) + Noise(Random_) +
+                             (IsInterfered ? std::log(3) : 0),
+                         Now_);
       }
-      Loads_.survey(Now_);
+      Loads_.updateRanges(Now_);
     }
   }
 
@@ -67,57 +67,57 @@
 
 } // namespace
 
-TEST_F(ServingLoadsTest, TheLoadOfEachStepIsFollowed) {
+TEST_F(ServingLoadsTest, LoadOfEachStepIsTracked) {
   run(4);
   for (int Second = 0; Second < 20; ++Second) {
     run(1);
     for (int Step = 0; Step < Steps; ++Step) {
-      EXPECT_NEAR(*Loads_.findBase(makeKey(Step)), baseOf(Step), 0.2);
+      EXPECT_NEAR(*Loads_.findBaseline(makeKey(Step)), baselineOf(Step), 0.2);
       EXPECT_NEAR(Loads_.getLoad(makeKey(Step)), loadOf(Step), 0.1);
     }
   }
 }
 
-TEST_F(ServingLoadsTest, WhatDisturbsSomeTasksIsNotTakenForTheLoad) {
+TEST_F(ServingLoadsTest, InterferenceWithSomeTasksDoesNotCountAsLoad) {
   run(4);
   for (int Second = 0; Second < 20; ++Second) {
-    run(1, /*Disturbed=*/3);
+    run(1, /*Interfered=*/3);
     for (int Step = 0; Step < Steps; ++Step)
-      EXPECT_NEAR(*Loads_.findBase(makeKey(Step)), baseOf(Step), 0.45)
+      EXPECT_NEAR(*Loads_.findBaseline(makeKey(Step)), baselineOf(Step), 0.45)
           << "three tails in ten grow by 1.1";
   }
 }
 
-TEST_F(ServingLoadsTest, AWildFigureIsForgotten) {
+TEST_F(ServingLoadsTest, OutlierIsForgotten) {
   run(10);
   for (int I = 0; I < 40; ++I)
-    Loads_.note(makeKey(0), "image", std::log(0.01), Now_ += 10ms);
-  Loads_.survey(Now_ += 1s);
-  EXPECT_GT(Loads_.getLoad(makeKey(4)), 0.8) << "the others look busy";
+    Loads_.addSample(makeKey(0), "image", std::log(0.01), Now_ += 10ms);
+  Loads_.updateRanges(Now_ += 1s);
+  EXPECT_GT(Loads_.getLoad(makeKey(4)), 0.8) << "the other steps seem busy";
   run(60);
   EXPECT_NEAR(Loads_.getLoad(makeKey(4)), loadOf(4), 0.15);
 }
 
-TEST_F(ServingLoadsTest, BeforeAnythingIsKnownTheUsualLoadCounts) {
-  EXPECT_EQ(Loads_.findBase(makeKey(0)), std::nullopt);
-  EXPECT_EQ(Loads_.getLoad(makeKey(0)), ServingLoads::UsualLoad);
-  // Tails that were never seen to differ say nothing of the load.
+TEST_F(ServingLoadsTest, DefaultLoadIsUsedWithoutSamples) {
+  EXPECT_EQ(Loads_.findBaseline(makeKey(0)), std::nullopt);
+  EXPECT_EQ(Loads_.getLoad(makeKey(0)), ServingLoads::DefaultLoad);
+  // Tails that never differed do not reveal the load.
   for (int I = 0; I < 100; ++I)
-    Loads_.note(makeKey(0), "steady", std::log(0.3), Now_ += 50ms);
-  Loads_.survey(Now_);
-  EXPECT_EQ(Loads_.getLoad(makeKey(0)), ServingLoads::UsualLoad);
+    Loads_.addSample(makeKey(0), "steady", std::log(0.3), Now_ += 50ms);
+  Loads_.updateRanges(Now_);
+  EXPECT_EQ(Loads_.getLoad(makeKey(0)), ServingLoads::DefaultLoad);
 }
 
-TEST_F(ServingLoadsTest, WhatAReportDidNotNameCountsAsUsual) {
+TEST_F(ServingLoadsTest, UnreportedTasksCountWithDefaultLoad) {
   ServerRecord Server;
   Server.Facts_ = makeServer("s1");
   Server.ServingCpus_ = 1000;
-  EXPECT_EQ(Loads_.getUsed(Server), 520);
-  Loads_.noteServer("s1", {800, 200, {{"image", -1}}});
-  EXPECT_EQ(Loads_.getUsed(Server), 200 + 104);
-  EXPECT_EQ(Loads_.getWorstBase("s1", "image"), -1);
-  EXPECT_LT(Loads_.getWorstBase("s1", "new"), 0);
+  EXPECT_EQ(Loads_.estimateUsedCpus(Server), 520);
+  Loads_.updateServer("s1", {800, 200, {{"image", -1}}});
+  EXPECT_EQ(Loads_.estimateUsedCpus(Server), 200 + 104);
+  EXPECT_EQ(Loads_.getWorstBaseline("s1", "image"), -1);
+  EXPECT_LT(Loads_.getWorstBaseline("s1", "new"), 0);
   JobBook Empty;
   Loads_.prune(Empty);
-  EXPECT_EQ(Loads_.getUsed(Server), 520) << "the server is gone";
+  EXPECT_EQ(Loads_.estimateUsedCpus(Server), 520) << "the server is gone";
 }
--- a/tests/jobs/TailHeadroomTest.cpp
+++ b/tests/jobs/TailHeadroomTest.cpp
@@ -1,9 +1,9 @@
-//===- TailHeadroomTest.cpp - What serving tasks on a server still bear -------===//
+//===- TailHeadroomTest.cpp - Filling work that a server tolerates -------===//
 
 #include "jobs/TailHeadroom.h"
 
-#include "jobs/JobFixture.h"
 #include "jobs/InterferenceSamples.h"
+#include "jobs/JobFixture.h"
 
 #include <cmath>
 
@@ -13,51 +13,54 @@
 
 namespace {
 
-/// A server of four processors with one image that serves.
-class TailRoomTest : public ::testing::Test {
+/// A server of four processors with one serving image.
+class TailHeadroomTest : public ::testing::Test {
 protected:
-  TailRoomTest() {
-    teachPairs(Effects_, "s", "heavy", "light");
+  TailHeadroomTest() {
+    trainPairs(Interference_, "s", "heavy", "light");
     Server_.Facts_ = makeServer("s1", 4000);
     Server_.Serving_["s"] = 2;
   }
-  /// Base: the worst tail by its own load, of its target.
-  TailRoom measure(double Base) {
-    Loads_.noteServer("s1", {2000, 1000, {{"s", std::log(Base)}}});
-    return {Effects_, Loads_, Server_};
+  /// Baseline is the longest tail under the tasks' own load, relative to its
+  /// target.
+  TailHeadroom makeHeadroom(double Baseline) {
+    Loads_.updateServer("s1", {2000, 1000, {{"s", std::log(Baseline)}}});
+    return {Interference_, Loads_, Server_};
   }
 
-  TailEffects Effects_;
+  InterferenceModel Interference_;
   ServingLoads Loads_;
   ServerRecord Server_;
 };
 
 } // namespace
 
-TEST_F(TailRoomTest, InAQuietHourEvenWhatDisturbsMayWork) {
-  EXPECT_TRUE(measure(0.2).fits("heavy", 800));
-  EXPECT_FALSE(measure(0.6).fits("heavy", 800));
-  EXPECT_TRUE(measure(0.6).fits("light", 2000));
+TEST_F(TailHeadroomTest, InterferingImageFitsAtLowLoad) {
+  EXPECT_TRUE(makeHeadroom(0.2).fits("heavy", 800));
+  EXPECT_FALSE(makeHeadroom(0.6).fits("heavy", 800));
+  EXPECT_TRUE(makeHeadroom(0.6).fits("light", 2000));
 }
 
-TEST_F(TailRoomTest, AtItsPeakAServiceBearsHardlyAnything) {
-  EXPECT_FALSE(measure(0.8).fits("heavy", 200));
-  EXPECT_FALSE(measure(0.85).fits("light", 2000));
-  EXPECT_FALSE(measure(1.1).fits("light", 1));
+TEST_F(TailHeadroomTest, HardlyAnythingFitsAtPeakLoad) {
+  EXPECT_FALSE(makeHeadroom(0.8).fits("heavy", 200));
+  EXPECT_FALSE(makeHeadroom(0.85).fits("light", 2000));
+  EXPECT_FALSE(makeHeadroom(1.1).fits("light", 1));
 }
 
-TEST_F(TailRoomTest, WhatIsPlacedThereCounts) {
-  TailRoom Room = measure(0.4);
-  const double Before = Room.getLeast();
-  ASSERT_TRUE(Room.fits("heavy", 500));
-  Room.take("heavy", 500);
-  EXPECT_NEAR(Before - Room.getLeast(), HeavyWeight * 500 / 4000, 0.1);
-  EXPECT_FALSE(Room.fits("heavy", 500));
+TEST_F(TailHeadroomTest, PlacedTasksReduceHeadroom) {
+  TailHeadroom Headroom = makeHeadroom(0.4);
+  const double Before = Headroom.getMinHeadroom();
+  ASSERT_TRUE(Headroom.fits("heavy", 500));
+  Headroom.place("heavy", 500);
+  EXPECT_NEAR(Before - Headroom.getMinHeadroom(), HeavyWeight * 500 / 4000,
+              0.1);
+  EXPECT_FALSE(Headroom.fits("heavy", 500));
   Server_.FillingCpus_["heavy"] = 500;
-  EXPECT_FALSE(measure(0.4).fits("heavy", 500)) << "placed before";
+  EXPECT_FALSE(makeHeadroom(0.4).fits("heavy", 500))
+      << "placed before the plan";
 }
 
-TEST_F(TailRoomTest, WithoutServingTasksEverythingFits) {
+TEST_F(TailHeadroomTest, EverythingFitsWithoutServingTasks) {
   Server_.Serving_.clear();
-  EXPECT_TRUE(measure(2).fits("heavy", 4000));
+  EXPECT_TRUE(makeHeadroom(2).fits("heavy", 4000));
 }
