--- a/tests/jobs/TailLearnerTest.cpp
+++ b/tests/jobs/TailLearnerTest.cpp
@@ -1,9 +1,9 @@
-//===- TailLearnerTest.cpp - From reports to loads and pairs --------------===//
+//===- TailLearnerTest.cpp - Learning load and interference from reports --===//
 
 #include "jobs/TailLearner.h"
 
-#include "jobs/JobFixture.h"
 #include "jobs/InterferenceSamples.h"
+#include "jobs/JobFixture.h"
 
 #include <cmath>
 #include <random>
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Two servers of four processors, on each a task of one step that serves, and
-/// on the first one that fills.
+/// Two servers of four processors, each with one task of a serving step; the
+/// first one also runs a filling task.
 class TailLearnerTest : public JobBookTest {
 protected:
   TailLearnerTest() {
@@ -27,9 +27,10 @@
     start(makeStart("fills", 0, "s1"));
   }
 
-  /// Of the tails, milliseconds, and processors, thousandths.
+  /// Sends a report with a tail in milliseconds and filling processors in
+  /// thousandths.
   ServerTails report(const std::string &Server, double TailMs,
-                     std::uint64_t Filled, std::uint64_t Percent = 100) {
+                     std::uint64_t FilledCpus, std::uint64_t Percent = 100) {
     ServerReport Report;
     Report.Facts_ = makeServer(Server);
     const std::uint64_t Index = Server == "s1" ? 0 : 1;
@@ -39,62 +40,62 @@
                         Percent,
                         static_cast<std::uint64_t>(TailMs)}};
     if (Index == 0)
-      Report.Running_.push_back({{"fills", 0, 0, 0}, 1, "", 50, Filled});
+      Report.Running_.push_back({{"fills", 0, 0, 0}, 1, "", 50, FilledCpus});
     return Learner_.learn(Book_, Report, Now_ += 50ms);
   }
-  /// So many reports of both, while the load swings threefold.
+  /// Sends this many reports of both servers while the load changes threefold.
   void run(int Reports) {
     std::normal_distribution<double> Noise(0, 0.1);
     for (int I = 0; I < Reports; ++I) {
       const double Base = 400 + 200 * std::sin(double(I) / 60);
-      const auto Filled = static_cast<std::uint64_t>(100 * (I % 16));
+      const auto FilledCpus = static_cast<std::uint64_t>(100 * (I % 16));
       report("s1",
-             Base *
-                 std::exp(HeavyWeight * double(Filled) / 4000 + Noise(Random_)),
-             Filled);
+             Base * std::exp(HeavyWeight * double(FilledCpus) / 4000 +
+                             Noise(Random_)),
+             FilledCpus);
       report("s2", Base * std::exp(Noise(Random_)), 0);
     }
   }
 
-  TailEffects Effects_;
+  InterferenceModel Interference_;
   ServingLoads Loads_;
-  TailLearner Learner_{Effects_, Loads_};
+  TailLearner Learner_{Interference_, Loads_};
   std::mt19937 Random_{17};
   TimePoint Now_{1h};
 };
 
 } // namespace
 
-TEST_F(TailLearnerTest, APairIsLearnedAgainstALoadThatSwings) {
+TEST_F(TailLearnerTest, InterferenceIsLearnedUnderChangingLoad) {
   run(400);
-  EXPECT_TRUE(Effects_.isDisturbing("s", "heavy"));
-  EXPECT_NEAR(Effects_.getWeight("s", "heavy"), HeavyWeight, 1.5);
+  EXPECT_TRUE(Interference_.isInterfering("s", "heavy"));
+  EXPECT_NEAR(Interference_.getWeight("s", "heavy"), HeavyWeight, 1.5);
 }
 
-TEST_F(TailLearnerTest, AServerWithoutIdleProcessorsTeachesNothing) {
+TEST_F(TailLearnerTest, SaturatedServerAddsNoSamples) {
   run(400);
-  const double Before = Effects_.getWeight("s", "heavy");
-  // Four processors of four: every tail grows, whatever fills.
+  const double Before = Interference_.getWeight("s", "heavy");
+  // All four processors are used: every tail grows, whichever images fill.
   for (int I = 0; I < 300; ++I)
     report("s1", 5000, 4000);
-  EXPECT_EQ(Effects_.getWeight("s", "heavy"), Before);
+  EXPECT_EQ(Interference_.getWeight("s", "heavy"), Before);
 }
 
-TEST_F(TailLearnerTest, ATaskThatIsNotAtWorkHasNoTail) {
+TEST_F(TailLearnerTest, StartingTaskHasNoTail) {
   for (int I = 0; I < 100; ++I)
     report("s2", 5, 0, /*Percent=*/40);
-  EXPECT_EQ(Loads_.findBase({"serves", 0, 0}), std::nullopt);
+  EXPECT_EQ(Loads_.findBaseline({"serves", 0, 0}), std::nullopt);
 }
 
-TEST_F(TailLearnerTest, AReportSaysWhatServesAndWhatIsLeft) {
+TEST_F(TailLearnerTest, ReportYieldsServingUseAndAvailableShare) {
   run(100);
-  const ServerTails Found = report("s1", 800, 500);
-  EXPECT_TRUE(Found.HasServing_);
-  EXPECT_TRUE(Found.HasFilling_);
-  EXPECT_EQ(Found.WorstPercent_, 80U);
-  EXPECT_NEAR(Found.Asked_.at("heavy"), 0.5, 1e-9);
-  EXPECT_EQ(Found.Serving_.Reserved_, 1000);
-  EXPECT_LT(Found.LeftShare_, 0.95);
-  EXPECT_GT(Found.LeftShare_, 0.65);
-  EXPECT_EQ(Found.Serving_.WorstBases_.size(), 1U);
+  const ServerTails Tails = report("s1", 800, 500);
+  EXPECT_TRUE(Tails.HasServing_);
+  EXPECT_TRUE(Tails.HasFilling_);
+  EXPECT_EQ(Tails.WorstPercent_, 80U);
+  EXPECT_NEAR(Tails.RequestedShares_.at("heavy"), 0.5, 1e-9);
+  EXPECT_EQ(Tails.Serving_.Reserved_, 1000);
+  EXPECT_LT(Tails.AvailableShare_, 0.95);
+  EXPECT_GT(Tails.AvailableShare_, 0.65);
+  EXPECT_EQ(Tails.Serving_.WorstBaselines_.size(), 1U);
 }
--- a/tests/jobs/WavePlannerTest.cpp
+++ b/tests/jobs/WavePlannerTest.cpp
@@ -1,4 +1,4 @@
-//===- WavePlannerTest.cpp - Which VM goes into maintenance next -----------===//
+//===- WavePlannerTest.cpp - Order of VMs in maintenance -----------------===//
 
 #include "jobs/WavePlanner.h"
 
@@ -12,64 +12,64 @@
 namespace {
 
 /// VMs v1 to v3 with the servers s1 to s3.
-class WaveKeeperTest : public JobBookTest {
+class WavePlannerTest : public JobBookTest {
 protected:
-  WaveKeeperTest() { apply(AddServer{makeServer("s3")}); }
+  WavePlannerTest() { apply(AddServer{makeServer("s3")}); }
 
-  void startWave(std::uint64_t MostAtOnce) {
-    apply(StartWave{{7, {"v1", "v2", "v3"}, 20'000, MostAtOnce}});
+  void startWave(std::uint64_t MaxConcurrent) {
+    apply(StartWave{{7, {"v1", "v2", "v3"}, 20'000, MaxConcurrent}});
   }
-  void list(bool IsWhole = true) {
+  void list(bool IsComplete = true) {
     std::vector<VmInfo> Vms;
     for (const auto &[Vm, State] : States_)
       Vms.push_back({Vm, "booking", State, "s" + Vm.substr(1)});
-    Keeper_.noteList({Vms, IsWhole}, Now_);
+    Planner_.updateVms({Vms, IsComplete}, Now_);
   }
   std::optional<MaintenanceOrder> order() {
-    auto Order = Keeper_.plan(Book_, Now_);
+    auto Order = Planner_.plan(Book_, Now_);
     if (Order)
-      Keeper_.noteOrdered(*Order, Now_);
+      Planner_.recordOrder(*Order, Now_);
     return Order;
   }
   void answer(const MaintenanceOrder &Order,
               const Outcome<MaintenanceReply> &Reply) {
-    if (Keeper_.noteReply(Order, Reply, Now_))
+    if (Planner_.handleReply(Order, Reply, Now_))
       apply(NoteMaintenance{Order.Wave_, Order.Vm_});
   }
 
   TimePoint Now_{1h};
   std::map<std::string, VmState> States_ = {
       {"v1", VmState::Up}, {"v2", VmState::Up}, {"v3", VmState::Up}};
-  WaveKeeper Keeper_;
+  WavePlanner Planner_;
 };
 
 } // namespace
 
-TEST_F(WaveKeeperTest, NothingIsOrderedBeforeVmsAreListed) {
-  EXPECT_FALSE(Keeper_.isListDue(Book_, Now_)) << "there is no wave";
+TEST_F(WavePlannerTest, NoOrderBeforeVmsAreListed) {
+  EXPECT_FALSE(Planner_.isListDue(Book_, Now_)) << "there is no wave";
   startWave(1);
-  EXPECT_TRUE(Keeper_.isListDue(Book_, Now_));
+  EXPECT_TRUE(Planner_.isListDue(Book_, Now_));
   EXPECT_FALSE(order());
   list();
-  EXPECT_FALSE(Keeper_.isListDue(Book_, Now_));
+  EXPECT_FALSE(Planner_.isListDue(Book_, Now_));
   const auto Order = order();
   ASSERT_TRUE(Order);
   EXPECT_EQ(*Order, (MaintenanceOrder{7, "v1", "s1"}));
 }
 
-TEST_F(WaveKeeperTest, NeverMoreAreDownThanAllowed) {
+TEST_F(WavePlannerTest, ConcurrencyLimitIsNeverExceeded) {
   startWave(1);
   list();
   const auto First = order();
   ASSERT_TRUE(First);
-  EXPECT_FALSE(order()) << "the first has no answer yet";
+  EXPECT_FALSE(order()) << "the first order is not answered yet";
   answer(*First, MaintenanceReply::Begun);
   Now_ += 100ms;
   EXPECT_FALSE(order()) << "it is down";
   States_["v1"] = VmState::Maintenance;
   list();
   EXPECT_FALSE(order());
-  EXPECT_TRUE(Keeper_.isEmptying("s2")) << "the next one is made ready";
+  EXPECT_TRUE(Planner_.isDraining("s2")) << "the next server is drained";
   Now_ += 2s;
   States_["v1"] = VmState::Up;
   list();
@@ -78,30 +78,30 @@
   EXPECT_EQ(Second->Vm_, "v2");
 }
 
-TEST_F(WaveKeeperTest, AListAskedForBeforeTheOrderSaysNothingOfIt) {
+TEST_F(WavePlannerTest, ListRequestedBeforeOrderDoesNotConfirmIt) {
   startWave(1);
   list();
   const TimePoint Before = Now_;
   Now_ += 10ms;
   const auto First = order();
   answer(*First, MaintenanceReply::Begun);
-  Keeper_.noteList({{{"v1", "booking", VmState::Up, "s1"},
-                     {"v2", "booking", VmState::Up, "s2"}},
-                    true},
-                   Before);
+  Planner_.updateVms({{{"v1", "booking", VmState::Up, "s1"},
+                       {"v2", "booking", VmState::Up, "s2"}},
+                      true},
+                     Before);
   EXPECT_FALSE(order());
 }
 
-TEST_F(WaveKeeperTest, AVmThatOnlyAListWithBadRowsLeavesOutIsNotOrdered) {
+TEST_F(WavePlannerTest, VmMissingFromIncompleteListIsNotOrdered) {
   startWave(1);
   States_.erase("v1");
-  list(/*IsWhole=*/false);
+  list(/*IsComplete=*/false);
   const auto Order = order();
   ASSERT_TRUE(Order);
-  EXPECT_EQ(Order->Vm_, "v2") << "v1 may be there, with work on it";
+  EXPECT_EQ(Order->Vm_, "v2") << "v1 may still exist and run tasks";
 }
 
-TEST_F(WaveKeeperTest, AVmThatIsDownStaysSoWhileListsHaveBadRows) {
+TEST_F(WavePlannerTest, DownVmStaysDownWhileListsAreIncomplete) {
   startWave(1);
   list();
   const auto First = order();
@@ -109,34 +109,34 @@
   answer(*First, MaintenanceReply::Begun);
   States_.erase("v1");
   Now_ += 10s;
-  list(/*IsWhole=*/false);
-  EXPECT_FALSE(order()) << "one is down, as far as anybody knows";
+  list(/*IsComplete=*/false);
+  EXPECT_FALSE(order()) << "v1 still counts as down";
   Now_ += 10s;
   list();
-  EXPECT_TRUE(order()) << "a whole list says that it is no more";
+  EXPECT_TRUE(order()) << "a complete list shows that v1 is gone";
 }
 
-TEST_F(WaveKeeperTest, AMaintenanceSeenBeforeCountsWhileListsHaveBadRows) {
+TEST_F(WavePlannerTest, EarlierMaintenanceCountsWhileListsAreIncomplete) {
   startWave(1);
   States_["v1"] = VmState::Maintenance;
   list();
   States_.erase("v1");
   Now_ += 1s;
-  list(/*IsWhole=*/false);
+  list(/*IsComplete=*/false);
   EXPECT_FALSE(order());
 }
 
-TEST_F(WaveKeeperTest, AnOrderWithoutAClearAnswerIsSentAgainAndCountsAsDown) {
+TEST_F(WavePlannerTest, OrderWithUnknownOutcomeIsRetriedAndCountsAsDown) {
   startWave(1);
   list();
   const auto First = order();
   answer(*First, fail(ErrorCode::Timeout, "no answer"));
-  EXPECT_FALSE(order()) << "not at once";
+  EXPECT_FALSE(order()) << "not before the retry delay";
   Now_ += 1s;
   const auto Again = order();
   ASSERT_TRUE(Again);
   EXPECT_EQ(Again->Vm_, "v1");
-  // A refusal of the second order says nothing of the first.
+  // A refusal of the second order says nothing about the first.
   answer(*Again, fail(ErrorCode::Overfull, "too many"));
   Now_ += 1s;
   const auto Third = order();
@@ -146,14 +146,14 @@
   EXPECT_TRUE(Book_.waves().find(7)->hasBegun("v1"));
 }
 
-TEST_F(WaveKeeperTest, WhatAnEarlierLeaderOrderedIsSeenInTheList) {
+TEST_F(WavePlannerTest, OrderOfEarlierLeaderIsSeenInTheList) {
   startWave(1);
   States_["v2"] = VmState::Maintenance;
   list();
   EXPECT_FALSE(order());
 }
 
-TEST_F(WaveKeeperTest, AVmThatIsDownForAnotherReasonBlocksNobody) {
+TEST_F(WavePlannerTest, VmDownForAnotherReasonDoesNotBlockTheWave) {
   startWave(1);
   States_["v1"] = VmState::Down;
   list();
@@ -163,7 +163,7 @@
   EXPECT_FALSE(Book_.waves().find(7)->isCompleted());
 }
 
-TEST_F(WaveKeeperTest, AWaveIsCompletedOnceAllHaveBegunOrAreNoMore) {
+TEST_F(WavePlannerTest, WaveCompletesOnceAllVmsHaveBegunOrAreGone) {
   startWave(3);
   States_.erase("v3");
   list();
@@ -178,19 +178,19 @@
   EXPECT_FALSE(order());
 }
 
-TEST_F(WaveKeeperTest, OnceFencedNothingIsOrderedInThatTerm) {
+TEST_F(WavePlannerTest, FencedTermSendsNoMoreOrders) {
   startWave(3);
   list();
   answer(*order(), MaintenanceReply::Fenced);
   Now_ += 1min;
   list();
   EXPECT_FALSE(order());
-  Keeper_.reset();
+  Planner_.reset();
   list();
-  EXPECT_TRUE(order()) << "a later term may";
+  EXPECT_TRUE(order()) << "a later term may send orders";
 }
 
-TEST_F(WaveKeeperTest, ABusyVmIsAskedAgainLater) {
+TEST_F(WavePlannerTest, BusyVmIsRetriedLater) {
   startWave(1);
   list();
   answer(*order(), MaintenanceReply::Busy);
@@ -199,18 +199,18 @@
   EXPECT_EQ(Other->Vm_, "v2");
 }
 
-TEST_F(WaveKeeperTest, WorkEndsByItselfBeforeItsServerGoes) {
+TEST_F(WavePlannerTest, TasksEndBeforeMaintenance) {
   submit(makeJob("j", {makeStep(1, 1000)}));
   start(makeStart("j", 0, "s1"));
   apply(StartWave{{7, {"v1"}, 20'000, 1}});
   list();
   EXPECT_FALSE(order());
-  EXPECT_TRUE(Keeper_.isEmptying("s1"));
+  EXPECT_TRUE(Planner_.isDraining("s1"));
   apply(makeEnd(makeStart("j", 0, "s1"), RunEnd::Done));
   EXPECT_TRUE(order());
 }
 
-TEST_F(WaveKeeperTest, WorkThatTakesTooLongIsCutOff) {
+TEST_F(WavePlannerTest, MaintenanceStopsTasksAfterMaxDrainTime) {
   submit(makeJob("j", {makeStep(1, 1000)}));
   start(makeStart("j", 0, "s1"));
   apply(StartWave{{7, {"v1"}, 20'000, 1}});
@@ -221,10 +221,10 @@
   EXPECT_TRUE(order());
 }
 
-TEST_F(WaveKeeperTest, WhatLastsIsNeverCutOff) {
-  StepSpec Lasting = makeStep(1, 1000);
-  Lasting.LongRunning_ = true;
-  submit(makeJob("j", {Lasting}));
+TEST_F(WavePlannerTest, MaintenanceNeverStopsLongRunningTasks) {
+  StepSpec LongRunning = makeStep(1, 1000);
+  LongRunning.LongRunning_ = true;
+  submit(makeJob("j", {LongRunning}));
   start(makeStart("j", 0, "s1"));
   apply(StartWave{{7, {"v1"}, 20'000, 1}});
   list();
@@ -234,7 +234,7 @@
   EXPECT_FALSE(order());
 }
 
-TEST_F(WaveKeeperTest, AWaveIsKeptOnce) {
+TEST_F(WavePlannerTest, DuplicateWaveIsIgnored) {
   startWave(1);
   apply(NoteMaintenance{7, "v1"});
   EXPECT_EQ(apply(StartWave{{7, {"v9"}, 1, 1}}).Verdict_, Verdict::AlreadyDone);
@@ -247,7 +247,7 @@
   EXPECT_EQ(Copy.value().encode(), Book_.encode());
 }
 
-TEST_F(WaveKeeperTest, AVmNamedTwiceCountsOnce) {
+TEST_F(WavePlannerTest, DuplicateVmCountsOnce) {
   apply(StartWave{{7, {"v1", "v1"}, 20'000, 1}});
   apply(NoteMaintenance{7, "v1"});
   EXPECT_TRUE(Book_.waves().find(7)->isCompleted());
--- a/tests/jobservice/NodeCluster.h
+++ b/tests/jobservice/NodeCluster.h
@@ -166,8 +166,8 @@
   NoEventLog Log_;
   net::Metrics Metrics_;
   net::IoPool Pool_{2};
-  jobs::NoAdvisor Advisor_;
-  jobs::NoVmProvider Provider_;
+  jobs::NullAdvisor Advisor_;
+  jobs::NullVmProvider Provider_;
   std::map<int, std::unique_ptr<ControlNode>> Nodes_;
 };
 
--- a/tests/jobservice/ReportRelayTest.cpp
+++ b/tests/jobservice/ReportRelayTest.cpp
@@ -166,8 +166,8 @@
   jobs::test::ManualExecutor Strand(Time);
   JobMachine Machine;
   jobs::test::ManualReplica Group(Machine);
-  NoAdvisor Advisor;
-  NoVmProvider Provider;
+  NullAdvisor Advisor;
+  NullVmProvider Provider;
   NoEventLog Log;
   NoJobMeter Meter;
   RelayFlush Flush(
--- a/tests/jobservice/StarvedFleet.h
+++ b/tests/jobservice/StarvedFleet.h
@@ -181,8 +181,8 @@
   jobs::test::ManualExecutor Strand_{Time_};
   jobs::JobMachine Machine_;
   jobs::test::ManualReplica Group_{Machine_};
-  jobs::NoAdvisor Advisor_;
-  jobs::NoVmProvider Provider_;
+  jobs::NullAdvisor Advisor_;
+  jobs::NullVmProvider Provider_;
   StartLog Log_{[this](const Event &Started) { notePlaced(Started); }};
   jobs::NoJobMeter Meter_;
   const jobs::JobLeaderSettings Settings_;
--- a/tests/platform/AdviceClientTest.cpp
+++ b/tests/platform/AdviceClientTest.cpp
@@ -87,6 +87,6 @@
 }
 
 TEST_F(AdviceClientTest, NoAddressMeansNoService) {
-  EXPECT_FALSE(AdviceClient(Calls_, {}, Time_).isThere());
-  EXPECT_TRUE(AdviceClient(Calls_, Service_, Time_).isThere());
+  EXPECT_FALSE(AdviceClient(Calls_, {}, Time_).isAvailable());
+  EXPECT_TRUE(AdviceClient(Calls_, Service_, Time_).isAvailable());
 }
--- a/tests/platform/StrangeReportsTest.cpp
+++ b/tests/platform/StrangeReportsTest.cpp
@@ -142,11 +142,12 @@
                                        {"m-4", "p", VmState::Down, ""},
                                        {"m-5", "p", VmState::Down, ""},
                                        {"m-6", "p", VmState::Up, "i-6"}}));
-  EXPECT_FALSE(Got.value().List_.IsWhole_);
+  EXPECT_FALSE(Got.value().List_.IsComplete_);
   const auto Whole = parseVmPage(
       R"({"machines":[{"machine":"m-1","pool":"p","state":"odd"}]})");
   ASSERT_TRUE(Whole);
-  EXPECT_TRUE(Whole.value().List_.IsWhole_) << "all that there are are named";
+  EXPECT_TRUE(Whole.value().List_.IsComplete_)
+      << "all that there are are named";
 }
 
 TEST(StrangeReportsTest, AListWithoutItsRowsIsNoList) {
@@ -160,9 +161,9 @@
       R"({"good":[["i-1","t1"],7,["i-2"],["i-3",7],["","t"],["i-4","t4"]],
           "validMs":3000})");
   ASSERT_TRUE(Got);
-  ASSERT_EQ(Got.value().Good_.size(), 2U);
-  EXPECT_EQ(Got.value().Good_[0].Server_, "i-1");
-  EXPECT_EQ(Got.value().Good_[1].Server_, "i-4");
+  ASSERT_EQ(Got.value().EligibleServers_.size(), 2U);
+  EXPECT_EQ(Got.value().EligibleServers_[0].Server_, "i-1");
+  EXPECT_EQ(Got.value().EligibleServers_[1].Server_, "i-4");
 }
 
 namespace {
@@ -251,7 +252,7 @@
       {R"({"wave":1,"machines":["m-1","m-2"],"deadlineS":2.5,"maxCount":2})",
        [](const std::string &Body) {
          if (const auto Got = parseWave(Body)) {
-           EXPECT_GT(Got.value().MostAtOnce_, 0U);
+           EXPECT_GT(Got.value().MaxConcurrent_, 0U);
          }
        }},
       {R"({"machines":[{"machine":"m-1","pool":"p","state":"up","id":"i"},
@@ -266,7 +267,7 @@
       {R"({"good":[["i-1","t1"],["i-2","t2"]],"validMs":3000})",
        [](const std::string &Body) {
          if (const auto Got = parseAdvice(Body)) {
-           for (const jobs::AdvisedServer &Each : Got.value().Good_)
+           for (const jobs::EligibleServer &Each : Got.value().EligibleServers_)
              EXPECT_FALSE(Each.Server_.empty());
          }
        }},
--- a/tests/platform/VmClientTest.cpp
+++ b/tests/platform/VmClientTest.cpp
@@ -73,7 +73,7 @@
                   {"machine":"m-4","state":"down"}],"nextToken":null})");
   const auto Got = list();
   ASSERT_TRUE(Got) << Got.error().Message_;
-  EXPECT_TRUE(Got.value().IsWhole_);
+  EXPECT_TRUE(Got.value().IsComplete_);
   EXPECT_EQ(Got.value().Vms_, (std::vector<jobs::VmInfo>{
                                   {"m-1", "p", jobs::VmState::Up, "i-1"},
                                   {"m-2", "p", jobs::VmState::Maintenance, ""},
@@ -99,7 +99,7 @@
                   "id":"i-1"}]})");
   const auto Got = list();
   ASSERT_TRUE(Got) << Got.error().Message_;
-  EXPECT_FALSE(Got.value().IsWhole_);
+  EXPECT_FALSE(Got.value().IsComplete_);
   EXPECT_EQ(Got.value().Vms_, (std::vector<jobs::VmInfo>{
                                   {"m-1", "p", jobs::VmState::Up, "i-1"}}));
 }
