--- a/bench/jobs/JobsBench.cpp
+++ b/bench/jobs/JobsBench.cpp
@@ -144,11 +144,11 @@
       Registry.apply(Command(makeJob(I, TasksPerJob)));
     LiveServerTable Board;
     Board.reset(Registry, now(), std::chrono::hours(1));
-    TailEffects Effects;
+    InterferenceModel Effects;
     ServingLoads Loads;
-    PaceGuard Paces;
+    PaceController Paces;
     ServerHealth Health;
-    AdviceBook Advice;
+    AdviceCache Advice;
     Dispatcher Planner(Effects, Loads, Paces, Health, Advice);
     // The leader surveys at every tick, too.
     Planner.survey(Registry, Board, now());
@@ -159,7 +159,7 @@
       Total += microsSince(Begin);
       Starts += Plan.size();
       Registry.apply(Command(StartTasks{Plan}));
-      Planner.settle(Plan);
+      Planner.releaseProposed(Plan);
     }
   }
   return Total / double(Starts);
--- /dev/null
+++ b/src/jobs/CapacitySurvey.cpp
@@ -0,0 +1,176 @@
+#include "jobs/CapacitySurvey.h"
+
+#include <algorithm>
+#include <utility>
+
+using namespace tulipweir;
+using namespace tulipweir::jobs;
+
+static constexpr std::int64_t Percent = 100;
+/// Only one out of this many servers is reserved at a time, so that short work
+/// continues where there is more long-running work than capacity.
+static constexpr std::size_t ServersPerReservation = 24;
+/// How often interference-free processors for relocations are computed over all
+/// servers: half a report interval, as most servers have reported nothing new
+/// sooner.
+static constexpr Duration RelocationInterval = std::chrono::milliseconds(250);
+/// The fleet has spare capacity if less than this percentage of the processors
+/// is reserved.
+static constexpr std::int64_t MaxSpareReservedPercent = 70;
+
+void CapacitySurvey::update(const JobRegistry &Book,
+                            const LiveServerTable &Board, ReadyTimes &Waits,
+                            TimePoint Now) {
+  const std::vector<UsableServer> Servers = surveyServers(Book, Board, Now);
+  reserveForLongRunning(Book, Servers, Waits, Now);
+  if (Now >= NextRelocationSurvey_) {
+    NextRelocationSurvey_ = Now + RelocationInterval;
+    surveyRelocation(Book, Servers);
+  }
+}
+
+std::vector<CapacitySurvey::UsableServer>
+CapacitySurvey::surveyServers(const JobRegistry &Book,
+                              const LiveServerTable &Board, TimePoint Now) {
+  FreeBySoleImage_.clear();
+  FreeWithoutServing_.clear();
+  std::int64_t Capacity = 0;
+  std::int64_t Reserved = 0;
+  std::vector<UsableServer> Servers;
+  for (const auto &[Id, Server] : Book.servers()) {
+    if (!Board.acceptsStarts(Book, Server))
+      continue;
+    Capacity += Server.Facts_.Capacity_.MilliCpus_;
+    Reserved += Server.Used_.MilliCpus_;
+    const LiveServer *Live = Board.find(Id);
+    const bool IsSound =
+        Health_.getHealthState(Id, Now) == HealthState::Healthy;
+    Servers.push_back({&Server, IsSound});
+    if (!IsSound || Live->NoStartsUntil_ > Now || Server.Serving_.size() > 1)
+      continue;
+    const Resources Free = Server.Facts_.Capacity_ - Server.Used_;
+    if (Server.Serving_.empty())
+      FreeWithoutServing_.push_back(Free);
+    else
+      FreeBySoleImage_[Server.Serving_.begin()->first].push_back(Free);
+  }
+  HasSpareCapacity_ = Reserved * Percent < Capacity * MaxSpareReservedPercent;
+  return Servers;
+}
+
+void CapacitySurvey::surveyRelocation(
+    const JobRegistry &Book, const std::vector<UsableServer> &Servers) {
+  InterferenceFreeCpus_.clear();
+  if (RelocatingImages_.empty())
+    return;
+  for (const UsableServer &Entry : Servers) {
+    const ServerRecord &Server = *Entry.Server_;
+    const std::int64_t Idle =
+        RemainingCapacity::computeIdleCpus(Server, Loads_);
+    const TailHeadroom Tails(Interference_, Loads_, Server);
+    for (const auto &[Image, Need] : RelocatingImages_)
+      if (Need <= Idle && Tails.fits(Image, Need))
+        InterferenceFreeCpus_[Image] += Need;
+  }
+  // Waiting tasks take precedence over relocations.
+  for (const ReadyStep &Ready : Book.readySteps()) {
+    const JobRecord &Job = *Book.findJob(Ready.Job_);
+    const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
+    if (!Step.Fills_ || RelocatingImages_.count(Step.Image_) == 0)
+      continue;
+    const std::uint64_t Waiting =
+        Job.findOccurrence(Ready.Occurrence_)->Steps_[Ready.Step_].Waiting_;
+    InterferenceFreeCpus_[Step.Image_] -=
+        Step.Need_.MilliCpus_ * static_cast<std::int64_t>(Waiting);
+  }
+  RelocatingImages_.clear();
+}
+
+/// Reserves, for each long-running task that has waited too long, the server
+/// that is closest to having capacity for it; the server starts no task that
+/// would take this capacity.
+void CapacitySurvey::reserveForLongRunning(const JobRegistry &Book,
+                                           std::vector<UsableServer> Servers,
+                                           ReadyTimes &Waits, TimePoint Now) {
+  Reservations_.clear();
+  HasWaitingLongRunning_ = false;
+  std::size_t RemainingReservations =
+      1 + Book.servers().size() / ServersPerReservation;
+  const auto GetFree = [](const UsableServer &Entry) {
+    return Entry.Server_->Facts_.Capacity_ - Entry.Server_->Used_;
+  };
+  bool IsSorted = false;
+  for (const ReadyStep &Ready : Book.readySteps()) {
+    const JobRecord &Job = *Book.findJob(Ready.Job_);
+    const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
+    if (!Step.LongRunning_)
+      continue;
+    HasWaitingLongRunning_ = true;
+    if (RemainingReservations == 0 ||
+        Waits.getWait(Ready, Now) < ReadyTimes::MaxLongRunningWait)
+      continue;
+    // Sorted once for all waiting steps: there may be hundreds, and as many
+    // servers.
+    if (!std::exchange(IsSorted, true))
+      std::stable_sort(Servers.begin(), Servers.end(),
+                       [&](const UsableServer &A, const UsableServer &B) {
+                         return GetFree(A).MilliCpus_ > GetFree(B).MilliCpus_;
+                       });
+    const Resources Need = Step.getReserved();
+    std::uint64_t Waiting =
+        Job.findOccurrence(Ready.Occurrence_)->Steps_[Ready.Step_].Waiting_;
+    for (const UsableServer &Entry : Servers) {
+      if (Waiting == 0 || RemainingReservations == 0)
+        break;
+      const bool IsCandidate =
+          Entry.IsSound_ &&
+          Entry.Server_->Facts_.Service_ == Job.Policy_.Service_ &&
+          GetFree(Entry).MemoryMib_ >= Need.MemoryMib_;
+      if (!IsCandidate ||
+          !Reservations_.try_emplace(Entry.Server_->Facts_.Id_, Need).second)
+        continue;
+      --Waiting;
+      --RemainingReservations;
+    }
+  }
+}
+
+bool CapacitySurvey::claimInterferenceFreeCpus(const StepSpec &Step) {
+  std::int64_t &Need = RelocatingImages_[Step.Image_];
+  Need = std::max(Need, Step.Need_.MilliCpus_);
+  const auto It = InterferenceFreeCpus_.find(Step.Image_);
+  if (It == InterferenceFreeCpus_.end() || Step.Need_.MilliCpus_ > It->second)
+    return false;
+  It->second -= Step.Need_.MilliCpus_;
+  return true;
+}
+
+/// Returns whether this number of tasks with this need fits into the free
+/// capacities.
+static bool canFitAll(const std::vector<Resources> &FreeCapacities,
+                      const Resources &Need, std::uint64_t Tasks) {
+  std::uint64_t Count = 0;
+  for (Resources Free : FreeCapacities)
+    for (; Count < Tasks && Need.fitsIn(Free); Free = Free - Need)
+      ++Count;
+  return Count >= Tasks;
+}
+
+bool CapacitySurvey::hasCapacityBesideSameImage(const std::string &Image,
+                                                const Resources &Need,
+                                                std::uint64_t Tasks) const {
+  const auto It = FreeBySoleImage_.find(Image);
+  return It != FreeBySoleImage_.end() && canFitAll(It->second, Need, Tasks);
+}
+
+bool CapacitySurvey::hasCapacityWithoutServing(const Resources &Need) const {
+  return std::any_of(
+      FreeWithoutServing_.begin(), FreeWithoutServing_.end(),
+      [&Need](const Resources &Free) { return Need.fitsIn(Free); });
+}
+
+const Resources *
+CapacitySurvey::findReservation(const std::string &ServerId) const {
+  const auto It = Reservations_.find(ServerId);
+  return It == Reservations_.end() ? nullptr : &It->second;
+}
--- /dev/null
+++ b/src/jobs/CapacitySurvey.h
@@ -0,0 +1,102 @@
+//===- CapacitySurvey.h - Free capacity over all servers -------*- C++ -*-===//
+//
+// A plan covers one server at a time. Whether a task would run better on
+// another server is taken from the last survey of all servers, which is
+// updated some twenty times a second. Pure.
+//
+//===----------------------------------------------------------------------===//
+
+#ifndef TULIPWEIR_SRC_JOBS_CAPACITYSURVEY_H
+#define TULIPWEIR_SRC_JOBS_CAPACITYSURVEY_H
+
+#include "jobs/InterferenceModel.h"
+#include "jobs/LiveServerTable.h"
+
+#include "jobs/ReadyTimes.h"
+#include "jobs/RemainingCapacity.h"
+
+#include "jobs/ServerHealth.h"
+#include "jobs/ServingLoads.h"
+#include "jobs/TailHeadroom.h"
+
+#include <limits>
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+namespace tulipweir::jobs {
+
+/// Free capacity of the whole fleet. Not thread-safe.
+class CapacitySurvey {
+public:
+  /// All arguments must outlive the survey.
+  CapacitySurvey(const InterferenceModel &Interference,
+                 const ServingLoads &Loads, const ServerHealth &Health)
+      : Interference_(Interference), Loads_(Loads), Health_(Health) {}
+
+  // Commands.
+
+  void update(const JobRegistry &Book, const LiveServerTable &Board,
+              ReadyTimes &Waits, TimePoint Now);
+  /// Claims idle processors on servers where the step's filling image lengthens
+  /// no tail, if there are enough. An image is included in surveys once it was
+  /// asked for.
+  bool claimInterferenceFreeCpus(const StepSpec &Step);
+
+  // Queries; all answers are as of the last survey.
+
+  /// Returns whether this number of tasks with this need fits on servers where
+  /// only their own image serves.
+  bool hasCapacityBesideSameImage(const std::string &Image,
+                                  const Resources &Need,
+                                  std::uint64_t Tasks) const;
+  /// Returns whether one task fits on a server without serving tasks.
+  bool hasCapacityWithoutServing(const Resources &Need) const;
+  /// Returns the capacity that is reserved on the server for a long-running
+  /// task, or nullptr.
+  const Resources *findReservation(const std::string &ServerId) const;
+  bool hasWaitingLongRunning() const { return HasWaitingLongRunning_; }
+  /// Returns whether most of the processors are not reserved by tasks.
+  bool hasSpareCapacity() const { return HasSpareCapacity_; }
+
+private:
+  /// A server of the book that accepts starts.
+  struct UsableServer {
+    const ServerRecord *Server_;
+    bool IsSound_;
+  };
+  std::vector<UsableServer> surveyServers(const JobRegistry &Book,
+                                          const LiveServerTable &Board,
+                                          TimePoint Now);
+  void surveyRelocation(const JobRegistry &Book,
+                        const std::vector<UsableServer> &Servers);
+  void reserveForLongRunning(const JobRegistry &Book,
+                             std::vector<UsableServer> Servers,
+                             ReadyTimes &Waits, TimePoint Now);
+
+  const InterferenceModel &Interference_;
+  const ServingLoads &Loads_;
+  const ServerHealth &Health_;
+
+  /// By filling image, the processors (thousandths) on servers that tolerate
+  /// one more of its tasks, for the images that were asked for lately.
+  std::map<std::string, std::int64_t> InterferenceFreeCpus_;
+  /// Images that were asked for since the last survey, with the largest need of
+  /// one of their tasks.
+  std::map<std::string, std::int64_t> RelocatingImages_;
+  TimePoint NextRelocationSurvey_{};
+  /// Free capacity of the servers that may start tasks: by image, of those
+  /// where only that image serves, and of those without serving tasks.
+  std::map<std::string, std::vector<Resources>> FreeBySoleImage_;
+  std::vector<Resources> FreeWithoutServing_;
+  /// By server, the capacity that is reserved for a long-running task that has
+  /// waited too long.
+  std::map<std::string, Resources> Reservations_;
+  bool HasWaitingLongRunning_ = false;
+  bool HasSpareCapacity_ = false;
+};
+
+} // namespace tulipweir::jobs
+
+#endif // TULIPWEIR_SRC_JOBS_CAPACITYSURVEY_H
--- a/src/jobs/JobLeader.cpp
+++ b/src/jobs/JobLeader.cpp
@@ -146,7 +146,7 @@
 /// learns from the reports that the other one handles.
 void JobLeader::Impl::updateLoads() {
   const TimePoint Now = Time_.now();
-  Loads_.survey(Now);
+  Loads_.updateRanges(Now);
   if (Now < NextLoadPrune_)
     return;
   NextLoadPrune_ = Now + PruneInterval;
@@ -293,7 +293,7 @@
   if (Starts.empty())
     return;
   propose(StartTasks{Starts}, [this, Starts](const Outcome<CommandResult> &) {
-    Dispatcher_.settle(Starts);
+    Dispatcher_.releaseProposed(Starts);
   });
 }
 
--- a/src/jobs/JobLeaderAdvice.cpp
+++ b/src/jobs/JobLeaderAdvice.cpp
@@ -13,9 +13,9 @@
 
 void JobLeader::Impl::requestAdvice() {
   const TimePoint Now = Time_.now();
-  if (!Advisor_.isThere() || IsAdvicePending_ || Now < NextAdviceRequest_)
+  if (!Advisor_.isAvailable() || IsAdvicePending_ || Now < NextAdviceRequest_)
     return;
-  const std::optional<AdviceQuestion> Question =
+  const std::optional<AdviceRequest> Question =
       Machine_.read([&](const JobRegistry &Book) {
         const auto IsUsable = [&](const std::string &Id) {
           const ServerRecord *Server = Book.findServer(Id);
@@ -23,7 +23,7 @@
                  Health_.getHealthState(Id, Now) == HealthState::Healthy;
         };
         Advice_.prune(Book);
-        return Advice_.findQuestion(Book, IsUsable, Now);
+        return Advice_.findNextRequest(Book, IsUsable, Now);
       });
   if (!Question)
     return;
@@ -43,7 +43,7 @@
                });
 }
 
-void JobLeader::Impl::handleAdvice(const AdviceQuestion &Question,
+void JobLeader::Impl::handleAdvice(const AdviceRequest &Question,
                                    const Outcome<Advice> &Answer) {
   IsAdvicePending_ = false;
   Event Line;
@@ -53,9 +53,9 @@
                std::to_string(Question.Step_.Step_);
   Line.Count_ = Question.Servers_.size();
   if (Answer) {
-    Advice_.note(Question, Answer.value(), Time_.now());
-    Line.Outcome_ =
-        std::to_string(Answer.value().Good_.size()) + " servers may run it";
+    Advice_.addAnswer(Question, Answer.value(), Time_.now());
+    Line.Outcome_ = std::to_string(Answer.value().EligibleServers_.size()) +
+                    " servers may run it";
   } else {
     NextAdviceRequest_ = Time_.now() + ErrorPause;
     Line.Outcome_ = "none";
--- a/src/jobs/JobLeaderImpl.h
+++ b/src/jobs/JobLeaderImpl.h
@@ -16,15 +16,17 @@
 
 #include "tulipweir/jobs/JobLeader.h"
 
-#include "jobs/AdviceBook.h"
+#include "jobs/AdviceCache.h"
 #include "jobs/CrashHistory.h"
 #include "jobs/Dispatcher.h"
 #include "jobs/IncarnationConflicts.h"
 #include "jobs/LiveServerTable.h"
-#include "jobs/PaceGuard.h"
+#include "jobs/PaceController.h"
+
 #include "jobs/PaceSetter.h"
 #include "jobs/PendingStops.h"
-#include "jobs/WaveKeeper.h"
+#include "jobs/WavePlanner.h"
+
 #include "replication/LeaderWatch.h"
 
 #include <deque>
@@ -129,7 +131,7 @@
   void logWave(std::uint64_t Wave, const std::string &Vm,
                const std::string &Result, const std::string &Reason);
   void requestAdvice();
-  void handleAdvice(const AdviceQuestion &Question,
+  void handleAdvice(const AdviceRequest &Question,
                     const Outcome<Advice> &Answer);
   /// Returns the evidence of a crash of the removed server, with the runs that
   /// were lost with it. No crash is assumed if the server had announced its
@@ -210,12 +212,12 @@
 
   std::uint64_t Term_ = 0;
   LiveServerTable LiveServers_;
-  TailEffects Effects_;
+  InterferenceModel Effects_;
   ServingLoads Loads_;
   TailLearner Learner_{Effects_, Loads_};
-  PaceGuard Paces_;
+  PaceController Paces_;
   ServerHealth Health_;
-  AdviceBook Advice_;
+  AdviceCache Advice_;
   CrashHistory Crashes_;
   Dispatcher Dispatcher_{Effects_, Loads_, Paces_, Health_, Advice_};
   PaceSetter Setter_{Time_, Machine_, Log_, Effects_, Learner_, Paces_};
@@ -227,7 +229,7 @@
   TimePoint NextAdviceRequest_{};
   TimePoint NextPlannerPrune_{};
   TimePoint NextLoadPrune_{}; ///< When loads of ended tasks are pruned next.
-  WaveKeeper Waves_;
+  WavePlanner Waves_;
   TimePoint LeadingSince_{};
   TimePoint LastTick_{};
   /// Until then the relays are asked twice before a server is removed.
--- a/src/jobs/JobLeaderOrders.cpp
+++ b/src/jobs/JobLeaderOrders.cpp
@@ -39,7 +39,7 @@
   if (!Step.Fills_)
     return true;
   return StalledFor >= FillingStallTime &&
-         Paces_.getLeast(Server) == PaceGuard::FullPace;
+         Paces_.getMinPace(Server) == PaceController::FullPace;
 }
 
 /// Whether so few other tasks of the step are unavailable that this one may be
@@ -106,7 +106,7 @@
       Step.Fills_ && Step.Checkpointing_ &&
       Running.Percent_ < MinPercentToStay &&
       Paces_.getPace(Server.Facts_.Id_, Step.Image_) < MinPaceToStay;
-  if (!IsSlow || !Dispatcher_.takeSafeRoom(Step))
+  if (!IsSlow || !Dispatcher_.claimInterferenceFreeCpus(Step))
     return false;
   Meter_.add(JobCounter::TasksMoved, 1);
   return true;
--- a/src/jobs/JobLeaderReports.cpp
+++ b/src/jobs/JobLeaderReports.cpp
@@ -224,7 +224,7 @@
     Meter_.add(JobCounter::ReportsLate, 1);
     return reply(Pending, ServerOrders{});
   }
-  Setter_.note(Report);
+  Setter_.updatePaces(Report);
   EndTasks Command{Id, {}};
   Machine_.read([&](const JobRegistry &Book) {
     const ServerRecord *Server = Book.findServer(Id);
@@ -276,7 +276,7 @@
   deferAnswer(Pending);
   propose(StartTasks{Starts}, [this, Pending,
                                Starts](const Outcome<CommandResult> &Applied) {
-    Dispatcher_.settle(Starts);
+    Dispatcher_.releaseProposed(Starts);
     if (!Applied)
       return reply(Pending, Applied.error());
     for (std::size_t I = 0; I < Starts.size(); ++I) {
@@ -358,7 +358,7 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(
           Settings_.ReportInterval_)
           .count());
-  Setter_.addPaces(Report, *LiveServers_.find(Id), Orders);
+  Setter_.addPaceOrders(Report, *LiveServers_.find(Id), Orders);
   // Another member may have become the leader.
   const TimePoint Now = Time_.now();
   if (Group_.findLeaseTerm(Now) != Term_)
--- a/src/jobs/JobLeaderTelemetry.cpp
+++ b/src/jobs/JobLeaderTelemetry.cpp
@@ -66,7 +66,7 @@
   const TimePoint Now = Time_.now();
   for (const TaskEnd &End : Ended.Ends_) {
     if (End.Outcome_ == RunOutcome::Failed)
-      Dispatcher_.noteFailure(End.Task_, Ended.Server_, Now);
+      Dispatcher_.recordFailure(End.Task_, Ended.Server_, Now);
     if (End.Outcome_ == RunOutcome::Failed)
       recordFailedRun(Ended.Server_, End.Task_.Job_,
                       "runs of several jobs failed");
--- a/src/jobs/JobRegistry.cpp
+++ b/src/jobs/JobRegistry.cpp
@@ -160,7 +160,7 @@
 }
 
 CommandResult JobRegistry::apply(const RecordMaintenanceStart &Cmd) {
-  return {Waves_.noteBegun(Cmd.Wave_, Cmd.Vm_) ? CommandStatus::Done
+  return {Waves_.markBegun(Cmd.Wave_, Cmd.Vm_) ? CommandStatus::Done
                                                : CommandStatus::AlreadyDone,
           {}};
 }
--- /dev/null
+++ b/src/jobs/SchedulingOrder.h
@@ -0,0 +1,79 @@
+//===- SchedulingOrder.h - Scheduling order of waiting steps ---*- C++ -*-===//
+//
+// The first waiting steps in the order in which they get capacity, with the
+// needs of their tasks. The order is recomputed when steps were added, but not
+// for each of some thousand reports a second: a long queue would then cost
+// most when the load is highest. Pure.
+//
+//===----------------------------------------------------------------------===//
+
+#ifndef TULIPWEIR_SRC_JOBS_SCHEDULINGORDER_H
+#define TULIPWEIR_SRC_JOBS_SCHEDULINGORDER_H
+
+#include "jobs/JobValueEstimator.h"
+#include "jobs/ReadyTimes.h"
+
+#include <limits>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+namespace tulipweir::jobs {
+
+/// The smallest needs of any waiting task, in MiB and thousandths of
+/// processors.
+struct MinimumNeeds {
+  std::int64_t Memory_ = 0;
+  std::int64_t PlainCpus_ = 0;
+  std::int64_t FillingCpus_ = 0;
+};
+
+/// A waiting step with the values that a plan checks first.
+struct Candidate {
+  static constexpr std::size_t NotFilling =
+      std::numeric_limits<std::size_t>::max();
+
+  ReadyStep Step_;
+  Resources Reserved_; ///< The capacity that each task reserves.
+                       /// Idle processors that each task needs; zero for steps
+                       /// that do not fill.
+  std::int64_t IdleNeeded_ = 0;
+  /// Index of the tasks' filling image in this order.
+  std::size_t FillingImage_ = NotFilling;
+  TimePoint ReadySince_{};
+  bool IsIdleJob_ = false; ///< Nothing of the job ran at the last update.
+};
+
+/// The waiting steps in scheduling order. Not thread-safe.
+class SchedulingOrder {
+public:
+  // Commands.
+
+  void reset();
+  /// Recomputes the order if steps were added since, or it is too old.
+  void update(const JobRegistry &Book, ReadyTimes &Waits, TimePoint Now,
+              WallTime Wall);
+
+  // Queries; all answers are as of the last update.
+
+  const std::vector<Candidate> &candidates() const { return Candidates_; }
+  const MinimumNeeds &minimumNeeds() const { return Minimum_; }
+  std::size_t countFillingImages() const { return FillingImages_.size(); }
+
+private:
+  void addNewJobs(const JobRegistry &Book);
+  void add(const JobRegistry &Book, const ReadyStep &Ready, ReadyTimes &Waits,
+           TimePoint Now);
+
+  std::vector<Candidate> Candidates_;
+  MinimumNeeds Minimum_;
+  std::unordered_map<std::string, std::size_t> FillingImages_;
+  JobValueEstimator Value_;
+  std::uint64_t LastAddedSequence_ = 0; ///< Of the newest job in Value_.
+  std::uint64_t Version_ = 0; ///< Of the ready steps, at the last update.
+  TimePoint UpdatedAt_ = TimePoint::min();
+};
+
+} // namespace tulipweir::jobs
+
+#endif // TULIPWEIR_SRC_JOBS_SCHEDULINGORDER_H
--- /dev/null
+++ b/src/jobs/StragglerDetector.h
@@ -0,0 +1,40 @@
+//===- StragglerDetector.h - Detection of late runs ------------*- C++ -*-===//
+//
+// Finds runs of speculative steps that take much longer than declared, or will
+// at their current speed: their server may be slow or hang. Pure.
+//
+//===----------------------------------------------------------------------===//
+
+#ifndef TULIPWEIR_SRC_JOBS_STRAGGLERDETECTOR_H
+#define TULIPWEIR_SRC_JOBS_STRAGGLERDETECTOR_H
+
+#include "jobs/LiveServerTable.h"
+
+namespace tulipweir::jobs {
+
+/// Lists late runs for speculative copies. Not thread-safe.
+class StragglerDetector {
+public:
+  // Commands.
+
+  void reset();
+  /// Checks all runs, if the last check was long enough ago.
+  void survey(const JobRegistry &Book, const LiveServerTable &Board,
+              TimePoint Now);
+
+  // Queries.
+
+  /// Returns the tasks of the late runs, the oldest run first.
+  const std::vector<TaskKey> &getLateTasks() const { return Late_; }
+
+private:
+  static bool isLate(const StepSpec &Step, const RunProgress &Run,
+                     TimePoint Now);
+
+  std::vector<TaskKey> Late_;
+  TimePoint NextSurvey_{};
+};
+
+} // namespace tulipweir::jobs
+
+#endif // TULIPWEIR_SRC_JOBS_STRAGGLERDETECTOR_H
--- /dev/null
+++ b/src/jobs/WavePlanner.h
@@ -0,0 +1,90 @@
+//===- WavePlanner.h - Plans the maintenance of VMs ------------*- C++ -*-===//
+//
+// Drains the servers of open waves and decides which of their VMs may be put
+// into maintenance next, so that the number of a wave's VMs that are down
+// never exceeds its limit. The states of VMs come from the provider's list and
+// its answers; a VM whose order got no clear answer counts as down. Pure.
+//
+//===----------------------------------------------------------------------===//
+
+#ifndef TULIPWEIR_SRC_JOBS_WAVEPLANNER_H
+#define TULIPWEIR_SRC_JOBS_WAVEPLANNER_H
+
+#include "tulipweir/core/Time.h"
+#include "tulipweir/jobs/JobRegistry.h"
+#include "tulipweir/jobs/VmProvider.h"
+
+#include <map>
+#include <optional>
+#include <set>
+
+namespace tulipweir::jobs {
+
+/// An order to put a VM into maintenance.
+struct MaintenanceOrder {
+  std::uint64_t Wave_ = 0;
+  std::string Vm_;
+  std::string Server_; ///< The backend server on the VM, as last listed.
+  bool operator==(const MaintenanceOrder &) const = default;
+};
+
+/// Plans the next maintenance order of a term. Not thread-safe.
+class WavePlanner {
+public:
+  // Commands.
+
+  void reset();
+  /// Stores the provider's list, which was requested at AskedAt.
+  void updateVms(const VmList &List, TimePoint AskedAt);
+  /// Chooses the servers to drain and returns the next order, if one may be
+  /// sent.
+  std::optional<MaintenanceOrder> plan(const JobRegistry &Book, TimePoint Now);
+  /// Records that the order was sent; whether it was carried out is not known
+  /// yet.
+  void recordOrder(const MaintenanceOrder &Order, TimePoint Now);
+  /// Handles an answer, or an error if there was none. Returns true if the VM's
+  /// maintenance has begun or never will.
+  bool handleReply(const MaintenanceOrder &Order,
+                   const Outcome<MaintenanceReply> &Reply, TimePoint Now);
+
+  // Queries.
+
+  /// Returns whether the server must start nothing, as its VM is next.
+  bool isDraining(const std::string &ServerId) const {
+    return DrainingSince_.count(ServerId) != 0;
+  }
+  /// Returns whether a new list is needed for a decision.
+  bool isListDue(const JobRegistry &Book, TimePoint Now) const;
+
+private:
+  /// The state of this leader's order for a VM of a wave.
+  struct OrderState {
+    std::uint64_t Wave_ = 0;
+    TimePoint At_{};
+    bool IsInFlight_ = false; ///< An order was sent and is not answered yet.
+    bool IsUnclear_ = false;  ///< An earlier order may have been carried out.
+    bool IsDown_ = false;     ///< Maintenance has begun; not seen up since.
+    bool mayBeDown() const { return IsInFlight_ || IsUnclear_ || IsDown_; }
+  };
+  bool isUp(const std::string &Vm) const;
+  std::uint64_t countDown(const WaveRecord &Wave) const;
+  bool mayMaintain(const JobRegistry &Book, const ServerRecord &Server,
+                   TimePoint Now) const;
+
+  std::map<std::string, VmInfo> Vms_;
+  bool HasList_ = false;
+  bool IsComplete_ = true; ///< The last list named every VM.
+  TimePoint ListedAt_{};
+  std::map<std::string, OrderState>
+      Orders_; ///< By VM.
+               /// By server id, when draining began.
+  std::map<std::string, TimePoint> DrainingSince_;
+  /// By VM, when a next order may be sent after a busy answer or an error.
+  std::map<std::string, TimePoint> RetryAt_;
+  /// Another leader has a higher fencing token; this term sends no more orders.
+  bool IsFenced_ = false;
+};
+
+} // namespace tulipweir::jobs
+
+#endif // TULIPWEIR_SRC_JOBS_WAVEPLANNER_H
--- a/tests/jobservice/StarvedFleet.h
+++ b/tests/jobservice/StarvedFleet.h
@@ -90,8 +90,8 @@
   std::size_t Started_ = 0;
   std::size_t Done_ = 0;
   std::size_t Left_ = 0; ///< Servers that left or fell silent.
-  /// Longest time that a server reported without an answer that extends its
-  /// lease.
+                         /// Longest time that a server reported without an
+                         /// answer that extends its lease.
   Duration LongestWithoutLease_{};
   /// Longest time that a run went on after its job's cancellation was
   /// acknowledged.
@@ -181,8 +181,8 @@
   jobs::test::ManualExecutor Strand_{Time_};
   jobs::JobStateMachine Machine_;
   jobs::test::ManualReplica Group_{Machine_};
-  jobs::NoAdvisor Advisor_;
-  jobs::NoVmProvider Provider_;
+  jobs::NullAdvisor Advisor_;
+  jobs::NullVmProvider Provider_;
   StartLog Log_{[this](const Event &Started) { notePlaced(Started); }};
   jobs::NoJobMeter Meter_;
   const jobs::JobLeaderSettings Settings_;
