--- a/include/tulipweir/jobservice/ControlNode.h
+++ b/include/tulipweir/jobservice/ControlNode.h
@@ -1,4 +1,4 @@
-//===- ControlNode.h - A member of the group that holds jobs ---*- C++ -*-===//
+//===- ControlNode.h - Member of the job service group ----------*- C++ -*-===//
 //
 // One replica of the jobs' log with its links to the other members, and the
 // leader's side over it. Has no HTTP of its own: whoever embeds it translates.
@@ -24,7 +24,7 @@
   /// Whether the group may be founded; false once it ever was.
   bool MayFound_ = false;
   /// Voters the group keeps: twice the VMs it must bear to lose, and one.
-  std::uint64_t Voters_ = 3;
+  std::uint64_t TargetVoters_ = 3;
   std::string Secret_;
   Duration ElectionTimeout_ = std::chrono::milliseconds(600);
   jobs::JobLeaderSettings Leader_;
@@ -59,7 +59,7 @@
   Outcome<void> start();
   /// Hands leadership on, so that nobody waits for an election, then calls
   /// Moved.
-  void handOver(std::function<void()> Moved);
+  void transferLeadership(std::function<void()> OnDone);
   /// Returns once nothing of the replica runs and its folder is free. Called
   /// while the pool runs, from none of its threads; so is the destructor.
   void stop();
@@ -67,7 +67,7 @@
   void call(jobs::JobCall Call, Done<jobs::JobCallReply> Reply);
   void report(jobs::ServerReport Report, Done<jobs::ServerOrders> Reply);
   void leave(const std::string &ServerId, Done<void> Reply);
-  void putConfiguration(jobs::Configuration Value, Done<void> Reply);
+  void putConfiguration(jobs::Configuration NewConfiguration, Done<void> Reply);
   void startWave(jobs::WaveSpec Spec, Done<void> Reply);
   void evacuate(jobs::EvacuateDataCentre Order, Done<void> Reply);
 
--- a/include/tulipweir/jobservice/EntryNode.h
+++ b/include/tulipweir/jobservice/EntryNode.h
@@ -1,4 +1,4 @@
-//===- EntryNode.h - Clients' way to the leader of the jobs ----*- C++ -*-===//
+//===- EntryNode.h - Forwards job calls to the leader -----------*- C++ -*-===//
 //
 // Keeps track of the controls and of their leader, and passes calls about jobs
 // on to it. Holds no state of its own, so it can't answer with an old one.
@@ -23,17 +23,17 @@
   std::vector<std::string> Seeds_;
   std::string Secret_;
   /// How often the group is asked who leads.
-  Duration AskInterval_ = std::chrono::milliseconds(500);
+  Duration LeaderPollInterval_ = std::chrono::milliseconds(500);
   /// How long a call looks for a leader before it is given up: an election,
   /// where one led a moment ago,
-  Duration Patience_ = std::chrono::milliseconds(1000);
+  Duration LeaderWaitTimeout_ = std::chrono::milliseconds(1000);
   /// and a round of questions where nobody has led for a while. Whoever is told
   /// early can come back in time.
-  Duration ImpatienceWithoutLeader_ = std::chrono::milliseconds(200);
+  Duration NoLeaderTimeout_ = std::chrono::milliseconds(200);
 };
 
 /// How a call that got no answer was left.
-enum class LostCall : std::uint8_t {
+enum class CallEffect : std::uint8_t {
   NotRun,  ///< No control can have taken it.
   Unknown, ///< It may have taken effect.
 };
@@ -43,7 +43,7 @@
 public:
   struct Answer {
     std::optional<jobs::JobCallReply> Reply_;
-    LostCall Lost_ = LostCall::NotRun; ///< Without a reply.
+    CallEffect Effect_ = CallEffect::NotRun; ///< Without a reply.
   };
   using Done = std::function<void(Answer)>;
 
@@ -65,7 +65,7 @@
   // Queries.
 
   /// Empty when a leader answered lately, or why calls would fail.
-  std::string findUnready() const;
+  std::string getUnreadyReason() const;
   std::string makeDump() const;
 
 private:
--- a/include/tulipweir/jobservice/MemberLinks.h
+++ b/include/tulipweir/jobservice/MemberLinks.h
@@ -1,4 +1,4 @@
-//===- MemberLinks.h - Links to controls found on the way ------*- C++ -*-===//
+//===- MemberLinks.h - Links between group members --------------*- C++ -*-===//
 //
 // A control is named by the address at which others call it; its links are on
 // the same IP number at a port that is the same on all VMs. Links are made when
@@ -37,7 +37,7 @@
   void stop();
 
 private:
-  net::LinkClient *find(const std::string &Name);
+  net::LinkClient *findOrCreate(const std::string &Name);
 
   boost::asio::io_context &Context_;
   const std::string Self_;
--- a/src/jobservice/ReportGather.h
+++ b/src/jobservice/AnswerCollector.h
@@ -1,4 +1,4 @@
-//===- ReportGather.h - The leader's answers to a batch --------*- C++ -*-===//
+//===- AnswerCollector.h - Collects the answers to a batch ------*- C++ -*-===//
 //
 // Collects what the leader answers to the reports of one batch, each in its own
 // time, and sends them together: when the last one is there, or as far as they
@@ -6,8 +6,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_SRC_JOBSERVICE_REPORTGATHER_H
-#define TULIPWEIR_SRC_JOBSERVICE_REPORTGATHER_H
+#ifndef TULIPWEIR_SRC_JOBSERVICE_ANSWERCOLLECTOR_H
+#define TULIPWEIR_SRC_JOBSERVICE_ANSWERCOLLECTOR_H
 
 #include "jobservice/RelayFlush.h"
 #include "tulipweir/core/Time.h"
@@ -21,25 +21,24 @@
 namespace tulipweir::jobservice {
 
 /// Lives on one executor.
-class ReportGather {
+class AnswerCollector {
 public:
-  using Send = std::function<void(std::vector<jobs::ReportAnswer>)>;
+  using SendAnswers = std::function<void(std::vector<jobs::ReportAnswer>)>;
   using Reply = std::function<void(jobs::ReportBatchReply)>;
 
   /// Has the leader decide a batch. Answer is called once, without the relays
   /// and stops that a leader knows; the gather is to be kept and looked at
   /// until it has sent. Time must outlive it.
-  static std::shared_ptr<ReportGather> decide(jobs::ReportBatch Batch,
-                                              jobs::JobLeader &Leader,
-                                              RelayFlush &Flush,
-                                              const Clock &Time, Reply Answer);
-  ReportGather(std::size_t Reports, TimePoint Begin, Send Sending);
+  static std::shared_ptr<AnswerCollector>
+  handleBatch(jobs::ReportBatch Batch, jobs::JobLeader &Leader,
+              RelayFlush &Flush, const Clock &Time, Reply Answer);
+  AnswerCollector(std::size_t Reports, TimePoint StartedAt, SendAnswers Send);
 
   // Commands.
 
-  void note(std::size_t Report, const Outcome<jobs::ServerOrders> &Answer);
+  void addAnswer(std::size_t Report, const Outcome<jobs::ServerOrders> &Answer);
   /// Sends what is there if the first answers have waited for too long.
-  void look(TimePoint Now);
+  void sendIfOverdue(TimePoint Now);
 
   // Queries.
 
@@ -49,12 +48,12 @@
   void send();
 
   std::vector<jobs::ReportAnswer> Answers_;
-  std::size_t Open_;
-  const TimePoint Begin_;
-  const Send Send_;
+  std::size_t Unanswered_;
+  const TimePoint StartedAt_;
+  const SendAnswers Send_;
   bool IsSent_ = false;
 };
 
 } // namespace tulipweir::jobservice
 
-#endif // TULIPWEIR_SRC_JOBSERVICE_REPORTGATHER_H
+#endif // TULIPWEIR_SRC_JOBSERVICE_ANSWERCOLLECTOR_H
--- a/src/jobservice/ControlNode.cpp
+++ b/src/jobservice/ControlNode.cpp
@@ -1,7 +1,7 @@
 #include "tulipweir/jobservice/ControlNode.h"
 
-#include "jobservice/ControlLife.h"
 #include "jobservice/JobMetrics.h"
+#include "jobservice/ReplicaInstance.h"
 #include "jobservice/ReportRouter.h"
 #include "tulipweir/jobservice/MemberLinks.h"
 #include "tulipweir/net/StrandExecutor.h"
@@ -14,7 +14,7 @@
 using namespace tulipweir::jobservice;
 
 /// Tasks and jobs that a dump names of each kind.
-static constexpr std::size_t MostDumped = 50;
+static constexpr std::size_t MaxDumpedEntries = 50;
 static constexpr const char *GroupName = "jobs";
 /// Two may be lost without a gap in the leader's lease, which lasts 7/8 of the
 /// election timeout.
@@ -23,9 +23,9 @@
 /// its answer; a third of a commit's time gathers them.
 static constexpr Duration ProposalPause = std::chrono::milliseconds(3);
 /// One that is being synced and one on its way.
-static constexpr std::size_t MessagesInFlight = 2;
+static constexpr std::size_t MaxMessagesInFlight = 2;
 /// How often the replica's disk and members are looked at.
-static constexpr Duration WatchInterval = std::chrono::milliseconds(250);
+static constexpr Duration CheckInterval = std::chrono::milliseconds(250);
 
 static replication::ReplicaSettings
 makeReplicaSettings(const ControlNodeSettings &Settings) {
@@ -36,11 +36,11 @@
     Result.Folder_ = Settings.DataFolder_ + "/" + GroupName;
   Result.FirstVoters_ = Settings.Seeds_;
   Result.MayFound_ = Settings.MayFound_;
-  Result.TargetVoters_ = Settings.Voters_;
+  Result.TargetVoters_ = Settings.TargetVoters_;
   Result.ElectionTimeout_ = Settings.ElectionTimeout_;
   Result.HeartbeatInterval_ = Settings.ElectionTimeout_ / HeartbeatsPerElection;
   Result.ProposalPause_ = ProposalPause;
-  Result.MaxMessagesInFlight_ = MessagesInFlight;
+  Result.MaxMessagesInFlight_ = MaxMessagesInFlight;
   Result.Seed_ = std::hash<std::string>()(Settings.Name_);
   return Result;
 }
@@ -58,38 +58,39 @@
         Links_(Pool.context(), Settings.Name_, Settings.LinkPort_,
                makeMemberLinkSettings(Settings.Secret_)),
         Strand_(Pool), Router_(Settings.Name_, Strand_, Time, Links_, Meter_,
-                               [this] { return getLife(); }) {}
+                               [this] { return getInstance(); }) {}
 
   Outcome<void> start();
   void stop();
 
   /// Runs Work with the leader's side on the strand, or fails.
   template <class Value, class Function>
-  void run(Done<Value> Reply, Function Work) {
+  void runOnLeader(Done<Value> Reply, Function Work) {
     Strand_.post([Self = shared_from_this(), Reply = std::move(Reply),
                   Work = std::move(Work)]() mutable {
-      const std::shared_ptr<ControlLife> Current = Self->getLife();
-      if (!Current)
+      const std::shared_ptr<ReplicaInstance> Instance = Self->getInstance();
+      if (!Instance)
         return Reply(fail(ErrorCode::Unavailable, "the disk fails"));
-      Work(*Current->Leader_, std::move(Reply));
+      Work(*Instance->Leader_, std::move(Reply));
     });
   }
-  std::shared_ptr<ControlLife> getLife() const {
+  std::shared_ptr<ReplicaInstance> getInstance() const {
     const std::lock_guard Hold(Lock_);
-    return Life_;
+    return Instance_;
   }
   net::StrandExecutor &strand() { return Strand_; }
   /// Where servers' reports are taken; on the strand, while this lives.
   ReportRouter &router() { return Router_; }
 
 private:
-  Outcome<void> openLife();
-  void watch();
-  void noteStatus(const replication::ReplicaStatus &Status);
-  void handOverIfSlow(const ControlLife &Current,
+  Outcome<void> openReplica();
+  void checkReplica();
+  void logMembershipChange(const replication::ReplicaStatus &Status);
+  void transferIfSlow(const ReplicaInstance &Instance,
                       const replication::ReplicaStatus &Status);
-  void handle(wire::MessageKind Kind, std::string Body, net::LinkReply Reply);
-  std::string makeView() const;
+  void handleMessage(wire::MessageKind Kind, std::string Body,
+                     net::LinkReply Reply);
+  std::string makeGroupView() const;
 
   const ControlNodeSettings Settings_;
   net::IoPool &Pool_;
@@ -105,40 +106,41 @@
   std::unique_ptr<net::LinkServer> Server_;
   // On the strand only.
   std::vector<replication::Member> LastMembers_;
-  bool IsHandingOver_ = false;
+  bool IsTransferring_ = false;
   ReportRouter Router_;
   mutable std::mutex Lock_;
-  bool Stopped_ = false;              ///< Guarded by Lock_, as is Life_.
-  std::shared_ptr<ControlLife> Life_; ///< None while the disk fails.
+  bool Stopped_ = false; ///< Guarded by Lock_, as is Instance_.
+  std::shared_ptr<ReplicaInstance> Instance_; ///< None while the disk fails.
 };
 
-Outcome<void> ControlNode::Impl::openLife() {
-  const auto Fresh = std::make_shared<ControlLife>();
-  auto Opened =
-      Open_(makeReplicaSettings(Settings_), Fresh->Machine_, Links_, Time_);
+Outcome<void> ControlNode::Impl::openReplica() {
+  const auto NewInstance = std::make_shared<ReplicaInstance>();
+  auto Opened = Open_(makeReplicaSettings(Settings_), NewInstance->Machine_,
+                      Links_, Time_);
   if (!Opened)
     return std::move(Opened).as_failure();
-  Fresh->Group_ = std::move(Opened.value());
-  Fresh->Leader_ = std::make_unique<jobs::JobLeader>(
-      Settings_.Leader_, Time_, Strand_, *Fresh->Group_, Fresh->Machine_,
-      Advisor_, Provider_, Router_.relays(), Log_, Meter_);
+  NewInstance->Replica_ = std::move(Opened.value());
+  NewInstance->Leader_ = std::make_unique<jobs::JobLeader>(
+      Settings_.Leader_, Time_, Strand_, *NewInstance->Replica_,
+      NewInstance->Machine_, Advisor_, Provider_, Router_.relays(), Log_,
+      Meter_);
   {
     const std::lock_guard Hold(Lock_);
     if (Stopped_)
       return fail(ErrorCode::Unavailable, "stopping");
-    Life_ = Fresh;
+    Instance_ = NewInstance;
   }
-  Strand_.post([Weak = std::weak_ptr(Fresh)] {
-    const std::shared_ptr<ControlLife> Current = Weak.lock();
-    if (Current && Current->Leader_)
-      Current->Leader_->start();
+  Strand_.post([Weak = std::weak_ptr(NewInstance)] {
+    const std::shared_ptr<ReplicaInstance> Instance = Weak.lock();
+    if (Instance && Instance->Leader_)
+      Instance->Leader_->start();
   });
   return succeed();
 }
 
 Outcome<void> ControlNode::Impl::start() {
-  Router_.keepAlive(weak_from_this());
-  if (Outcome<void> Opened = openLife(); !Opened)
+  Router_.setOwner(weak_from_this());
+  if (Outcome<void> Opened = openReplica(); !Opened)
     return Opened;
   net::Endpoint Listen;
   Listen.Address_ = net::Endpoint::parse(Settings_.Name_).value().Address_;
@@ -148,16 +150,17 @@
       [Weak = weak_from_this()](wire::MessageKind Kind, std::string Body,
                                 net::LinkReply Reply) {
         if (const std::shared_ptr<Impl> Self = Weak.lock())
-          Self->handle(Kind, std::move(Body), std::move(Reply));
+          Self->handleMessage(Kind, std::move(Body), std::move(Reply));
       });
   auto Bound = Server_->start();
   if (!Bound)
     return std::move(Bound).as_failure();
-  Strand_.post([Self = shared_from_this()] { Self->watch(); });
+  Strand_.post([Self = shared_from_this()] { Self->checkReplica(); });
   return succeed();
 }
 
-void ControlNode::Impl::noteStatus(const replication::ReplicaStatus &Status) {
+void ControlNode::Impl::logMembershipChange(
+    const replication::ReplicaStatus &Status) {
   if (Status.Members_ == LastMembers_)
     return;
   LastMembers_ = Status.Members_;
@@ -165,24 +168,24 @@
   Line.Kind_ = EventKind::MembersChanged;
   Line.Term_ = Status.Term_;
   Line.Count_ = Status.Members_.size();
-  for (const replication::Member &Each : Status.Members_)
+  for (const replication::Member &Member : Status.Members_)
     Line.Reason_ +=
-        Each.Id_.Name_ + (Each.Role_ == replication::MemberRole::Voter
-                              ? " votes, "
-                              : " learns, ");
+        Member.Id_.Name_ + (Member.Role_ == replication::MemberRole::Voter
+                                ? " votes, "
+                                : " learns, ");
   Log_.write(Line);
 }
 
 /// A leader on a VM that has become slow gives way to a faster one while
 /// servers still have their leases; under a load that is too much for any VM it
 /// stays.
-void ControlNode::Impl::handOverIfSlow(
-    const ControlLife &Current, const replication::ReplicaStatus &Status) {
-  Router_.noteWorkTime(Measure_(Time_));
-  const std::optional<TransferTarget> Better = Router_.chooseTarget(Status);
-  if (!Better || IsHandingOver_)
+void ControlNode::Impl::transferIfSlow(
+    const ReplicaInstance &Instance, const replication::ReplicaStatus &Status) {
+  Router_.recordWorkTime(Measure_(Time_));
+  const std::optional<TransferTarget> Target = Router_.chooseTarget(Status);
+  if (!Target || IsTransferring_)
     return;
-  IsHandingOver_ = true;
+  IsTransferring_ = true;
   const auto InMicroseconds = [](Duration Value) {
     return std::to_string(
         std::chrono::duration_cast<std::chrono::microseconds>(Value).count());
@@ -191,66 +194,66 @@
   Line.Kind_ = EventKind::LeadershipHandedOver;
   Line.Term_ = Status.Term_;
   Line.Reason_ = "what takes " + InMicroseconds(Router_.getWorkTime()) +
-                 " us here now takes " + InMicroseconds(Better->WorkTime_) +
-                 " us at " + Better->Name_;
+                 " us here now takes " + InMicroseconds(Target->WorkTime_) +
+                 " us at " + Target->Name_;
   Log_.write(Line);
   Meter_.add(jobs::Counted::HandOvers, 1);
-  Current.Group_->transferLeadershipTo(
-      Better->Name_, [Weak = weak_from_this()](const Outcome<void> &) {
+  Instance.Replica_->transferLeadershipTo(
+      Target->Name_, [Weak = weak_from_this()](const Outcome<void> &) {
         if (const std::shared_ptr<Impl> Self = Weak.lock())
-          Self->Strand_.post([Self] { Self->IsHandingOver_ = false; });
+          Self->Strand_.post([Self] { Self->IsTransferring_ = false; });
       });
 }
 
 /// Closes a replica whose disk failed, and opens it again once that works.
-void ControlNode::Impl::watch() {
+void ControlNode::Impl::checkReplica() {
   {
     const std::lock_guard Hold(Lock_);
     if (Stopped_)
       return;
   }
-  Router_.look();
+  Router_.checkTimeouts();
   Event Line;
   Line.Kind_ = EventKind::StorageTrouble;
-  if (std::shared_ptr<ControlLife> Current = getLife()) {
-    const replication::ReplicaStatus Status = Current->Group_->getStatus();
-    noteStatus(Status);
-    handOverIfSlow(*Current, Status);
+  if (std::shared_ptr<ReplicaInstance> Instance = getInstance()) {
+    const replication::ReplicaStatus Status = Instance->Replica_->getStatus();
+    logMembershipChange(Status);
+    transferIfSlow(*Instance, Status);
     if (!Status.Failure_.empty()) {
       {
         const std::lock_guard Hold(Lock_);
-        Life_.reset();
+        Instance_.reset();
       }
-      Current->end();
+      Instance->end();
       Line.Outcome_ = "closed";
       Line.Reason_ = Status.Failure_;
       Log_.write(Line);
     }
-  } else if (const Outcome<void> Opened = openLife(); Opened) {
+  } else if (const Outcome<void> Opened = openReplica(); Opened) {
     Line.Outcome_ = "opened again";
     Log_.write(Line);
   }
-  Strand_.postAfter(WatchInterval, [Weak = weak_from_this()] {
+  Strand_.postAfter(CheckInterval, [Weak = weak_from_this()] {
     if (const std::shared_ptr<Impl> Self = Weak.lock())
-      Self->watch();
+      Self->checkReplica();
   });
 }
 
 void ControlNode::Impl::stop() {
-  std::shared_ptr<ControlLife> Last;
+  std::shared_ptr<ReplicaInstance> LastInstance;
   {
     const std::lock_guard Hold(Lock_);
     if (std::exchange(Stopped_, true))
       return;
-    Last = std::exchange(Life_, nullptr);
+    LastInstance = std::exchange(Instance_, nullptr);
   }
   if (Server_)
     Server_->stop();
-  if (Last) {
+  if (LastInstance) {
     // Waited for, as the caller may take the folder away next.
     std::promise<void> Ended;
-    Strand_.post([&Last, &Ended] {
-      Last->end();
+    Strand_.post([&LastInstance, &Ended] {
+      LastInstance->end();
       Ended.set_value();
     });
     Ended.get_future().wait();
@@ -258,26 +261,26 @@
   Links_.stop();
 }
 
-std::string ControlNode::Impl::makeView() const {
+std::string ControlNode::Impl::makeGroupView() const {
   jobs::GroupView View;
-  if (const std::shared_ptr<ControlLife> Current = getLife()) {
-    const replication::ReplicaStatus Status = Current->Group_->getStatus();
+  if (const std::shared_ptr<ReplicaInstance> Instance = getInstance()) {
+    const replication::ReplicaStatus Status = Instance->Replica_->getStatus();
     View.Leader_ = Status.LeaderName_;
-    for (const replication::Member &Each : Status.Members_)
-      View.Members_.push_back(Each.Id_.Name_);
+    for (const replication::Member &Member : Status.Members_)
+      View.Members_.push_back(Member.Id_.Name_);
   }
   return jobs::encodeGroupView(View);
 }
 
-void ControlNode::Impl::handle(wire::MessageKind Kind, std::string Body,
-                               net::LinkReply Reply) {
+void ControlNode::Impl::handleMessage(wire::MessageKind Kind, std::string Body,
+                                      net::LinkReply Reply) {
   if (Kind == wire::MessageKind::Replication) {
-    if (const std::shared_ptr<ControlLife> Current = getLife())
-      Current->Group_->receive(std::move(Body));
+    if (const std::shared_ptr<ReplicaInstance> Instance = getInstance())
+      Instance->Replica_->receive(std::move(Body));
     return;
   }
   if (Kind == wire::MessageKind::GroupView)
-    return Reply(makeView());
+    return Reply(makeGroupView());
   if (Kind == wire::MessageKind::ServerReports) {
     Outcome<jobs::ReportBatch> Batch = jobs::decodeReports(Body);
     if (!Batch)
@@ -285,7 +288,7 @@
     return Strand_.post([Self = shared_from_this(), Reply,
                          ReceivedAt = Time_.now(),
                          Batch = std::move(Batch.value())]() mutable {
-      Self->Router_.take(std::move(Batch), ReceivedAt, Reply);
+      Self->Router_.receiveBatch(std::move(Batch), ReceivedAt, Reply);
     });
   }
   if (Kind == wire::MessageKind::FlushRequest) {
@@ -303,7 +306,7 @@
   Outcome<jobs::JobCall> Call = jobs::decodeCall(Body);
   if (!Call)
     return Reply(std::move(Call).as_failure());
-  run<jobs::JobCallReply>(
+  runOnLeader<jobs::JobCallReply>(
       [Reply](const Outcome<jobs::JobCallReply> &Answer) {
         // Unavailable would say that the frame never left.
         if (!Answer && Answer.error().Code_ == ErrorCode::Unavailable)
@@ -330,22 +333,23 @@
 Outcome<void> ControlNode::start() { return Impl_->start(); }
 void ControlNode::stop() { Impl_->stop(); }
 
-void ControlNode::handOver(std::function<void()> Moved) {
-  const std::shared_ptr<ControlLife> Current = Impl_->getLife();
-  if (!Current)
-    return Moved();
-  const replication::ReplicaStatus Status = Current->Group_->getStatus();
+void ControlNode::transferLeadership(std::function<void()> OnDone) {
+  const std::shared_ptr<ReplicaInstance> Instance = Impl_->getInstance();
+  if (!Instance)
+    return OnDone();
+  const replication::ReplicaStatus Status = Instance->Replica_->getStatus();
   if (!Status.IsLeader_ || Status.Members_.size() < 2)
-    return Moved();
-  Current->Group_->transferLeadership(
-      [Moved = std::move(Moved)](const Outcome<void> &) { Moved(); });
+    return OnDone();
+  Instance->Replica_->transferLeadership(
+      [OnDone = std::move(OnDone)](const Outcome<void> &) { OnDone(); });
 }
 
 void ControlNode::call(jobs::JobCall Call, Done<jobs::JobCallReply> Reply) {
-  Impl_->run<jobs::JobCallReply>(
-      std::move(Reply), [Call = std::move(Call)](jobs::JobLeader &Leader,
-                                                 Done<jobs::JobCallReply> To) {
-        Leader.call(Call, std::move(To));
+  Impl_->runOnLeader<jobs::JobCallReply>(
+      std::move(Reply),
+      [Call = std::move(Call)](jobs::JobLeader &Leader,
+                               Done<jobs::JobCallReply> Callback) {
+        Leader.call(Call, std::move(Callback));
       });
 }
 
@@ -358,77 +362,80 @@
 }
 
 void ControlNode::leave(const std::string &ServerId, Done<void> Reply) {
-  Impl_->run<void>(std::move(Reply),
-                   [ServerId](jobs::JobLeader &Leader, Done<void> To) {
-                     Leader.leave(ServerId, std::move(To));
-                   });
+  Impl_->runOnLeader<void>(std::move(Reply), [ServerId](jobs::JobLeader &Leader,
+                                                        Done<void> Callback) {
+    Leader.leave(ServerId, std::move(Callback));
+  });
 }
 
-void ControlNode::putConfiguration(jobs::Configuration Value,
+void ControlNode::putConfiguration(jobs::Configuration NewConfiguration,
                                    Done<void> Reply) {
-  Impl_->run<void>(std::move(Reply),
-                   [Value = std::move(Value)](jobs::JobLeader &Leader,
-                                              Done<void> To) mutable {
-                     Leader.putConfiguration(std::move(Value), std::move(To));
-                   });
+  Impl_->runOnLeader<void>(std::move(Reply), [NewConfiguration =
+                                                  std::move(NewConfiguration)](
+                                                 jobs::JobLeader &Leader,
+                                                 Done<void> Callback) mutable {
+    Leader.putConfiguration(std::move(NewConfiguration), std::move(Callback));
+  });
 }
 
 void ControlNode::readConfiguration(Done<jobs::Configuration> Reply) {
-  Impl_->run<jobs::Configuration>(
+  Impl_->runOnLeader<jobs::Configuration>(
       std::move(Reply),
-      [](jobs::JobLeader &Leader, Done<jobs::Configuration> To) {
-        Leader.readConfiguration(std::move(To));
+      [](jobs::JobLeader &Leader, Done<jobs::Configuration> Callback) {
+        Leader.readConfiguration(std::move(Callback));
       });
 }
 
 void ControlNode::startWave(jobs::WaveSpec Spec, Done<void> Reply) {
-  Impl_->run<void>(
+  Impl_->runOnLeader<void>(
       std::move(Reply),
-      [Spec = std::move(Spec)](jobs::JobLeader &Leader, Done<void> To) {
-        Leader.startWave(Spec, std::move(To));
+      [Spec = std::move(Spec)](jobs::JobLeader &Leader, Done<void> Callback) {
+        Leader.startWave(Spec, std::move(Callback));
       });
 }
 
 void ControlNode::evacuate(jobs::EvacuateDataCentre Order, Done<void> Reply) {
-  Impl_->run<void>(
+  Impl_->runOnLeader<void>(
       std::move(Reply),
-      [Order = std::move(Order)](jobs::JobLeader &Leader, Done<void> To) {
-        Leader.evacuate(Order, std::move(To));
+      [Order = std::move(Order)](jobs::JobLeader &Leader, Done<void> Callback) {
+        Leader.evacuate(Order, std::move(Callback));
       });
 }
 
 void ControlNode::showWave(std::uint64_t Wave, Done<jobs::WaveRecord> Reply) {
-  Impl_->run<jobs::WaveRecord>(
+  Impl_->runOnLeader<jobs::WaveRecord>(
       std::move(Reply),
-      [Wave](jobs::JobLeader &Leader, Done<jobs::WaveRecord> To) {
-        Leader.showWave(Wave, std::move(To));
+      [Wave](jobs::JobLeader &Leader, Done<jobs::WaveRecord> Callback) {
+        Leader.showWave(Wave, std::move(Callback));
       });
 }
 
 void ControlNode::findFencingToken(Done<std::uint64_t> Reply) {
-  Impl_->run<std::uint64_t>(std::move(Reply), [this](jobs::JobLeader &Leader,
-                                                     Done<std::uint64_t> To) {
-    if (const auto Token = Leader.findFencingToken())
-      return To(*Token);
-    To(Error::make(ErrorCode::NotLeader, getLeader()));
-  });
+  Impl_->runOnLeader<std::uint64_t>(
+      std::move(Reply),
+      [this](jobs::JobLeader &Leader, Done<std::uint64_t> Callback) {
+        if (const auto Token = Leader.findFencingToken())
+          return Callback(*Token);
+        Callback(Error::make(ErrorCode::NotLeader, getLeader()));
+      });
 }
 
 std::string ControlNode::getLeader() const {
-  const std::shared_ptr<ControlLife> Current = Impl_->getLife();
-  return Current ? Current->Group_->getStatus().LeaderName_ : "";
+  const std::shared_ptr<ReplicaInstance> Instance = Impl_->getInstance();
+  return Instance ? Instance->Replica_->getStatus().LeaderName_ : "";
 }
 
 replication::ReplicaStatus ControlNode::getStatus() const {
-  const std::shared_ptr<ControlLife> Current = Impl_->getLife();
-  return Current ? Current->Group_->getStatus() : replication::ReplicaStatus{};
+  const std::shared_ptr<ReplicaInstance> Instance = Impl_->getInstance();
+  return Instance ? Instance->Replica_->getStatus()
+                  : replication::ReplicaStatus{};
 }
 
 /// The tasks under which servers crashed, and the jobs given up for that.
 static void addCrashes(const jobs::JobBook &Book, nlohmann::json &Dump) {
   nlohmann::json Suspects = nlohmann::json::array();
   for (const auto &[Key, Servers] : Book.crashSuspects()) {
-    if (Suspects.size() >= MostDumped)
+    if (Suspects.size() >= MaxDumpedEntries)
       break;
     const jobs::CrashRecords &Crashes = Book.findTask(Key)->Crashes_;
     Suspects.push_back({{"job", Key.Job_},
@@ -439,7 +446,7 @@
   nlohmann::json GivenUp = nlohmann::json::array();
   for (const auto &[Id, Job] : Book.jobs())
     if (Job.Cause_ == jobs::FailureCause::Crashes &&
-        GivenUp.size() < MostDumped)
+        GivenUp.size() < MaxDumpedEntries)
       GivenUp.push_back({{"job", Id}, {"reason", Job.Reason_}});
   Dump["crashSuspects"] = Book.crashSuspects().size();
   Dump["suspected"] = std::move(Suspects);
@@ -447,10 +454,10 @@
 }
 
 std::string ControlNode::makeDump() const {
-  const std::shared_ptr<ControlLife> Current = Impl_->getLife();
-  if (!Current)
+  const std::shared_ptr<ReplicaInstance> Instance = Impl_->getInstance();
+  if (!Instance)
     return nlohmann::json{{"failure", "the disk fails"}}.dump();
-  const replication::ReplicaStatus Status = Current->Group_->getStatus();
+  const replication::ReplicaStatus Status = Instance->Replica_->getStatus();
   nlohmann::json Dump = {{"name", Status.Self_.Name_},
                          {"incarnation", Status.Self_.Incarnation_},
                          {"leads", Status.IsLeader_},
@@ -461,11 +468,11 @@
                          {"logBytes", Status.LogBytes_},
                          {"syncs", Status.Syncs_},
                          {"failure", Status.Failure_}};
-  for (const replication::Member &Each : Status.Members_)
+  for (const replication::Member &Member : Status.Members_)
     Dump["members"].push_back(
-        {{"name", Each.Id_.Name_},
-         {"votes", Each.Role_ == replication::MemberRole::Voter}});
-  Current->Machine_.read([&Dump](const jobs::JobBook &Book) {
+        {{"name", Member.Id_.Name_},
+         {"votes", Member.Role_ == replication::MemberRole::Voter}});
+  Instance->Machine_.read([&Dump](const jobs::JobBook &Book) {
     Dump["configuration"] = Book.configuration().Version_;
     Dump["jobs"] = Book.jobs().size();
     Dump["servers"] = Book.servers().size();
--- a/src/jobservice/EntryNode.cpp
+++ b/src/jobservice/EntryNode.cpp
@@ -16,9 +16,9 @@
 /// more than an election, so that a leader that froze is not waited for.
 static constexpr Duration AttemptTimeout = 800ms;
 /// Between attempts while nobody is known to lead.
-static constexpr Duration AttemptPause = 40ms;
+static constexpr Duration RetryDelay = 40ms;
 /// A leader that confirmed itself less long ago counts as there.
-static constexpr Duration LeaderFreshness = 1500ms;
+static constexpr Duration MaxLeaderAge = 1500ms;
 
 class EntryNode::Impl : public std::enable_shared_from_this<EntryNode::Impl> {
 public:
@@ -28,35 +28,35 @@
         Links_(Pool.context(), "", Settings.LinkPort_,
                makeMemberLinkSettings(Settings.Secret_)),
         Strand_(Pool), Seeds_(Settings.Seeds_.begin(), Settings.Seeds_.end()),
-        Known_(Seeds_) {}
+        KnownMembers_(Seeds_) {}
 
-  void ask();
+  void pollLeader();
   void stop() { Links_.stop(); }
   void setSeeds(const std::vector<std::string> &Seeds);
   void call(const jobs::JobCall &Call, TimePoint Deadline, Done Reply);
-  std::string findUnready() const;
+  std::string getUnreadyReason() const;
   std::string makeDump() const;
 
   net::StrandExecutor &strand() { return Strand_; }
 
 private:
   /// A call on its way to an answer.
-  struct Pending {
+  struct PendingCall {
     std::string Body_;
-    TimePoint GiveUpAt_;
+    TimePoint Deadline_;
     Done Reply_;
-    bool IsUnknown_ = false; ///< Some attempt may have taken effect.
+    bool MayHaveRun_ = false; ///< Some attempt may have taken effect.
   };
-  using PendingPtr = std::shared_ptr<Pending>;
+  using PendingCallPtr = std::shared_ptr<PendingCall>;
 
-  void askOne(const std::string &Name);
-  void noteView(const std::string &From, const jobs::GroupView &View);
-  void noteSilence(const std::string &From);
-  void attempt(const PendingPtr &Current);
-  void onAnswer(const PendingPtr &Current, const std::string &From,
+  void queryMember(const std::string &Name);
+  void handleGroupView(const std::string &From, const jobs::GroupView &View);
+  void handleNoAnswer(const std::string &From);
+  void sendAttempt(const PendingCallPtr &Pending);
+  void onAnswer(const PendingCallPtr &Pending, const std::string &From,
                 const Outcome<std::string> &Answer);
-  void retryAfter(const PendingPtr &Current, Duration Pause);
-  std::string pickTarget();
+  void retryAfter(const PendingCallPtr &Pending, Duration Delay);
+  std::string chooseTarget();
 
   const EntryNodeSettings Settings_;
   const Clock &Time_;
@@ -66,47 +66,47 @@
 
   // On the strand only.
   std::set<std::string> Seeds_;
-  std::set<std::string> Known_;
+  std::set<std::string> KnownMembers_;
   std::size_t NextTarget_ = 0;
   bool HadLeader_ = false;
 
   mutable std::mutex Lock_; ///< Guards what queries read.
   std::string Leader_;
-  TimePoint LeaderSeen_ = TimePoint::min();
+  TimePoint LeaderConfirmedAt_ = TimePoint::min();
 };
 
 void EntryNode::Impl::setSeeds(const std::vector<std::string> &Seeds) {
   Seeds_ = {Seeds.begin(), Seeds.end()};
-  Known_.insert(Seeds_.begin(), Seeds_.end());
+  KnownMembers_.insert(Seeds_.begin(), Seeds_.end());
 }
 
-void EntryNode::Impl::ask() {
+void EntryNode::Impl::pollLeader() {
   std::string Leader;
   {
     const std::lock_guard Hold(Lock_);
     Leader = Leader_;
   }
-  const bool IsFresh = findUnready().empty();
+  const bool IsFresh = getUnreadyReason().empty();
   if (HadLeader_ != IsFresh) {
     HadLeader_ = IsFresh;
     Event Line;
     Line.Kind_ =
         IsFresh ? EventKind::DependencyRegained : EventKind::DependencyLost;
-    Line.Reason_ = IsFresh ? "leader " + Leader : findUnready();
+    Line.Reason_ = IsFresh ? "leader " + Leader : getUnreadyReason();
     Log_.write(Line);
   }
   if (IsFresh)
-    askOne(Leader);
+    queryMember(Leader);
   else
-    for (const std::string &Name : std::set<std::string>(Known_))
-      askOne(Name);
-  Strand_.postAfter(Settings_.AskInterval_, [Weak = weak_from_this()] {
+    for (const std::string &Name : std::set<std::string>(KnownMembers_))
+      queryMember(Name);
+  Strand_.postAfter(Settings_.LeaderPollInterval_, [Weak = weak_from_this()] {
     if (const std::shared_ptr<Impl> Self = Weak.lock())
-      Self->ask();
+      Self->pollLeader();
   });
 }
 
-void EntryNode::Impl::askOne(const std::string &Name) {
+void EntryNode::Impl::queryMember(const std::string &Name) {
   Links_.call(
       Name, wire::MessageKind::GroupView, "", AttemptTimeout,
       [Weak = weak_from_this(), Name](const Outcome<std::string> &Answer) {
@@ -118,128 +118,131 @@
           if (!Owner)
             return;
           if (!Answer)
-            return Owner->noteSilence(Name);
+            return Owner->handleNoAnswer(Name);
           const auto View = jobs::decodeGroupView(Answer.value());
           if (View)
-            Owner->noteView(Name, View.value());
+            Owner->handleGroupView(Name, View.value());
         });
       });
 }
 
-void EntryNode::Impl::noteSilence(const std::string &From) {
+void EntryNode::Impl::handleNoAnswer(const std::string &From) {
   const std::lock_guard Hold(Lock_);
   if (Leader_ == From)
     Leader_.clear();
 }
 
-void EntryNode::Impl::noteView(const std::string &From,
-                               const jobs::GroupView &View) {
+void EntryNode::Impl::handleGroupView(const std::string &From,
+                                      const jobs::GroupView &View) {
   if (!View.Members_.empty()) {
-    Known_ = Seeds_;
-    Known_.insert(View.Members_.begin(), View.Members_.end());
+    KnownMembers_ = Seeds_;
+    KnownMembers_.insert(View.Members_.begin(), View.Members_.end());
   }
   const std::lock_guard Hold(Lock_);
   // Only a leader says for sure that it leads; others say whom to ask.
   if (View.Leader_ == From) {
     Leader_ = From;
-    LeaderSeen_ = Time_.now();
+    LeaderConfirmedAt_ = Time_.now();
     return;
   }
   if (Leader_ == From || Leader_.empty())
     Leader_ = View.Leader_;
 }
 
-std::string EntryNode::Impl::pickTarget() {
+std::string EntryNode::Impl::chooseTarget() {
   {
     const std::lock_guard Hold(Lock_);
     if (!Leader_.empty())
       return Leader_;
   }
-  if (Known_.empty())
+  if (KnownMembers_.empty())
     return "";
-  NextTarget_ = (NextTarget_ + 1) % Known_.size();
-  return *std::next(Known_.begin(), static_cast<std::ptrdiff_t>(NextTarget_));
+  NextTarget_ = (NextTarget_ + 1) % KnownMembers_.size();
+  return *std::next(KnownMembers_.begin(),
+                    static_cast<std::ptrdiff_t>(NextTarget_));
 }
 
 void EntryNode::Impl::call(const jobs::JobCall &Call, TimePoint Deadline,
                            Done Reply) {
-  const auto Current = std::make_shared<Pending>();
-  Current->Body_ = jobs::encodeCall(Call);
-  const Duration Patience = findUnready().empty()
-                                ? Settings_.Patience_
-                                : Settings_.ImpatienceWithoutLeader_;
-  Current->GiveUpAt_ = std::min(Deadline, Time_.now() + Patience);
-  Current->Reply_ = std::move(Reply);
-  attempt(Current);
+  const auto Pending = std::make_shared<PendingCall>();
+  Pending->Body_ = jobs::encodeCall(Call);
+  const Duration LeaderWait = getUnreadyReason().empty()
+                                  ? Settings_.LeaderWaitTimeout_
+                                  : Settings_.NoLeaderTimeout_;
+  Pending->Deadline_ = std::min(Deadline, Time_.now() + LeaderWait);
+  Pending->Reply_ = std::move(Reply);
+  sendAttempt(Pending);
 }
 
-void EntryNode::Impl::attempt(const PendingPtr &Current) {
-  const Duration Left = Current->GiveUpAt_ - Time_.now();
-  if (Left <= Duration(0))
-    return Current->Reply_({std::nullopt, Current->IsUnknown_
-                                              ? LostCall::Unknown
-                                              : LostCall::NotRun});
-  const std::string Target = pickTarget();
-  Links_.call(Target, wire::MessageKind::JobCall, Current->Body_,
-              std::min(Left, AttemptTimeout),
-              [Weak = weak_from_this(), Current,
+void EntryNode::Impl::sendAttempt(const PendingCallPtr &Pending) {
+  const Duration Remaining = Pending->Deadline_ - Time_.now();
+  if (Remaining <= Duration(0))
+    return Pending->Reply_({std::nullopt, Pending->MayHaveRun_
+                                              ? CallEffect::Unknown
+                                              : CallEffect::NotRun});
+  const std::string Target = chooseTarget();
+  Links_.call(Target, wire::MessageKind::JobCall, Pending->Body_,
+              std::min(Remaining, AttemptTimeout),
+              [Weak = weak_from_this(), Pending,
                Target](const Outcome<std::string> &Answer) {
                 const std::shared_ptr<Impl> Self = Weak.lock();
                 if (!Self)
                   return;
-                Self->Strand_.post([Weak, Current, Target, Answer] {
+                Self->Strand_.post([Weak, Pending, Target, Answer] {
                   if (const std::shared_ptr<Impl> Owner = Weak.lock())
-                    Owner->onAnswer(Current, Target, Answer);
+                    Owner->onAnswer(Pending, Target, Answer);
                 });
               });
 }
 
-void EntryNode::Impl::onAnswer(const PendingPtr &Current,
+void EntryNode::Impl::onAnswer(const PendingCallPtr &Pending,
                                const std::string &From,
                                const Outcome<std::string> &Answer) {
   if (Answer) {
     auto Reply = jobs::decodeCallReply(Answer.value());
     if (Reply)
-      return Current->Reply_({std::move(Reply.value()), LostCall::NotRun});
-    Current->IsUnknown_ = true;
-    return retryAfter(Current, AttemptPause);
+      return Pending->Reply_({std::move(Reply.value()), CallEffect::NotRun});
+    Pending->MayHaveRun_ = true;
+    return retryAfter(Pending, RetryDelay);
   }
-  const Error &Why = Answer.error();
-  if (Why.Code_ == ErrorCode::NotLeader) {
+  const Error &Failure = Answer.error();
+  if (Failure.Code_ == ErrorCode::NotLeader) {
     const std::lock_guard Hold(Lock_);
-    const bool IsNews = !Why.Message_.empty() && Why.Message_ != From;
+    const bool HasNewLeader =
+        !Failure.Message_.empty() && Failure.Message_ != From;
     if (Leader_ == From || Leader_.empty())
-      Leader_ = IsNews ? Why.Message_ : "";
-    return retryAfter(Current, IsNews ? Duration(0) : AttemptPause);
+      Leader_ = HasNewLeader ? Failure.Message_ : "";
+    return retryAfter(Pending, HasNewLeader ? Duration(0) : RetryDelay);
   }
   // Anything but a frame that never left may have taken effect.
-  if (Why.Code_ != ErrorCode::Unavailable)
-    Current->IsUnknown_ = true;
-  noteSilence(From);
-  retryAfter(Current, AttemptPause);
+  if (Failure.Code_ != ErrorCode::Unavailable)
+    Pending->MayHaveRun_ = true;
+  handleNoAnswer(From);
+  retryAfter(Pending, RetryDelay);
 }
 
-void EntryNode::Impl::retryAfter(const PendingPtr &Current, Duration Pause) {
-  const auto Again = [Weak = weak_from_this(), Current] {
+void EntryNode::Impl::retryAfter(const PendingCallPtr &Pending,
+                                 Duration Delay) {
+  const auto Retry = [Weak = weak_from_this(), Pending] {
     if (const std::shared_ptr<Impl> Self = Weak.lock())
-      Self->attempt(Current);
+      Self->sendAttempt(Pending);
   };
-  if (Pause <= Duration(0))
-    return Strand_.post(Again);
-  Strand_.postAfter(Pause, Again);
+  if (Delay <= Duration(0))
+    return Strand_.post(Retry);
+  Strand_.postAfter(Delay, Retry);
 }
 
-std::string EntryNode::Impl::findUnready() const {
+std::string EntryNode::Impl::getUnreadyReason() const {
   const std::lock_guard Hold(Lock_);
-  if (LeaderSeen_ == TimePoint::min())
+  if (LeaderConfirmedAt_ == TimePoint::min())
     return "no leader was found yet";
-  if (Time_.now() - LeaderSeen_ > LeaderFreshness)
+  if (Time_.now() - LeaderConfirmedAt_ > MaxLeaderAge)
     return "the leader has not answered lately";
   return "";
 }
 
 std::string EntryNode::Impl::makeDump() const {
-  const std::string Unready = findUnready();
+  const std::string Unready = getUnreadyReason();
   const std::lock_guard Hold(Lock_);
   return nlohmann::json{{"leader", Leader_}, {"unready", Unready}}.dump();
 }
@@ -250,7 +253,7 @@
 EntryNode::~EntryNode() { stop(); }
 
 void EntryNode::start() {
-  Impl_->strand().post([Impl = Impl_] { Impl->ask(); });
+  Impl_->strand().post([Impl = Impl_] { Impl->pollLeader(); });
 }
 void EntryNode::stop() { Impl_->stop(); }
 void EntryNode::setSeeds(const std::vector<std::string> &Seeds) {
@@ -262,5 +265,7 @@
     Impl->call(Call, Deadline, Reply);
   });
 }
-std::string EntryNode::findUnready() const { return Impl_->findUnready(); }
+std::string EntryNode::getUnreadyReason() const {
+  return Impl_->getUnreadyReason();
+}
 std::string EntryNode::makeDump() const { return Impl_->makeDump(); }
--- a/src/jobservice/JobMetrics.cpp
+++ b/src/jobservice/JobMetrics.cpp
@@ -72,20 +72,20 @@
          "From a heartbeat's arrival to its answer"},
     }};
 
-JobMetrics::JobMetrics(net::Metrics &To) {
+JobMetrics::JobMetrics(net::Metrics &Metrics) {
   for (std::size_t I = 0; I < Counters; ++I) {
-    const CounterText &Each = CounterTexts.at(I);
-    Counters_.at(I) = &To.addCounter(Each.Name_, Each.Help_, Each.Labels_);
+    const CounterText &Text = CounterTexts.at(I);
+    Counters_.at(I) = &Metrics.addCounter(Text.Name_, Text.Help_, Text.Labels_);
   }
   for (std::size_t I = 0; I < Histograms; ++I)
-    Histograms_.at(I) = &To.addHistogram(HistogramTexts.at(I).Name_,
-                                         HistogramTexts.at(I).Help_);
+    Histograms_.at(I) = &Metrics.addHistogram(HistogramTexts.at(I).Name_,
+                                              HistogramTexts.at(I).Help_);
 }
 
-void JobMetrics::add(jobs::Counted What, std::uint64_t By) {
-  Counters_.at(static_cast<std::size_t>(What))->add(By);
+void JobMetrics::add(jobs::Counted Counter, std::uint64_t Amount) {
+  Counters_.at(static_cast<std::size_t>(Counter))->add(Amount);
 }
 
-void JobMetrics::record(jobs::Timed What, Duration Took) {
-  Histograms_.at(static_cast<std::size_t>(What))->record(Took);
+void JobMetrics::record(jobs::Timed Timer, Duration Elapsed) {
+  Histograms_.at(static_cast<std::size_t>(Timer))->record(Elapsed);
 }
--- a/src/jobservice/JobMetrics.h
+++ b/src/jobservice/JobMetrics.h
@@ -1,4 +1,4 @@
-//===- JobMetrics.h - A leader's figures as metrics ------------*- C++ -*-===//
+//===- JobMetrics.h - Metrics of the job leader -----------------*- C++ -*-===//
 
 #ifndef TULIPWEIR_SRC_JOBSERVICE_JOBMETRICS_H
 #define TULIPWEIR_SRC_JOBSERVICE_JOBMETRICS_H
@@ -19,9 +19,9 @@
   static constexpr auto Histograms =
       static_cast<std::size_t>(jobs::Timed::Heartbeat) + 1;
 
-  explicit JobMetrics(net::Metrics &To);
-  void add(jobs::Counted What, std::uint64_t By) override;
-  void record(jobs::Timed What, Duration Took) override;
+  explicit JobMetrics(net::Metrics &Metrics);
+  void add(jobs::Counted Counter, std::uint64_t Amount) override;
+  void record(jobs::Timed Timer, Duration Elapsed) override;
 
 private:
   std::array<net::Counter *, Counters> Counters_;
--- a/src/jobservice/LeadershipTransferPolicy.h
+++ b/src/jobservice/LeadershipTransferPolicy.h
@@ -1,4 +1,4 @@
-//===- LeadershipTransferPolicy.h - A slow leader hands over ---*- C++ -*-===//
+//===- LeadershipTransferPolicy.h - Leaves slow leaders ---------*- C++ -*-===//
 //
 // A leader on a slow VM transfers leadership to a faster voter before servers
 // lose their leases. An overloaded leader keeps it, as no other member would do
@@ -40,13 +40,13 @@
   /// Returns the voter to transfer leadership to, or nullopt if this member is
   /// not the leader, was elected recently, or is not slow.
   std::optional<TransferTarget>
-  chooseTarget(const replication::ReplicaStatus &Own,
-               const ProcessorProbe &Speed) const;
+  chooseTarget(const replication::ReplicaStatus &Status,
+               const ProcessorProbe &Probe) const;
 
 private:
   struct ProbeResult {
     Duration WorkTime_{};
-    TimePoint At_;
+    TimePoint RecordedAt_;
   };
 
   const Clock &Time_;
--- a/src/jobservice/MemberLinks.cpp
+++ b/src/jobservice/MemberLinks.cpp
@@ -9,7 +9,7 @@
 /// milliseconds.
 static constexpr Duration StallTimeout = 1500ms;
 static constexpr Duration HandshakeTimeout = 1s;
-static constexpr Duration LongestReconnectPause = 300ms;
+static constexpr Duration MaxReconnectDelay = 300ms;
 /// Two to three of these, and an election after, stay within the three seconds
 /// in which a connection that went silent must be noticed; one is far above the
 /// 0.1 s for which a busy leader may keep others waiting.
@@ -21,7 +21,7 @@
   Settings.Secret_ = Secret;
   Settings.WriteStallTimeout_ = StallTimeout;
   Settings.HandshakeTimeout_ = HandshakeTimeout;
-  Settings.ReconnectLast_ = LongestReconnectPause;
+  Settings.ReconnectLast_ = MaxReconnectDelay;
   Settings.LifeCheckInterval_ = LifeCheckInterval;
   return Settings;
 }
@@ -34,13 +34,13 @@
 
 MemberLinks::~MemberLinks() { stop(); }
 
-net::LinkClient *MemberLinks::find(const std::string &Name) {
+net::LinkClient *MemberLinks::findOrCreate(const std::string &Name) {
   const std::lock_guard Hold(Lock_);
   if (Stopped_ || Name == Self_)
     return nullptr;
-  const auto Found = Links_.find(Name);
-  if (Found != Links_.end())
-    return Found->second.get();
+  const auto It = Links_.find(Name);
+  if (It != Links_.end())
+    return It->second.get();
   Outcome<net::Endpoint> Address = net::Endpoint::parse(Name);
   if (!Address)
     return nullptr;
@@ -52,14 +52,14 @@
 }
 
 void MemberLinks::send(const std::string &ToName, std::string Message) {
-  if (net::LinkClient *Link = find(ToName))
+  if (net::LinkClient *Link = findOrCreate(ToName))
     Link->post(wire::MessageKind::Replication, std::move(Message));
 }
 
 void MemberLinks::call(const std::string &ToName, wire::MessageKind Kind,
                        std::string Body, Duration Timeout,
                        net::LinkReply Reply) {
-  net::LinkClient *Link = find(ToName);
+  net::LinkClient *Link = findOrCreate(ToName);
   if (!Link)
     return Reply(fail(ErrorCode::Unavailable, "no link to " + ToName));
   Link->call(Kind, std::move(Body), Timeout, std::move(Reply));
@@ -67,8 +67,8 @@
 
 bool MemberLinks::isConnected(const std::string &Name) const {
   const std::lock_guard Hold(Lock_);
-  const auto Found = Links_.find(Name);
-  return Found != Links_.end() && Found->second->isConnected();
+  const auto It = Links_.find(Name);
+  return It != Links_.end() && It->second->isConnected();
 }
 
 void MemberLinks::stop() {
--- a/src/jobservice/ProcessorProbe.cpp
+++ b/src/jobservice/ProcessorProbe.cpp
@@ -15,7 +15,7 @@
 static constexpr std::uint64_t Increment = 1442695040888963407U;
 static constexpr unsigned MixShift = 29;
 
-static std::uint64_t work(std::uint64_t Value) {
+static std::uint64_t runWorkload(std::uint64_t Value) {
   for (std::uint64_t I = 0; I < WorkSteps; ++I) {
     Value = Value * Multiplier + Increment;
     Value ^= Value >> MixShift;
@@ -24,22 +24,23 @@
 }
 
 Duration jobservice::timeWork(const Clock &Time) {
-  const TimePoint Begin = Time.now();
-  [[maybe_unused]] const volatile std::uint64_t Kept =
-      work(static_cast<std::uint64_t>(Begin.time_since_epoch().count()));
-  return Time.now() - Begin;
+  const TimePoint StartedAt = Time.now();
+  [[maybe_unused]] const volatile std::uint64_t Result = runWorkload(
+      static_cast<std::uint64_t>(StartedAt.time_since_epoch().count()));
+  return Time.now() - StartedAt;
 }
 
-void ProcessorProbe::note(Duration Took) {
-  Last_.at(Count_ % Samples) = Took;
-  ++Count_;
+void ProcessorProbe::addSample(Duration WorkTime) {
+  Samples_.at(Recorded_ % SampleCount) = WorkTime;
+  ++Recorded_;
   const Duration Current = getWorkTime();
-  if (Current > Duration(0) && (Usual_ == Duration(0) || Current < Usual_))
-    Usual_ = Current;
+  if (Current > Duration(0) &&
+      (BaselineWorkTime_ == Duration(0) || Current < BaselineWorkTime_))
+    BaselineWorkTime_ = Current;
 }
 
 Duration ProcessorProbe::getWorkTime() const {
-  if (Count_ < Samples)
+  if (Recorded_ < SampleCount)
     return Duration(0);
-  return *std::min_element(Last_.begin(), Last_.end());
+  return *std::min_element(Samples_.begin(), Samples_.end());
 }
--- a/src/jobservice/ProcessorProbe.h
+++ b/src/jobservice/ProcessorProbe.h
@@ -1,4 +1,4 @@
-//===- ProcessorProbe.h - How fast this VM's processor is -------*- C++ -*-===//
+//===- ProcessorProbe.h - Measures processor speed --------------*- C++ -*-===//
 //
 // Times a small piece of work that is the same on every member. Under much load
 // it takes as long as ever; on a processor that runs slower it takes longer. So
@@ -25,7 +25,7 @@
 public:
   // Commands.
 
-  void note(Duration Took);
+  void addSample(Duration WorkTime);
 
   // Queries.
 
@@ -33,15 +33,15 @@
   Duration getWorkTime() const;
   /// The least work time so far: VMs of one kind differ by up to a factor of
   /// two, so that one is slow shows beside its own past.
-  Duration getUsualWorkTime() const { return Usual_; }
+  Duration getBaselineWorkTime() const { return BaselineWorkTime_; }
 
 private:
   /// At four a second, a slow second and a quarter shows.
-  static constexpr std::size_t Samples = 5;
+  static constexpr std::size_t SampleCount = 5;
 
-  std::array<Duration, Samples> Last_{};
-  std::size_t Count_ = 0; ///< Noted so far.
-  Duration Usual_{};
+  std::array<Duration, SampleCount> Samples_{};
+  std::size_t Recorded_ = 0; ///< Noted so far.
+  Duration BaselineWorkTime_{};
 };
 
 } // namespace tulipweir::jobservice
--- a/src/jobservice/RelayFlush.cpp
+++ b/src/jobservice/RelayFlush.cpp
@@ -9,98 +9,103 @@
 
 /// Longest time to wait for a member: one lease, after which nothing runs on a
 /// server that was not heard.
-static constexpr Duration LongestRound = 6s;
+static constexpr Duration RoundTimeout = 6s;
 
 /// A request without an answer is sent again after this time.
-static constexpr Duration AskAgainAfter = 1s;
+static constexpr Duration ResendInterval = 1s;
 
 RelayFlush::RelayFlush(std::string Self, const Clock &Time,
-                       GetStatus FindStatus, Ask Asking)
+                       GetStatus FindStatus, SendRequest Send)
     : Self_(std::move(Self)), Time_(Time), FindStatus_(std::move(FindStatus)),
-      Ask_(std::move(Asking)) {}
+      SendRequest_(std::move(Send)) {}
 
 void RelayFlush::flush(const std::string &ServerId,
                        std::function<void()> Done) {
-  begin({{ServerId},
-         false,
-         0,
-         {},
-         [Done = std::move(Done)](const Heard &) { Done(); },
-         Time_.now()});
+  startRound({{ServerId},
+              false,
+              0,
+              {},
+              [Done = std::move(Done)](const Heard &) { Done(); },
+              Time_.now()});
 }
 
 void RelayFlush::findHeard(const std::vector<std::string> &ServerIds,
                            std::function<void(Heard)> Done) {
-  begin({ServerIds, true, 0, {}, std::move(Done), Time_.now()});
+  startRound({ServerIds, true, 0, {}, std::move(Done), Time_.now()});
 }
 
-void RelayFlush::begin(Round Asked) {
-  const auto Fresh = std::make_shared<Round>(std::move(Asked));
+void RelayFlush::startRound(Round Initial) {
+  const auto NewRound = std::make_shared<Round>(std::move(Initial));
   std::vector<std::uint64_t> Ids;
-  for (const replication::Member &Each : FindStatus_().Members_) {
-    if (Each.Id_.Name_ == Self_)
+  for (const replication::Member &Member : FindStatus_().Members_) {
+    if (Member.Id_.Name_ == Self_)
       continue;
-    Open_.emplace(++LastId_, PendingRequest{Fresh, Each.Id_.Name_});
+    Requests_.emplace(++LastId_, PendingRequest{NewRound, Member.Id_.Name_});
     Ids.push_back(LastId_);
   }
-  Fresh->Open_ = Ids.size();
+  NewRound->Unanswered_ = Ids.size();
   if (Ids.empty())
-    return Fresh->Done_({});
+    return NewRound->Done_({});
   for (const std::uint64_t Id : Ids)
-    ask(Id);
+    sendRequest(Id);
 }
 
-void RelayFlush::ask(std::uint64_t Id) {
-  PendingRequest &Own = Open_.at(Id);
-  Own.HasFailed_ = false;
-  Own.AskedAt_ = Time_.now();
-  Ask_(Own.Member_, {Self_, Id, Own.Round_->Servers_, Own.Round_->OnlySilent_},
-       [Weak = std::weak_ptr(Alive_), Id] {
-         const std::shared_ptr<RelayFlush *> Self = Weak.lock();
-         if (!Self)
-           return;
-         const auto Found = (*Self)->Open_.find(Id);
-         if (Found != (*Self)->Open_.end())
-           Found->second.HasFailed_ = true;
-       });
+void RelayFlush::sendRequest(std::uint64_t Id) {
+  PendingRequest &Request = Requests_.at(Id);
+  Request.HasFailed_ = false;
+  Request.SentAt_ = Time_.now();
+  SendRequest_(
+      Request.Member_,
+      {Self_, Id, Request.Round_->Servers_, Request.Round_->OnlySilent_},
+      [Weak = std::weak_ptr(Alive_), Id] {
+        const std::shared_ptr<RelayFlush *> Self = Weak.lock();
+        if (!Self)
+          return;
+        const auto It = (*Self)->Requests_.find(Id);
+        if (It != (*Self)->Requests_.end())
+          It->second.HasFailed_ = true;
+      });
 }
 
 void RelayFlush::onBatch(std::uint64_t FlushId,
                          const std::vector<std::string> &Servers) {
-  if (Open_.count(FlushId) != 0)
-    settle(FlushId, Servers);
+  if (Requests_.count(FlushId) != 0)
+    completeRequest(FlushId, Servers);
 }
 
-void RelayFlush::settle(std::uint64_t Id,
-                        const std::vector<std::string> &Servers) {
-  const std::shared_ptr<Round> Own = Open_.extract(Id).mapped().Round_;
-  Own->Heard_.insert(Servers.begin(), Servers.end());
-  if (--Own->Open_ == 0)
-    Own->Done_(std::move(Own->Heard_));
+void RelayFlush::completeRequest(std::uint64_t Id,
+                                 const std::vector<std::string> &Servers) {
+  const std::shared_ptr<Round> CurrentRound =
+      Requests_.extract(Id).mapped().Round_;
+  CurrentRound->Heard_.insert(Servers.begin(), Servers.end());
+  if (--CurrentRound->Unanswered_ == 0)
+    CurrentRound->Done_(std::move(CurrentRound->Heard_));
 }
 
 void RelayFlush::retryExpired() {
-  if (Open_.empty())
+  if (Requests_.empty())
     return;
   const replication::ReplicaStatus Status = FindStatus_();
   const TimePoint Now = Time_.now();
-  std::vector<std::uint64_t> Over;
-  std::vector<std::uint64_t> Failed;
-  for (const auto &[Id, Each] : Open_) {
-    const bool IsMember = std::any_of(
-        Status.Members_.begin(), Status.Members_.end(),
-        [&Each = Each](const auto &M) { return M.Id_.Name_ == Each.Member_; });
+  std::vector<std::uint64_t> Expired;
+  std::vector<std::uint64_t> Resends;
+  for (const auto &[Id, Request] : Requests_) {
+    const bool IsMember =
+        std::any_of(Status.Members_.begin(), Status.Members_.end(),
+                    [&Request = Request](const auto &Member) {
+                      return Member.Id_.Name_ == Request.Member_;
+                    });
     const bool IsGone =
         !IsMember || std::find(Status.Gone_.begin(), Status.Gone_.end(),
-                               Each.Member_) != Status.Gone_.end();
+                               Request.Member_) != Status.Gone_.end();
     if (!Status.IsLeader_ || IsGone ||
-        Now - Each.Round_->Begin_ >= LongestRound)
-      Over.push_back(Id);
-    else if (Each.HasFailed_ || Now - Each.AskedAt_ >= AskAgainAfter)
-      Failed.push_back(Id);
+        Now - Request.Round_->StartedAt_ >= RoundTimeout)
+      Expired.push_back(Id);
+    else if (Request.HasFailed_ || Now - Request.SentAt_ >= ResendInterval)
+      Resends.push_back(Id);
   }
-  for (const std::uint64_t Id : Failed)
-    ask(Id);
-  for (const std::uint64_t Id : Over)
+  for (const std::uint64_t Id : Resends)
+    sendRequest(Id);
+  for (const std::uint64_t Id : Expired)
     onBatch(Id, {});
 }
--- a/src/jobservice/RelayFlush.h
+++ b/src/jobservice/RelayFlush.h
@@ -1,4 +1,4 @@
-//===- RelayFlush.h - Asks relays for buffered reports ---------*- C++ -*-===//
+//===- RelayFlush.h - Requests buffered reports from relays -----*- C++ -*-===//
 //
 // The leader sends a flush request to every other member. A relay answers with
 // a batch of reports on the link that carries all its batches, so its earlier
@@ -26,14 +26,15 @@
 public:
   /// Sends a request to a member; Failed is called on the executor if it may
   /// not have arrived.
-  using Ask = std::function<void(const std::string &Member, jobs::FlushRequest,
-                                 std::function<void()> Failed)>;
+  using SendRequest =
+      std::function<void(const std::string &Member, jobs::FlushRequest,
+                         std::function<void()> Failed)>;
   /// The state of this member's replica.
   using GetStatus = std::function<replication::ReplicaStatus()>;
 
   /// Self is this member's name. Time must outlive it.
   RelayFlush(std::string Self, const Clock &Time, GetStatus FindStatus,
-             Ask Asking);
+             SendRequest Send);
 
   // Commands.
 
@@ -50,29 +51,30 @@
   struct Round {
     std::vector<std::string> Servers_;
     bool OnlySilent_ = false;
-    std::size_t Open_ = 0; ///< Members that have not answered.
+    std::size_t Unanswered_ = 0; ///< Members that have not answered.
     Heard Heard_;
     std::function<void(Heard)> Done_;
-    TimePoint Begin_;
+    TimePoint StartedAt_;
   };
   /// A request to one member.
   struct PendingRequest {
     std::shared_ptr<Round> Round_;
     std::string Member_;
     bool HasFailed_ = false;
-    TimePoint AskedAt_{};
+    TimePoint SentAt_{};
   };
 
-  void begin(Round Fresh);
-  void ask(std::uint64_t Id);
-  void settle(std::uint64_t Id, const std::vector<std::string> &Servers);
+  void startRound(Round Initial);
+  void sendRequest(std::uint64_t Id);
+  void completeRequest(std::uint64_t Id,
+                       const std::vector<std::string> &Servers);
 
   const std::string Self_;
   const Clock &Time_;
   const GetStatus FindStatus_;
-  const Ask Ask_;
+  const SendRequest SendRequest_;
   std::uint64_t LastId_ = 0;
-  std::map<std::uint64_t, PendingRequest> Open_;
+  std::map<std::uint64_t, PendingRequest> Requests_;
   /// Invalidates callbacks that run after destruction.
   std::shared_ptr<RelayFlush *> Alive_ = std::make_shared<RelayFlush *>(this);
 };
--- a/src/jobservice/RelayWindow.cpp
+++ b/src/jobservice/RelayWindow.cpp
@@ -9,48 +9,48 @@
 /// The window grows while answers are quick or batches do not wait for the
 /// leader, and shrinks when they do. Commit time does not count, as fewer
 /// reports would not shorten it.
-static constexpr std::size_t LeastWindow = 4;
-/// The window changes by an eighth, and grows by at most WindowStep.
-static constexpr std::size_t WindowParts = 8;
-static constexpr std::size_t WindowStep = 16;
-static constexpr Duration QuickAnswer = 150ms;
-static constexpr Duration QuickTurn = 30ms;
+static constexpr std::size_t MinWindow = 4;
+/// The window changes by an eighth, and grows by at most MaxWindowStep.
+static constexpr std::size_t WindowDivisor = 8;
+static constexpr std::size_t MaxWindowStep = 16;
+static constexpr Duration FastAnswer = 150ms;
+static constexpr Duration ShortWait = 30ms;
 static constexpr Duration SlowAnswer = 300ms;
-static constexpr Duration SlowTurn = 100ms;
+static constexpr Duration LongWait = 100ms;
 /// The window is halved above this.
-static constexpr Duration HopelessAnswer = 600ms;
+static constexpr Duration VerySlowAnswer = 600ms;
 /// Urgent reports sent beyond the window.
-static constexpr std::size_t UrgentRoom = 8;
+static constexpr std::size_t UrgentAllowance = 8;
 
-std::size_t RelayWindow::getRoomBelow(std::size_t Most) const {
-  return Most > InFlight_ ? Most - InFlight_ : 0;
+std::size_t RelayWindow::getAvailableBelow(std::size_t Maximum) const {
+  return Maximum > InFlight_ ? Maximum - InFlight_ : 0;
 }
 
-std::size_t RelayWindow::getRoom() const {
-  return getRoomBelow(std::min(Window_, Limit_));
+std::size_t RelayWindow::getAvailable() const {
+  return getAvailableBelow(std::min(Window_, Limit_));
 }
 
-std::size_t RelayWindow::getUrgentRoom() const {
-  return getRoomBelow(std::min(Window_ + UrgentRoom, Limit_));
+std::size_t RelayWindow::getAvailableForUrgent() const {
+  return getAvailableBelow(std::min(Window_ + UrgentAllowance, Limit_));
 }
 
 std::size_t RelayWindow::getBatchLimit() const {
   return std::min(Window_, Limit_);
 }
 
-void RelayWindow::noteAnswered(std::size_t Reports, Duration Took,
-                               Duration Handled) {
+void RelayWindow::recordAnswered(std::size_t Reports, Duration Latency,
+                                 Duration Handled) {
   InFlight_ -= Reports;
-  raiseLimit(Reports, Took <= QuickAnswer);
-  adapt(Took, Took - Handled);
+  raiseLimit(Reports, Latency <= FastAnswer);
+  adapt(Latency, Latency - Handled);
 }
 
 /// Halves the limit once for all batches that were on the way together, as the
 /// later ones say nothing of the limit since.
-void RelayWindow::noteLost(std::size_t Reports, TimePoint SentAt,
-                           TimePoint Now) {
-  if (SentAt >= LimitCutAt_) {
-    LimitCutAt_ = Now;
+void RelayWindow::recordLost(std::size_t Reports, TimePoint SentAt,
+                             TimePoint Now) {
+  if (SentAt >= LimitReducedAt_) {
+    LimitReducedAt_ = Now;
     Limit_ = std::max<std::size_t>(InFlight_ / 2, 1);
   }
   InFlight_ -= Reports;
@@ -59,25 +59,25 @@
 
 /// Additive increase and multiplicative decrease, so that relays converge to
 /// fair shares of the leader.
-void RelayWindow::adapt(Duration Took, Duration Waited) {
-  if (Took >= HopelessAnswer && Waited >= SlowTurn)
-    Window_ = std::max(Window_ / 2, LeastWindow);
-  else if (Took >= SlowAnswer && Waited >= SlowTurn)
-    Window_ = std::max(Window_ - Window_ / WindowParts, LeastWindow);
-  else if (Took <= QuickAnswer || Waited <= QuickTurn)
-    Window_ = std::min(
-        Window_ + std::clamp<std::size_t>(Window_ / WindowParts, 1, WindowStep),
-        MostWindow);
+void RelayWindow::adapt(Duration Latency, Duration Waited) {
+  if (Latency >= VerySlowAnswer && Waited >= LongWait)
+    Window_ = std::max(Window_ / 2, MinWindow);
+  else if (Latency >= SlowAnswer && Waited >= LongWait)
+    Window_ = std::max(Window_ - Window_ / WindowDivisor, MinWindow);
+  else if (Latency <= FastAnswer || Waited <= ShortWait)
+    Window_ = std::min(Window_ + std::clamp<std::size_t>(
+                                     Window_ / WindowDivisor, 1, MaxWindowStep),
+                       MaxWindow);
 }
 
 /// Raises the limit by one for each limit's worth of answers, and faster while
 /// they are quick.
-void RelayWindow::raiseLimit(std::size_t Answered, bool IsQuick) {
+void RelayWindow::raiseLimit(std::size_t Answered, bool IsFast) {
   LimitCredit_ += Answered;
-  if (!IsQuick && LimitCredit_ < Limit_)
+  if (!IsFast && LimitCredit_ < Limit_)
     return;
   LimitCredit_ = 0;
   const std::size_t Step =
-      IsQuick ? std::max<std::size_t>(Limit_ / WindowParts, 1) : 1;
-  Limit_ = std::min(Limit_ + Step, MostWindow);
+      IsFast ? std::max<std::size_t>(Limit_ / WindowDivisor, 1) : 1;
+  Limit_ = std::min(Limit_ + Step, MaxWindow);
 }
--- a/src/jobservice/RelayWindow.h
+++ b/src/jobservice/RelayWindow.h
@@ -1,4 +1,4 @@
-//===- RelayWindow.h - How many reports a relay has in flight --*- C++ -*-===//
+//===- RelayWindow.h - Bounds the reports in flight of a relay --*- C++ -*-===//
 //
 // Bounds the reports that a relay has on their way to the leader. A window
 // follows the time that answers take, with a floor that keeps the leader busy
@@ -22,35 +22,35 @@
 public:
   // Commands.
 
-  void noteSent(std::size_t Reports) { InFlight_ += Reports; }
+  void recordSent(std::size_t Reports) { InFlight_ += Reports; }
   /// A batch was answered that took so long; the leader had it in hand for
   /// Handled of that.
-  void noteAnswered(std::size_t Reports, Duration Took, Duration Handled);
+  void recordAnswered(std::size_t Reports, Duration Latency, Duration Handled);
   /// A batch sent at SentAt was rejected as expired, or not answered at all.
-  void noteLost(std::size_t Reports, TimePoint SentAt, TimePoint Now);
+  void recordLost(std::size_t Reports, TimePoint SentAt, TimePoint Now);
 
   // Queries.
 
   /// Returns how many more reports may be sent.
-  std::size_t getRoom() const;
+  std::size_t getAvailable() const;
   /// Returns how many more may be sent if they are urgent. Relays have similar
   /// windows but different numbers of servers.
-  std::size_t getUrgentRoom() const;
+  std::size_t getAvailableForUrgent() const;
   /// Returns the most that a single batch should make the leader do.
   std::size_t getBatchLimit() const;
 
 private:
-  std::size_t getRoomBelow(std::size_t Most) const;
-  void adapt(Duration Took, Duration Waited);
-  void raiseLimit(std::size_t Answered, bool IsQuick);
+  std::size_t getAvailableBelow(std::size_t Maximum) const;
+  void adapt(Duration Latency, Duration Waited);
+  void raiseLimit(std::size_t Answered, bool IsFast);
 
-  static constexpr std::size_t FirstWindow = 8;
-  static constexpr std::size_t MostWindow = 2048;
+  static constexpr std::size_t InitialWindow = 8;
+  static constexpr std::size_t MaxWindow = 2048;
 
   std::size_t InFlight_ = 0; ///< Reports that have no answer yet.
-  std::size_t Window_ = FirstWindow;
-  std::size_t Limit_ = MostWindow;
-  TimePoint LimitCutAt_{};
+  std::size_t Window_ = InitialWindow;
+  std::size_t Limit_ = MaxWindow;
+  TimePoint LimitReducedAt_{};
   std::size_t LimitCredit_ = 0; ///< Reports answered since it was changed.
 };
 
--- a/src/jobservice/ControlLife.h
+++ b/src/jobservice/ReplicaInstance.h
@@ -1,7 +1,7 @@
-//===- ControlLife.h - One opening of a control's replica ------*- C++ -*-===//
+//===- ReplicaInstance.h - An open replica and its leader -------*- C++ -*-===//
 
-#ifndef TULIPWEIR_SRC_JOBSERVICE_CONTROLLIFE_H
-#define TULIPWEIR_SRC_JOBSERVICE_CONTROLLIFE_H
+#ifndef TULIPWEIR_SRC_JOBSERVICE_REPLICAINSTANCE_H
+#define TULIPWEIR_SRC_JOBSERVICE_REPLICAINSTANCE_H
 
 #include "tulipweir/jobs/JobLeader.h"
 #include "tulipweir/jobs/JobMachine.h"
@@ -13,9 +13,9 @@
 
 /// One opening of the replica with what rests on it. Taken apart as a whole
 /// when its disk fails.
-struct ControlLife {
+struct ReplicaInstance {
   jobs::JobMachine Machine_;
-  std::unique_ptr<replication::Replica> Group_;
+  std::unique_ptr<replication::Replica> Replica_;
   std::unique_ptr<jobs::JobLeader> Leader_; ///< On the strand only.
 
   /// On the strand: the leader's side uses the replica there and nowhere else,
@@ -23,10 +23,10 @@
   /// still holds this life for a query keeps a replica that has stopped.
   void end() {
     Leader_.reset();
-    Group_->stop();
+    Replica_->stop();
   }
 };
 
 } // namespace tulipweir::jobservice
 
-#endif // TULIPWEIR_SRC_JOBSERVICE_CONTROLLIFE_H
+#endif // TULIPWEIR_SRC_JOBSERVICE_REPLICAINSTANCE_H
--- a/src/jobservice/ReportInbox.cpp
+++ b/src/jobservice/ReportInbox.cpp
@@ -7,17 +7,17 @@
 
 /// The part of the sender's timeout that a batch may wait here; the rest is for
 /// handling, commits and the network.
-static constexpr std::uint64_t WaitParts = 2;
+static constexpr std::uint64_t WaitDivisor = 2;
 
 ReportInbox::ReportInbox(const Clock &Time, jobs::JobMeter &Meter,
-                         Handle Handling)
-    : Time_(Time), Meter_(Meter), Handle_(std::move(Handling)) {}
+                         HandleBatch Handle)
+    : Time_(Time), Meter_(Meter), Handle_(std::move(Handle)) {}
 
 static bool isExpired(const jobs::ReportBatch &Batch, std::uint64_t WaitedMs) {
-  return Batch.TimeoutMs_ != 0 && WaitedMs > Batch.TimeoutMs_ / WaitParts;
+  return Batch.TimeoutMs_ != 0 && WaitedMs > Batch.TimeoutMs_ / WaitDivisor;
 }
 
-static jobs::ReportBatchReply makeExpired(const jobs::ReportBatch &Batch) {
+static jobs::ReportBatchReply makeExpiredReply(const jobs::ReportBatch &Batch) {
   jobs::ReportBatchReply Reply;
   Reply.Answers_.resize(Batch.Reports_.size(),
                         {jobs::ReportVerdict::Expired, {}, ""});
@@ -30,14 +30,14 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(Time_.now() -
                                                             ReceivedAt)
           .count());
-  for (jobs::ServerReport &Each : Batch.Reports_)
-    Each.WaitedMs_ += WaitedMs;
+  for (jobs::ServerReport &Report : Batch.Reports_)
+    Report.WaitedMs_ += WaitedMs;
   if (!isExpired(Batch, WaitedMs))
     return Handle_(std::move(Batch), std::move(Answer));
   Meter_.add(jobs::Counted::ReportsExpired,
              Batch.Reports_.size() - Batch.LateReports_);
   if (Batch.FlushId_ == 0)
-    return Answer(makeExpired(Batch));
+    return Answer(makeExpiredReply(Batch));
   // The leader decides on servers by the ends in it, which never expire.
   Batch.LateReports_ = Batch.Reports_.size();
   Handle_(std::move(Batch), std::move(Answer));
--- a/src/jobservice/ReportInbox.h
+++ b/src/jobservice/ReportInbox.h
@@ -1,4 +1,4 @@
-//===- ReportInbox.h - Batches of reports as they reach the leader *- C++ -*-=//
+//===- ReportInbox.h - Rejects expired report batches -----------*- C++ -*-===//
 //
 // Rejects a batch that has waited for too long to be answered in time: work on
 // it would delay those behind it until they are too late as well.
@@ -22,10 +22,10 @@
 public:
   using Reply = std::function<void(jobs::ReportBatchReply)>;
   /// Decides the reports of a batch.
-  using Handle = std::function<void(jobs::ReportBatch, Reply)>;
+  using HandleBatch = std::function<void(jobs::ReportBatch, Reply)>;
 
   /// References must outlive it.
-  ReportInbox(const Clock &Time, jobs::JobMeter &Meter, Handle Handling);
+  ReportInbox(const Clock &Time, jobs::JobMeter &Meter, HandleBatch Handle);
 
   /// Takes the batch whose turn has come. ReceivedAt: when it came from the
   /// network. Answer is called once.
@@ -34,7 +34,7 @@
 private:
   const Clock &Time_;
   jobs::JobMeter &Meter_;
-  const Handle Handle_;
+  const HandleBatch Handle_;
 };
 
 } // namespace tulipweir::jobservice
--- a/src/jobservice/ReportRelay.h
+++ b/src/jobservice/ReportRelay.h
@@ -1,4 +1,4 @@
-//===- ReportRelay.h - Servers' reports passed on to the leader *- C++ -*-===//
+//===- ReportRelay.h - Forwards server reports to the leader ----*- C++ -*-===//
 //
 // A control that is not the leader accepts servers' reports, forwards them in
 // batches and returns the leader's answers, so the leader spends no processor
@@ -30,11 +30,11 @@
   using BatchDone = std::function<void(Outcome<jobs::ReportBatchReply>)>;
   /// Sends a batch to the leader; calls back once, on the executor, within the
   /// time. NotLeader at once where no leader is known.
-  using Send =
+  using SendBatch =
       std::function<void(jobs::ReportBatch, Duration Timeout, BatchDone)>;
 
   /// Strand and Time must outlive it.
-  ReportRelay(Executor &Strand, const Clock &Time, Send Sending);
+  ReportRelay(Executor &Strand, const Clock &Time, SendBatch Send);
 
   // Commands.
 
@@ -42,77 +42,78 @@
   void add(jobs::ServerReport Report, Done Reply);
   /// Sends the servers' buffered reports at once, with the ends of reports that
   /// were deferred or lost, and lists the servers that were heard recently.
-  void flushServers(const jobs::FlushRequest &Asked);
+  void flushServers(const jobs::FlushRequest &Request);
 
   // Queries.
 
   /// Returns the relay that the server is to use, or empty if the leader has
   /// named none.
-  std::string pickFor(const std::string &ServerId) const {
-    return pick(Relays_, ServerId);
+  std::string chooseRelayFor(const std::string &ServerId) const {
+    return chooseRelay(Relays_, ServerId);
   }
   /// Chooses a name by rendezvous hashing; empty if there are none.
-  static std::string pick(const std::vector<std::string> &Names,
-                          const std::string &ServerId);
+  static std::string chooseRelay(const std::vector<std::string> &Names,
+                                 const std::string &ServerId);
 
 private:
-  struct Waiting {
+  struct QueuedReport {
     jobs::ServerReport Report_;
     Done Reply_;
-    TimePoint Since_;
+    TimePoint ReceivedAt_;
   };
 
   using ReportPtr = std::shared_ptr<const jobs::ServerReport>;
 
   /// A batch on its way.
   struct Batch {
-    struct Asked {
+    struct Entry {
       std::string Server_;
       Done Reply_;
-      TimePoint Since_; ///< When its report came here.
+      TimePoint ReceivedAt_; ///< When its report came here.
       std::uint64_t Sequence_ = 0;
       bool IsDraining_ = false;
-      ReportPtr Ends_; ///< The report, if it has ends.
+      ReportPtr ReportWithEndedTasks_; ///< The report, if it has ends.
     };
-    std::vector<Asked> Asked_;
-    TimePoint Since_;
+    std::vector<Entry> Entries_;
+    TimePoint SentAt_;
   };
 
   /// State of a server that reports here.
-  struct Known {
-    TimePoint Extended_; ///< When its lease was last extended through here.
-    TimePoint Heard_;
+  struct ServerState {
+    /// When its lease was last extended through here.
+    TimePoint LeaseExtendedAt_;
+    TimePoint LastHeard_;
     /// When a run on it was to be stopped; max if there is none.
-    TimePoint StopSince_ = TimePoint::max();
+    TimePoint StopDueAt_ = TimePoint::max();
     /// Its last report with ends that the leader has not answered.
     ReportPtr Undelivered_;
   };
 
-  static TimePoint getTurn(const Known &Server);
-  void noteStops(const std::vector<jobs::ServerAwaitingStop> &Servers);
-  void noteExtended(const Batch::Asked &Answered);
-  void flushSoon();
+  static TimePoint getQueuePosition(const ServerState &Server);
+  void prioritizeStops(const std::vector<jobs::ServerAwaitingStop> &Servers);
+  void recordLeaseExtension(const Batch::Entry &Answered);
+  void scheduleFlush();
   void flush();
   std::size_t countToSend() const;
   void send(jobs::ReportBatch Reports, Batch Sent);
-  void move(Waiting From, jobs::ReportBatch &Reports, Batch &Sent);
-  void deferLate();
+  void addToBatch(QueuedReport Queued, jobs::ReportBatch &Reports, Batch &Sent);
+  void deferOverdue();
   void defer(bool IsDraining, const Done &Reply);
-  void keepEnds(const ReportPtr &Report);
-  void noteDelivered(const Batch::Asked &Delivered);
-  void forgetOld();
+  void keepEndedTasks(const ReportPtr &Report);
+  void dropDeliveredTasks(const Batch::Entry &Delivered);
+  void removeSilentServers();
   void onAnswer(Batch Sent, Outcome<jobs::ReportBatchReply> Answer);
 
   Executor &Strand_;
   const Clock &Time_;
-  const Send Send_;
+  const SendBatch Send_;
   /// By the server's turn.
-  std::multimap<TimePoint, Waiting> Queue_;
+  std::multimap<TimePoint, QueuedReport> Queue_;
   RelayWindow Window_;
-  bool IsFlushing_ = false;                      ///< A flush is posted.
-  std::unordered_map<std::string, Known> Known_; ///< By server.
+  bool IsFlushScheduled_ = false;                        ///< A flush is posted.
+  std::unordered_map<std::string, ServerState> Servers_; ///< By server.
   TimePoint LastDeferral_{};
-  TimePoint NextForgetting_{}; ///< When idle servers are next removed.
+  TimePoint NextCleanup_{}; ///< When idle servers are next removed.
   std::vector<std::string> Relays_;
 };
 
--- a/src/jobservice/ReportRouter.cpp
+++ b/src/jobservice/ReportRouter.cpp
@@ -7,17 +7,17 @@
 
 /// One second of eight in which a server is told to report to the control that
 /// is named for it.
-static constexpr Duration MoveInterval = std::chrono::seconds(1);
-static constexpr std::size_t MoveEvery = 8;
+static constexpr Duration RedirectInterval = std::chrono::seconds(1);
+static constexpr std::size_t RedirectPeriod = 8;
 /// A sweep is taken at once; a relay that says nothing for so long is asked
 /// again.
 static constexpr Duration FlushTimeout = std::chrono::milliseconds(500);
 
 ReportRouter::ReportRouter(std::string Self, Executor &Strand,
                            const Clock &Time, MemberLinks &Links,
-                           jobs::JobMeter &Meter, GetLife FindLife)
+                           jobs::JobMeter &Meter, GetInstance FindInstance)
     : Self_(std::move(Self)), Strand_(Strand), Time_(Time), Links_(Links),
-      Meter_(Meter), FindLife_(std::move(FindLife)),
+      Meter_(Meter), FindInstance_(std::move(FindInstance)),
       Relay_(std::make_shared<ReportRelay>(
           Strand, Time,
           [this](jobs::ReportBatch Batch, Duration Timeout,
@@ -26,48 +26,49 @@
           })),
       Inbox_(Time, Meter,
              [this](jobs::ReportBatch Batch, const ReportInbox::Reply &Reply) {
-               handle(std::move(Batch), Reply);
+               handleBatch(std::move(Batch), Reply);
              }),
       Flush_(
           Self_, Time,
           [this] {
-            const std::shared_ptr<ControlLife> Current = FindLife_();
-            return Current ? Current->Group_->getStatus()
-                           : replication::ReplicaStatus();
+            const std::shared_ptr<ReplicaInstance> Instance = FindInstance_();
+            return Instance ? Instance->Replica_->getStatus()
+                            : replication::ReplicaStatus();
           },
           [this](const std::string &Member, const jobs::FlushRequest &Request,
                  std::function<void()> Failed) {
-            ask(Member, Request, std::move(Failed));
+            sendFlushRequest(Member, Request, std::move(Failed));
           }),
       Policy_(Time) {}
 
 /// Servers are spread over the members that do not lead; a leader that hears
 /// none of them takes the reports itself.
-static std::string pickRelay(const ControlLife &Current,
-                             const std::string &ServerId) {
-  return ReportRelay::pick(Current.Group_->getStatus().Heard_, ServerId);
+static std::string chooseRelayFor(const ReplicaInstance &Instance,
+                                  const std::string &ServerId) {
+  return ReportRelay::chooseRelay(Instance.Replica_->getStatus().Heard_,
+                                  ServerId);
 }
 
 void ReportRouter::report(jobs::ServerReport Report, Done Reply) {
-  const std::shared_ptr<ControlLife> Current = FindLife_();
-  if (!Current)
+  const std::shared_ptr<ReplicaInstance> Instance = FindInstance_();
+  if (!Instance)
     return Reply(fail(ErrorCode::Unavailable, "the disk fails"));
   const std::string Id = Report.Facts_.Id_;
-  if (Current->Leader_->isLeading())
-    return Current->Leader_->report(
-        std::move(Report), [Hold = Owner_.lock(), Current, Id,
+  if (Instance->Leader_->isLeading())
+    return Instance->Leader_->report(
+        std::move(Report), [Hold = Owner_.lock(), Instance, Id,
                             Reply](Outcome<jobs::ServerOrders> Orders) {
           if (Orders)
-            Orders.value().ReportTo_ = pickRelay(*Current, Id);
+            Orders.value().ReportTo_ = chooseRelayFor(*Instance, Id);
           Reply(std::move(Orders));
         });
-  Current->Leader_->observe(Report);
+  Instance->Leader_->observe(Report);
   Relay_->add(std::move(Report), [this, Hold = Owner_.lock(), Id,
                                   Reply](Outcome<jobs::ServerOrders> Orders) {
     if (Orders && Orders.value().LeaseMs_ == 0)
       Meter_.add(jobs::Counted::ReportsRelayedWithoutLease, 1);
-    if (Orders && isTimeToMove(Id))
-      Orders.value().ReportTo_ = Relay_->pickFor(Id);
+    if (Orders && isRedirectDue(Id))
+      Orders.value().ReportTo_ = Relay_->chooseRelayFor(Id);
     Reply(std::move(Orders));
   });
 }
@@ -75,19 +76,19 @@
 /// Reports come to where the last one was answered. One that is heard here
 /// though another control is named for it goes there only now and then, for it
 /// may be that the server cannot reach that one.
-bool ReportRouter::isTimeToMove(const std::string &ServerId) const {
-  const auto Turn =
-      static_cast<std::size_t>(Time_.now().time_since_epoch() / MoveInterval);
-  return (Turn + std::hash<std::string>()(ServerId)) % MoveEvery == 0;
+bool ReportRouter::isRedirectDue(const std::string &ServerId) const {
+  const auto Turn = static_cast<std::size_t>(Time_.now().time_since_epoch() /
+                                             RedirectInterval);
+  return (Turn + std::hash<std::string>()(ServerId)) % RedirectPeriod == 0;
 }
 
 void ReportRouter::send(jobs::ReportBatch Batch, Duration Timeout,
                         ReportRelay::BatchDone Reply) {
   Batch.From_ = Self_;
   Batch.WorkTimeNs_ = static_cast<std::uint64_t>(getWorkTime().count());
-  const std::shared_ptr<ControlLife> Current = FindLife_();
+  const std::shared_ptr<ReplicaInstance> Instance = FindInstance_();
   const std::string Leader =
-      Current ? Current->Group_->getStatus().LeaderName_ : "";
+      Instance ? Instance->Replica_->getStatus().LeaderName_ : "";
   if (Leader.empty() || Leader == Self_)
     return Strand_.post(
         [Reply = std::move(Reply)] { Reply(fail(ErrorCode::NotLeader, "")); });
@@ -107,9 +108,9 @@
               });
 }
 
-void ReportRouter::ask(const std::string &Member,
-                       const jobs::FlushRequest &Request,
-                       std::function<void()> Failed) {
+void ReportRouter::sendFlushRequest(const std::string &Member,
+                                    const jobs::FlushRequest &Request,
+                                    std::function<void()> Failed) {
   Links_.call(Member, wire::MessageKind::FlushRequest,
               jobs::encodeFlushRequest(Request), FlushTimeout,
               [this, Weak = Owner_,
@@ -120,13 +121,13 @@
               });
 }
 
-void ReportRouter::flushServers(const jobs::FlushRequest &Asked) {
-  Relay_->flushServers(Asked);
+void ReportRouter::flushServers(const jobs::FlushRequest &Request) {
+  Relay_->flushServers(Request);
 }
 
-void ReportRouter::take(jobs::ReportBatch Batch, TimePoint ReceivedAt,
-                        const net::LinkReply &Reply) {
-  if (!FindLife_())
+void ReportRouter::receiveBatch(jobs::ReportBatch Batch, TimePoint ReceivedAt,
+                                const net::LinkReply &Reply) {
+  if (!FindInstance_())
     return Reply(fail(ErrorCode::NotLeader, ""));
   Policy_.recordProbe(Batch.From_, std::chrono::nanoseconds(Batch.WorkTimeNs_));
   Inbox_.add(std::move(Batch), ReceivedAt,
@@ -135,28 +136,28 @@
              });
 }
 
-void ReportRouter::handle(jobs::ReportBatch Batch,
-                          const ReportInbox::Reply &Reply) {
-  const std::shared_ptr<ControlLife> Current = FindLife_();
+void ReportRouter::handleBatch(jobs::ReportBatch Batch,
+                               const ReportInbox::Reply &Reply) {
+  const std::shared_ptr<ReplicaInstance> Instance = FindInstance_();
   // Replies without an answer for each report; the relay takes it as failed.
-  if (!Current)
+  if (!Instance)
     return Reply({});
-  const auto Gather = ReportGather::decide(
-      std::move(Batch), *Current->Leader_, Flush_, Time_,
-      [Current, Reply](jobs::ReportBatchReply Answers) {
-        Answers.Relays_ = Current->Group_->getStatus().Heard_;
-        if (Current->Leader_)
-          Answers.AwaitingStop_ = Current->Leader_->listAwaitingStop();
+  const auto Collector = AnswerCollector::handleBatch(
+      std::move(Batch), *Instance->Leader_, Flush_, Time_,
+      [Instance, Reply](jobs::ReportBatchReply Answers) {
+        Answers.Relays_ = Instance->Replica_->getStatus().Heard_;
+        if (Instance->Leader_)
+          Answers.AwaitingStop_ = Instance->Leader_->listAwaitingStop();
         Reply(std::move(Answers));
       });
-  if (!Gather->isSent())
-    Gathers_.push_back(Gather);
+  if (!Collector->isSent())
+    Collectors_.push_back(Collector);
 }
 
-void ReportRouter::look() {
+void ReportRouter::checkTimeouts() {
   Flush_.retryExpired();
-  std::erase_if(Gathers_, [Now = Time_.now()](const auto &Each) {
-    Each->look(Now);
-    return Each->isSent();
+  std::erase_if(Collectors_, [Now = Time_.now()](const auto &Collector) {
+    Collector->sendIfOverdue(Now);
+    return Collector->isSent();
   });
 }
--- a/tests/jobservice/EntryNodeTest.cpp
+++ b/tests/jobservice/EntryNodeTest.cpp
@@ -1,5 +1,4 @@
-//===- EntryNodeTest.cpp - Calls find the leader
-//----------------------------===//
+//===- EntryNodeTest.cpp - Tests of finding the leader --------------------===//
 
 #include "jobservice/NodeCluster.h"
 
@@ -33,19 +32,19 @@
     std::promise<EntryNode::Answer> Answer;
     Entry.call(
         Call, Time_.now() + std::chrono::seconds(3),
-        [&Answer](const EntryNode::Answer &Got) { Answer.set_value(Got); });
+        [&Answer](const EntryNode::Answer &Reply) { Answer.set_value(Reply); });
     return Answer.get_future().get();
   }
 };
 
 } // namespace
 
-TEST_F(EntryNodeTest, AJobIsHandedInAndShown) {
+TEST_F(EntryNodeTest, JobIsSubmittedAndShown) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(1));
   const auto Entry = makeEntry({1, 2, 3});
-  EXPECT_TRUE(waitFor([&] { return Entry->findUnready().empty(); }));
+  EXPECT_TRUE(waitFor([&] { return Entry->getUnreadyReason().empty(); }));
   const auto Submitted = call(*Entry, jobs::CallKind::Submit, "j");
   ASSERT_TRUE(Submitted.Reply_);
   EXPECT_EQ(Submitted.Reply_->Outcome_, jobs::CallOutcome::Done);
@@ -54,7 +53,7 @@
   EXPECT_EQ(Shown.Reply_->State_, jobs::JobState::Queued);
 }
 
-TEST_F(EntryNodeTest, TheLeaderIsFoundThroughAFollowerAndAfterItsLoss) {
+TEST_F(EntryNodeTest, FindsTheLeaderThroughAFollowerAndAfterItsLoss) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(1));
@@ -70,23 +69,23 @@
   }));
 }
 
-TEST_F(EntryNodeTest, WithoutControlsACallIsNotRunAndSaysSo) {
+TEST_F(EntryNodeTest, CallWithoutControlsReportsNotRun) {
   const auto Entry = makeEntry({1, 2, 3});
   const auto Answer = call(*Entry, jobs::CallKind::Submit, "j");
   EXPECT_FALSE(Answer.Reply_);
-  EXPECT_EQ(Answer.Lost_, LostCall::NotRun);
-  EXPECT_FALSE(Entry->findUnready().empty());
+  EXPECT_EQ(Answer.Effect_, CallEffect::NotRun);
+  EXPECT_FALSE(Entry->getUnreadyReason().empty());
 }
 
-TEST_F(EntryNodeTest, WithoutAMajorityNothingIsAccepted) {
+TEST_F(EntryNodeTest, AcceptsNothingWithoutAMajority) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(1));
   const auto Entry = makeEntry({1, 2, 3});
-  ASSERT_TRUE(waitFor([&] { return Entry->findUnready().empty(); }));
+  ASSERT_TRUE(waitFor([&] { return Entry->getUnreadyReason().empty(); }));
   stop(findLeader());
   stop(Nodes_.begin()->first);
-  EXPECT_TRUE(waitFor([&] { return !Entry->findUnready().empty(); }));
+  EXPECT_TRUE(waitFor([&] { return !Entry->getUnreadyReason().empty(); }));
   const auto Answer = call(*Entry, jobs::CallKind::Submit, "j");
   EXPECT_FALSE(Answer.Reply_);
 }
--- a/tests/jobservice/ExpiredReportsTest.cpp
+++ b/tests/jobservice/ExpiredReportsTest.cpp
@@ -1,4 +1,4 @@
-//===- ExpiredReportsTest.cpp - Relays at a leader that cannot keep up ----===//
+//===- ExpiredReportsTest.cpp - Relays of an overloaded leader ------------===//
 
 #include "jobservice/RelayFixture.h"
 
@@ -22,10 +22,10 @@
                           {ReportVerdict::Expired, {}, ""});
     Oldest.Done_(std::move(Reply));
   }
-  std::size_t countOnTheWay() const {
+  std::size_t countInFlight() const {
     std::size_t Count = 0;
-    for (const Sent &Each : Sent_)
-      Count += Each.Batch_.Reports_.size();
+    for (const Sent &Batch : Sent_)
+      Count += Batch.Batch_.Reports_.size();
     return Count;
   }
 };
@@ -34,7 +34,7 @@
 
 // Guards against a floor of reports on the way, each of which may cost a slow
 // leader any time.
-TEST_F(ExpiredReportsTest, ALeaderThatCannotKeepUpGetsOneReportAtATime) {
+TEST_F(ExpiredReportsTest, OverloadedLeaderGetsOneReportAtATime) {
   for (int Round = 0; Round < 20; ++Round) {
     for (int I = 0; I < 40; ++I)
       add("i-" + std::to_string(I));
@@ -45,7 +45,7 @@
   for (int I = 0; I < 40; ++I)
     add("i-" + std::to_string(I));
   Strand_.advance(100ms);
-  EXPECT_EQ(countOnTheWay(), 1U);
+  EXPECT_EQ(countInFlight(), 1U);
   // It answers again: the limit is soon no limit.
   for (int Round = 0; Round < 100; ++Round) {
     for (int I = 0; I < 40; ++I)
@@ -57,25 +57,25 @@
   for (int I = 0; I < 40; ++I)
     add("i-" + std::to_string(I));
   Strand_.advance(20ms);
-  EXPECT_GE(countOnTheWay(), 40U);
+  EXPECT_GE(countInFlight(), 40U);
 }
 
-TEST_F(ExpiredReportsTest, AnExpiredReportIsToldToComeAgainAndALeavingOneNot) {
+TEST_F(ExpiredReportsTest, ExpiredReportIsDeferredUnlessItsServerIsDraining) {
   add("stays");
   ServerReport Leaving = makeReport("leaves");
   Leaving.IsDraining_ = true;
   add(Leaving);
   Strand_.advance(20ms);
   expire();
-  EXPECT_TRUE(IsGood_["stays"]);
-  EXPECT_EQ(Lease_["stays"], 0U);
-  EXPECT_EQ(Answered_["leaves"], 1);
-  EXPECT_FALSE(IsGood_["leaves"]);
+  EXPECT_TRUE(Succeeded_["stays"]);
+  EXPECT_EQ(LeasesMs_["stays"], 0U);
+  EXPECT_EQ(AnswerCount_["leaves"], 1);
+  EXPECT_FALSE(Succeeded_["leaves"]);
 }
 
 // Guards against ends that are lost with a batch which the leader rejects after
 // the flush was sent.
-TEST_F(ExpiredReportsTest, AFlushBringsTheEndsOfBatchesOnTheWay) {
+TEST_F(ExpiredReportsTest, FlushResendsEndedTasksOfBatchesInFlight) {
   ServerReport Last = makeReport("leaving");
   Last.Ended_ = {{7, {{"k", 0, 1, 2}, 3, RunEnd::Done, ""}}};
   add(Last);
@@ -89,7 +89,7 @@
 
 // Guards against rounds that cost a slow leader more than the reports that they
 // ask for.
-TEST_F(ExpiredReportsTest, OfServersThatWereHeardOnlyTheNamesAreSent) {
+TEST_F(ExpiredReportsTest, FlushSendsOnlyTheNamesOfRecentlyHeardServers) {
   ServerReport Ended = makeReport("heard");
   Ended.Ended_ = {{7, {{"k", 0, 1, 2}, 3, RunEnd::Done, ""}}};
   add(Ended);
@@ -104,7 +104,7 @@
   EXPECT_TRUE(Sent_.back().Batch_.Heard_.empty());
 }
 
-TEST_F(ExpiredReportsTest, ServersWhoseEndsDoNotFitAreKept) {
+TEST_F(ExpiredReportsTest, ServersBeyondTheBatchLimitAreListedAsHeard) {
   for (int Round = 0; Round < 20; ++Round) {
     for (int I = 0; I < 8; ++I) {
       ServerReport Ended = makeReport("i-" + std::to_string(I), Round + 1);
--- a/tests/jobservice/LeadershipTransferPolicyTest.cpp
+++ b/tests/jobservice/LeadershipTransferPolicyTest.cpp
@@ -1,4 +1,4 @@
-//===- LeadershipTransferPolicyTest.cpp - Whom a slow leader gives way to -===//
+//===- LeadershipTransferPolicyTest.cpp - Tests of transfer targets -------===//
 //
 // What happened: with its leader slowed by three for 28 s, alone on an idle
 // machine, the large deployment lost 8,389 runs to lapsed leases and earned
@@ -32,15 +32,15 @@
     Status_.LeaderSince_ = Time_.now() - 1min;
   }
   /// Whom a leader finds whose work takes so long, and usually 70 us.
-  std::string find(Duration Own) const {
-    ProcessorProbe Speed;
+  std::string chooseWithWorkTime(Duration WorkTime) const {
+    ProcessorProbe Probe;
     for (int I = 0; I < 5; ++I)
-      Speed.note(70us);
+      Probe.addSample(70us);
     for (int I = 0; I < 5; ++I)
-      Speed.note(Own);
-    const std::optional<TransferTarget> Found =
-        Policy_.chooseTarget(Status_, Speed);
-    return Found ? Found->Name_ : "";
+      Probe.addSample(WorkTime);
+    const std::optional<TransferTarget> Target =
+        Policy_.chooseTarget(Status_, Probe);
+    return Target ? Target->Name_ : "";
   }
 
   ManualClock Time_;
@@ -50,85 +50,84 @@
 
 } // namespace
 
-TEST_F(LeadershipTransferPolicyTest, ASlowLeaderGivesWayToTheFastestVoter) {
+TEST_F(LeadershipTransferPolicyTest, SlowLeaderTransfersToTheFastestVoter) {
   Policy_.recordProbe("x", 80us);
   Policy_.recordProbe("y", 70us);
   Policy_.recordProbe("new", 10us);
-  EXPECT_EQ(find(210us), "y");
+  EXPECT_EQ(chooseWithWorkTime(210us), "y");
 }
 
-TEST_F(LeadershipTransferPolicyTest, ALoadThatSlowsNobodyKeepsTheLeader) {
+TEST_F(LeadershipTransferPolicyTest, LoadWithoutSlowdownKeepsTheLeader) {
   Policy_.recordProbe("x", 70us);
   Policy_.recordProbe("y", 60us);
-  EXPECT_EQ(find(70us), "");
-  EXPECT_EQ(find(100us), "");
+  EXPECT_EQ(chooseWithWorkTime(70us), "");
+  EXPECT_EQ(chooseWithWorkTime(100us), "");
 }
 
 // Seen in trials with nothing slowed: 79 us where another control took 45, and,
 // beside eight busy loops on the machine, 96 where another took 63.
-TEST_F(LeadershipTransferPolicyTest,
-       ProcessorsOfOneKindDifferAndNothingIsSlow) {
+TEST_F(LeadershipTransferPolicyTest, NormalVariationKeepsTheLeader) {
   Policy_.recordProbe("x", 45us);
-  EXPECT_EQ(find(79us), "");
+  EXPECT_EQ(chooseWithWorkTime(79us), "");
   Policy_.recordProbe("x", 63us);
-  EXPECT_EQ(find(96us), "");
+  EXPECT_EQ(chooseWithWorkTime(96us), "");
   // Slower than ever, but no other does much better.
-  EXPECT_EQ(find(140us), "x");
+  EXPECT_EQ(chooseWithWorkTime(140us), "x");
   Policy_.recordProbe("x", 90us);
-  EXPECT_EQ(find(140us), "");
+  EXPECT_EQ(chooseWithWorkTime(140us), "");
 }
 
-TEST_F(LeadershipTransferPolicyTest, WhereAllAreSlowNobodyIsBetter) {
+TEST_F(LeadershipTransferPolicyTest, EquallySlowMembersKeepTheLeader) {
   Policy_.recordProbe("x", 200us);
   Policy_.recordProbe("y", 220us);
-  EXPECT_EQ(find(210us), "");
+  EXPECT_EQ(chooseWithWorkTime(210us), "");
 }
 
-TEST_F(LeadershipTransferPolicyTest, WhoIsNotHeardOrSaidItLongAgoIsNotTaken) {
+TEST_F(LeadershipTransferPolicyTest, UnheardMembersAndOldProbesAreIgnored) {
   Policy_.recordProbe("x", 70us);
   Policy_.recordProbe("y", 90us);
   Status_.Heard_ = {"y"};
-  EXPECT_EQ(find(210us), "y");
+  EXPECT_EQ(chooseWithWorkTime(210us), "y");
   Time_.advance(3s);
-  EXPECT_EQ(find(210us), "");
+  EXPECT_EQ(chooseWithWorkTime(210us), "");
 }
 
-TEST_F(LeadershipTransferPolicyTest, ALeaderThatBeganJustNowAndAFollowerStay) {
+TEST_F(LeadershipTransferPolicyTest, NewLeadersAndFollowersDoNotTransfer) {
   Policy_.recordProbe("x", 70us);
   Status_.LeaderSince_ = Time_.now() - 1s;
-  EXPECT_EQ(find(210us), "");
+  EXPECT_EQ(chooseWithWorkTime(210us), "");
   Status_.LeaderSince_ = Time_.now() - 1min;
   Status_.IsLeader_ = false;
-  EXPECT_EQ(find(210us), "");
+  EXPECT_EQ(chooseWithWorkTime(210us), "");
 }
 
-TEST_F(LeadershipTransferPolicyTest, WhoCannotTellIsNotTaken) {
+TEST_F(LeadershipTransferPolicyTest, MembersWithoutAProbeAreIgnored) {
   Policy_.recordProbe("x", 0us);
-  EXPECT_EQ(find(210us), "");
+  EXPECT_EQ(chooseWithWorkTime(210us), "");
   Policy_.recordProbe("x", 70us);
   EXPECT_FALSE(Policy_.chooseTarget(Status_, ProcessorProbe()));
 }
 
-TEST(ProcessorProbeTest, OneInterruptionIsNoSlowness) {
+TEST(ProcessorProbeTest, OneInterruptedSampleIsIgnored) {
   ProcessorProbe Probe;
-  for (const Duration Each : {70us, 70us, 900us, 75us})
-    Probe.note(Each);
+  for (const Duration Sample : {70us, 70us, 900us, 75us})
+    Probe.addSample(Sample);
   EXPECT_EQ(Probe.getWorkTime(), Duration(0));
-  Probe.note(80us);
+  Probe.addSample(80us);
   EXPECT_EQ(Probe.getWorkTime(), Duration(70us));
 }
 
-TEST(ProcessorProbeTest, WhatLastsShows) {
+TEST(ProcessorProbeTest, LastingSlowdownIsDetected) {
   ProcessorProbe Probe;
   for (int I = 0; I < 5; ++I)
-    Probe.note(70us);
+    Probe.addSample(70us);
   for (int I = 0; I < 4; ++I)
-    Probe.note(210us);
+    Probe.addSample(210us);
   EXPECT_EQ(Probe.getWorkTime(), Duration(70us));
-  Probe.note(230us);
+  Probe.addSample(230us);
   EXPECT_EQ(Probe.getWorkTime(), Duration(210us));
 }
 
-TEST(ProcessorProbeTest, TheWorkTakesTime) {
+TEST(ProcessorProbeTest, WorkloadTakesTime) {
   EXPECT_GT(timeWork(SystemClock()), Duration(0));
 }
--- a/tests/jobservice/LeadershipTransferTest.cpp
+++ b/tests/jobservice/LeadershipTransferTest.cpp
@@ -1,4 +1,4 @@
-//===- LeadershipTransferTest.cpp - A group whose leader becomes slow -----===//
+//===- LeadershipTransferTest.cpp - Transfer away from a slow VM ----------===//
 //
 // See LeadershipTransferPolicyTest.cpp for what happened. Here whole nodes, of
 // which one says that its work takes three times as long as before.
@@ -16,7 +16,7 @@
 protected:
   /// Relays tell their work times with the reports that they pass on.
   void reportToAll() {
-    for (auto &[Node, Each] : Nodes_) {
+    for (auto &[Node, Control] : Nodes_) {
       jobs::ServerReport Report;
       Report.Facts_.Id_ = "server" + std::to_string(Node);
       Report.Facts_.Service_ = "s";
@@ -25,7 +25,7 @@
       Report.Facts_.Capacity_ = {1000, 1000, 0};
       Report.Sequence_ = ++Sequence_;
       std::promise<void> Answered;
-      Each->report(Report, [&Answered](const Outcome<jobs::ServerOrders> &) {
+      Control->report(Report, [&Answered](const Outcome<jobs::ServerOrders> &) {
         Answered.set_value();
       });
       Answered.get_future().wait();
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_F(LeadershipTransferTest, ALeaderWhoseVmBecomesSlowGivesWay) {
+TEST_F(LeadershipTransferTest, LeaderOnASlowVmTransfersLeadership) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(1));
@@ -47,7 +47,7 @@
   const std::uint64_t Term = Nodes_.at(Slow)->getStatus().Term_;
   // What is usual has to be known.
   ASSERT_TRUE(waitFor(
-      [&] { return Measured_.at(static_cast<std::size_t>(Slow)) > 5; }));
+      [&] { return Measurements_.at(static_cast<std::size_t>(Slow)) > 5; }));
   ASSERT_EQ(findLeader(), Slow);
   SlowNode_ = Slow;
   EXPECT_TRUE(waitFor([&] {
--- a/tests/jobservice/MembershipTest.cpp
+++ b/tests/jobservice/MembershipTest.cpp
@@ -1,5 +1,4 @@
-//===- MembershipTest.cpp - Founding, joining and replacing controls
-//--------===//
+//===- MembershipTest.cpp - Bootstrap, join and replacement of members ----===//
 
 #include "jobservice/NodeCluster.h"
 
@@ -7,7 +6,7 @@
 using namespace tulipweir::jobservice;
 using namespace tulipweir::jobservice::test;
 
-TEST_F(NodeCluster, ThreeNodesFoundOneGroup) {
+TEST_F(NodeCluster, ThreeNodesBootstrapOneGroup) {
   for (const int Node : {3, 1, 2})
     start(Node, {1, 2, 3}, true);
   EXPECT_TRUE(putConfiguration(7));
@@ -15,7 +14,7 @@
   EXPECT_TRUE(waitFor([this] { return listVoters() == namesOf({1, 2, 3}); }));
 }
 
-TEST_F(NodeCluster, FiveNodesOfWhichSeedsNameThreeBecomeFiveVoters) {
+TEST_F(NodeCluster, FiveNodesWithThreeSeedsBecomeFiveVoters) {
   for (const int Node : {5, 4, 3, 2, 1})
     start(Node, {1, 2, 3}, true, 5);
   EXPECT_TRUE(waitFor([this] {
@@ -23,7 +22,7 @@
   }));
 }
 
-TEST_F(NodeCluster, EightNodesKeepFiveVotersAndBearTheLossOfTwo) {
+TEST_F(NodeCluster, EightNodesKeepFiveVotersAfterLosingTwo) {
   for (int Node = 1; Node <= 8; ++Node)
     start(Node, {2, 5, 7}, true, 5);
   ASSERT_TRUE(waitFor([this] { return listVoters().size() == 5; }));
@@ -43,7 +42,7 @@
   }));
 }
 
-TEST_F(NodeCluster, ALostDiskRejoinsWithoutHelp) {
+TEST_F(NodeCluster, NodeWithALostDiskRejoins) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(4));
@@ -58,22 +57,22 @@
   EXPECT_EQ(readVersion(), 4U);
 }
 
-TEST_F(NodeCluster, ANodeAtANewAddressReplacesOneThatIsGone) {
+TEST_F(NodeCluster, NodeAtANewAddressReplacesALostOne) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(4));
-  const int Gone = findLeader() == 3 ? 2 : 3;
-  stop(Gone);
+  const int Stopped = findLeader() == 3 ? 2 : 3;
+  stop(Stopped);
   start(4, {1, 2, 3}, false);
-  std::vector<int> Left = {1, 2, 3, 4};
-  std::erase(Left, Gone);
-  EXPECT_TRUE(waitFor([&] { return listVoters() == namesOf(Left); }));
+  std::vector<int> Remaining = {1, 2, 3, 4};
+  std::erase(Remaining, Stopped);
+  EXPECT_TRUE(waitFor([&] { return listVoters() == namesOf(Remaining); }));
   // Now the next loss is borne.
   stop(findLeader());
   EXPECT_TRUE(waitFor([this] { return readVersion() == 4; }));
 }
 
-TEST_F(NodeCluster, OneThatKnowsOnlyAFollowerIsTakenIn) {
+TEST_F(NodeCluster, NodeThatKnowsOnlyAFollowerJoins) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(1));
@@ -87,26 +86,26 @@
   }));
 }
 
-TEST_F(NodeCluster, ARemovedMemberThatComesBackIsTakenInAgain) {
+TEST_F(NodeCluster, RemovedMemberRejoins) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(1));
-  const int Away = findLeader() == 1 ? 2 : 1;
-  stop(Away);
+  const int Removed = findLeader() == 1 ? 2 : 1;
+  stop(Removed);
   start(4, {1, 2, 3}, false);
   ASSERT_TRUE(waitFor([&] {
     const std::vector<std::string> Now = listVoters();
     return Now.size() == 3 &&
-           std::count(Now.begin(), Now.end(), nameOf(Away)) == 0;
+           std::count(Now.begin(), Now.end(), nameOf(Removed)) == 0;
   }));
-  start(Away, {1, 2, 3}, false);
+  start(Removed, {1, 2, 3}, false);
   EXPECT_TRUE(waitFor([&] {
     const int Leader = findLeader();
     return Leader != 0 && Nodes_.at(Leader)->getStatus().Members_.size() == 4;
   }));
 }
 
-TEST_F(NodeCluster, EverythingIsThereAfterAllWereStopped) {
+TEST_F(NodeCluster, StateSurvivesAFullRestart) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(9));
@@ -117,7 +116,7 @@
   EXPECT_TRUE(waitFor([this] { return readVersion() == 9; }));
 }
 
-TEST_F(NodeCluster, NodesThatMayNotFoundWaitForAGroup) {
+TEST_F(NodeCluster, NodesThatMayNotBootstrapWaitForAGroup) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, false);
   // Long enough for some hundred questions between them.
@@ -159,60 +158,60 @@
 };
 
 /// What happened to a SlowReplica, told to the test that opened it.
-struct Watched {
-  std::atomic<bool> IsAsked_{false};
-  std::atomic<bool> IsGone_{false};
-  std::atomic<bool> WentWhileAsked_{false};
+struct ReplicaEvents {
+  std::atomic<bool> WasQueried_{false};
+  std::atomic<bool> WasDestroyed_{false};
+  std::atomic<bool> DestroyedDuringQuery_{false};
 };
 
 /// A replica that takes its time to answer what the leader's side asks.
 class SlowReplica final : public FailedReplica {
 public:
-  explicit SlowReplica(std::shared_ptr<Watched> Told)
-      : Told_(std::move(Told)) {}
-  ~SlowReplica() override { Told_->IsGone_ = true; }
+  explicit SlowReplica(std::shared_ptr<ReplicaEvents> Events)
+      : Events_(std::move(Events)) {}
+  ~SlowReplica() override { Events_->WasDestroyed_ = true; }
   replication::ReplicaStatus getStatus() const override {
-    const std::shared_ptr<Watched> Told = Told_;
-    Told->IsAsked_ = true;
+    const std::shared_ptr<ReplicaEvents> Events = Events_;
+    Events->WasQueried_ = true;
     // Room for a stop that doesn't wait to take this away. Bounded, as one that
     // waits never does so.
-    for (int I = 0; I < 50 && !Told->IsGone_; ++I)
+    for (int I = 0; I < 50 && !Events->WasDestroyed_; ++I)
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
-    if (Told->IsGone_)
-      Told->WentWhileAsked_ = true;
+    if (Events->WasDestroyed_)
+      Events->DestroyedDuringQuery_ = true;
     return {};
   }
 
 private:
-  const std::shared_ptr<Watched> Told_;
+  const std::shared_ptr<ReplicaEvents> Events_;
 };
 
 } // namespace
 
-TEST_F(NodeCluster, AReplicaStaysUntilTheLeadersSideHasLetGoOfIt) {
-  const auto Told = std::make_shared<Watched>();
-  start(
-      1, {1}, true, 1,
-      [Told](const replication::ReplicaSettings &, replication::StateMachine &,
-             replication::Transport &,
-             const Clock &) -> Outcome<std::unique_ptr<replication::Replica>> {
-        return std::unique_ptr<replication::Replica>(
-            std::make_unique<SlowReplica>(Told));
-      });
-  ASSERT_TRUE(waitFor([&] { return Told->IsAsked_.load(); }));
+TEST_F(NodeCluster, ReplicaOutlivesQueriesOfTheLeader) {
+  const auto Events = std::make_shared<ReplicaEvents>();
+  start(1, {1}, true, 1,
+        [Events](
+            const replication::ReplicaSettings &, replication::StateMachine &,
+            replication::Transport &,
+            const Clock &) -> Outcome<std::unique_ptr<replication::Replica>> {
+          return std::unique_ptr<replication::Replica>(
+              std::make_unique<SlowReplica>(Events));
+        });
+  ASSERT_TRUE(waitFor([&] { return Events->WasQueried_.load(); }));
   stop(1);
-  EXPECT_TRUE(Told->IsGone_);
-  EXPECT_FALSE(Told->WentWhileAsked_);
+  EXPECT_TRUE(Events->WasDestroyed_);
+  EXPECT_FALSE(Events->DestroyedDuringQuery_);
 }
 
-TEST_F(NodeCluster, AReplicaWhoseDiskFailedIsOpenedAgain) {
+TEST_F(NodeCluster, ReplicaIsReopenedAfterADiskFailure) {
   // The first opening gives a failed replica, the second fails, the third is
   // sound: as with a disk that is full for a while.
   auto Openings = std::make_shared<std::atomic<int>>(0);
   const OpenReplica Open =
       [Openings](
           const replication::ReplicaSettings &Settings,
-          replication::StateMachine &Machine, replication::Transport &Out,
+          replication::StateMachine &Machine, replication::Transport &Links,
           const Clock &Time) -> Outcome<std::unique_ptr<replication::Replica>> {
     const int Number = ++*Openings;
     if (Number == 1)
@@ -220,7 +219,7 @@
           std::make_unique<FailedReplica>());
     if (Number == 2)
       return fail(ErrorCode::StorageFailed, "no space left");
-    return replication::Replica::open(Settings, Machine, Out, Time);
+    return replication::Replica::open(Settings, Machine, Links, Time);
   };
   start(1, {1}, true, 1, Open);
   EXPECT_TRUE(putConfiguration(2));
--- a/tests/jobservice/NodeCluster.h
+++ b/tests/jobservice/NodeCluster.h
@@ -22,17 +22,17 @@
 namespace tulipweir::jobservice::test {
 
 /// Far above what an election and a change of members take.
-inline constexpr Duration PatientLimit = std::chrono::seconds(60);
+inline constexpr Duration WaitTimeout = std::chrono::seconds(60);
 
 /// Waits for a state; never judges time.
-inline bool waitFor(const std::function<bool()> &Reached) {
-  const TimePoint End = BootClock::now() + PatientLimit;
+inline bool waitFor(const std::function<bool()> &Condition) {
+  const TimePoint End = BootClock::now() + WaitTimeout;
   while (BootClock::now() < End) {
-    if (Reached())
+    if (Condition())
       return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  return Reached();
+  return Condition();
 }
 
 /// A port that is free on every loopback address at the moment.
@@ -54,13 +54,13 @@
 class NodeCluster : public ::testing::Test {
 protected:
   NodeCluster()
-      : Root_(std::filesystem::temp_directory_path() /
-              ("tulipweir-nodes-" + std::to_string(::getpid()) + "-" +
-               std::to_string(Port_))) {}
+      : RootFolder_(std::filesystem::temp_directory_path() /
+                    ("tulipweir-nodes-" + std::to_string(::getpid()) + "-" +
+                     std::to_string(Port_))) {}
   ~NodeCluster() override {
     Nodes_.clear();
     Pool_.stop();
-    std::filesystem::remove_all(Root_);
+    std::filesystem::remove_all(RootFolder_);
   }
 
   std::string nameOf(int Node) const {
@@ -74,7 +74,7 @@
     return Names;
   }
   std::filesystem::path folderOf(int Node) const {
-    return Root_ / std::to_string(Node);
+    return RootFolder_ / std::to_string(Node);
   }
 
   void start(int Node, const std::vector<int> &Seeds, bool MayFound,
@@ -86,24 +86,25 @@
     Settings.DataFolder_ = folderOf(Node).string();
     Settings.Seeds_ = namesOf(Seeds);
     Settings.MayFound_ = MayFound;
-    Settings.Voters_ = Voters;
+    Settings.TargetVoters_ = Voters;
     Settings.Secret_ = "a secret of this test alone";
-    auto Fresh = std::make_unique<ControlNode>(
+    auto NewNode = std::make_unique<ControlNode>(
         Settings, Pool_, Time_, Advisor_, Provider_, Metrics_, Log_, Open,
         [this, Node](const Clock &) {
-          ++Measured_.at(static_cast<std::size_t>(Node));
-          return Node == SlowNode_ ? SlowWork : UsualWork;
+          ++Measurements_.at(static_cast<std::size_t>(Node));
+          return Node == SlowNode_ ? SlowWorkTime : NormalWorkTime;
         });
-    const Outcome<void> Started = Fresh->start();
+    const Outcome<void> Started = NewNode->start();
     ASSERT_TRUE(Started) << Started.error().Message_;
-    Nodes_[Node] = std::move(Fresh);
+    Nodes_[Node] = std::move(NewNode);
   }
   void stop(int Node) { Nodes_.erase(Node); }
   void loseDisk(int Node) { std::filesystem::remove_all(folderOf(Node)); }
 
   int findLeader() const {
-    for (const auto &[Node, Each] : Nodes_)
-      if (Each->getStatus().IsLeader_ && Each->getLeader() == nameOf(Node))
+    for (const auto &[Node, Control] : Nodes_)
+      if (Control->getStatus().IsLeader_ &&
+          Control->getLeader() == nameOf(Node))
         return Node;
     return 0;
   }
@@ -111,30 +112,31 @@
   std::vector<std::string> listVoters() const {
     std::vector<std::string> Voters;
     if (const int Leader = findLeader())
-      for (const replication::Member &Each :
+      for (const replication::Member &Member :
            Nodes_.at(Leader)->getStatus().Members_)
-        if (Each.Role_ == replication::MemberRole::Voter)
-          Voters.push_back(Each.Id_.Name_);
+        if (Member.Role_ == replication::MemberRole::Voter)
+          Voters.push_back(Member.Id_.Name_);
     std::sort(Voters.begin(), Voters.end());
     return Voters;
   }
   /// Sends the call to every node until one takes it.
   bool putConfiguration(std::uint64_t Version) {
-    jobs::Configuration Value;
-    Value.Version_ = Version;
+    jobs::Configuration NewConfiguration;
+    NewConfiguration.Version_ = Version;
     jobs::QueuePolicy Queue;
     Queue.Host_ = "h";
     Queue.PathPrefix_ = "/p/";
     Queue.Service_ = "s";
-    Value.Queues_ = {Queue};
-    Value.Services_ = {{"s", false, false}};
+    NewConfiguration.Queues_ = {Queue};
+    NewConfiguration.Services_ = {{"s", false, false}};
     return waitFor([&] {
-      for (auto &[Node, Each] : Nodes_) {
-        std::promise<bool> Taken;
-        Each->putConfiguration(Value, [&Taken](const Outcome<void> &Result) {
-          Taken.set_value(Result.has_value());
-        });
-        if (Taken.get_future().get())
+      for (auto &[Node, Control] : Nodes_) {
+        std::promise<bool> Accepted;
+        Control->putConfiguration(NewConfiguration,
+                                  [&Accepted](const Outcome<void> &Result) {
+                                    Accepted.set_value(Result.has_value());
+                                  });
+        if (Accepted.get_future().get())
           return true;
       }
       return false;
@@ -142,26 +144,26 @@
   }
   /// The version that any node tells; 0 while none does.
   std::uint64_t readVersion() {
-    for (auto &[Node, Each] : Nodes_) {
+    for (auto &[Node, Control] : Nodes_) {
       std::promise<std::uint64_t> Version;
-      Each->readConfiguration(
-          [&Version](const Outcome<jobs::Configuration> &Value) {
-            Version.set_value(Value ? Value.value().Version_ : 0);
+      Control->readConfiguration(
+          [&Version](const Outcome<jobs::Configuration> &Result) {
+            Version.set_value(Result ? Result.value().Version_ : 0);
           });
-      if (const std::uint64_t Got = Version.get_future().get())
-        return Got;
+      if (const std::uint64_t Received = Version.get_future().get())
+        return Received;
     }
     return 0;
   }
 
   /// What the set piece of work takes on a node; on SlowNode_ thrice as long.
-  static constexpr Duration UsualWork = std::chrono::microseconds(70);
-  static constexpr Duration SlowWork = 3 * UsualWork;
+  static constexpr Duration NormalWorkTime = std::chrono::microseconds(70);
+  static constexpr Duration SlowWorkTime = 3 * NormalWorkTime;
   std::atomic<int> SlowNode_{0};
-  std::array<std::atomic<int>, 16> Measured_{}; ///< How often, by node.
+  std::array<std::atomic<int>, 16> Measurements_{}; ///< How often, by node.
 
   const std::uint16_t Port_ = findFreePort();
-  const std::filesystem::path Root_;
+  const std::filesystem::path RootFolder_;
   const SystemClock Time_;
   NoEventLog Log_;
   net::Metrics Metrics_;
--- a/tests/jobservice/RelayFixture.h
+++ b/tests/jobservice/RelayFixture.h
@@ -1,4 +1,4 @@
-//===- RelayFixture.h - A relay before a leader that is answered by hand --===//
+//===- RelayFixture.h - A relay with a scripted leader --------------------===//
 
 #ifndef TULIPWEIR_TESTS_JOBSERVICE_RELAYFIXTURE_H
 #define TULIPWEIR_TESTS_JOBSERVICE_RELAYFIXTURE_H
@@ -34,19 +34,19 @@
   struct Sent {
     ReportBatch Batch_;
     ReportRelay::BatchDone Done_;
-    TimePoint At_;
+    TimePoint SentAt_;
   };
 
   /// How often each server was answered, and the last answer.
   void add(const std::string &Id) { add(makeReport(Id)); }
   void add(const ServerReport &Report) {
     const std::string Id = Report.Facts_.Id_;
-    ++Asked_[Id];
+    ++ReportCount_[Id];
     Relay_->add(Report, [this, Id](Outcome<ServerOrders> Answer) {
-      ++Answered_[Id];
-      IsGood_[Id] = Answer.has_value();
-      Token_[Id] = Answer ? Answer.value().FencingToken_ : 0;
-      Lease_[Id] = Answer ? Answer.value().LeaseMs_ : 0;
+      ++AnswerCount_[Id];
+      Succeeded_[Id] = Answer.has_value();
+      Tokens_[Id] = Answer ? Answer.value().FencingToken_ : 0;
+      LeasesMs_[Id] = Answer ? Answer.value().LeaseMs_ : 0;
     });
   }
   /// So many reports without an answer that no more are sent.
@@ -74,11 +74,11 @@
   ManualClock Time_;
   jobs::test::ManualExecutor Strand_{Time_};
   std::deque<Sent> Sent_;
-  std::map<std::string, int> Asked_;
-  std::map<std::string, int> Answered_;
-  std::map<std::string, bool> IsGood_;
-  std::map<std::string, std::uint64_t> Token_;
-  std::map<std::string, std::uint64_t> Lease_;
+  std::map<std::string, int> ReportCount_;
+  std::map<std::string, int> AnswerCount_;
+  std::map<std::string, bool> Succeeded_;
+  std::map<std::string, std::uint64_t> Tokens_;
+  std::map<std::string, std::uint64_t> LeasesMs_;
   std::shared_ptr<ReportRelay> Relay_ = std::make_shared<ReportRelay>(
       Strand_, Time_,
       [this](ReportBatch Batch, Duration, ReportRelay::BatchDone Done) {
--- a/tests/jobservice/RelayFlushTest.cpp
+++ b/tests/jobservice/RelayFlushTest.cpp
@@ -1,4 +1,4 @@
-//===- RelayFlushTest.cpp - Asking the relays, and who is not waited for -===//
+//===- RelayFlushTest.cpp - Tests of flush requests -----------------------===//
 
 #include "jobservice/RelayFlush.h"
 #include "jobservice/RelayFixture.h"
@@ -19,112 +19,114 @@
       Status_.Members_.push_back({{Name, 1}, replication::MemberRole::Voter});
     Status_.IsLeader_ = true;
   }
-  struct Asked {
+  struct SentRequest {
     std::string Member_;
     FlushRequest Request_;
     std::function<void()> Failed_;
   };
-  void find(const std::vector<std::string> &Servers) {
-    Flush_.findHeard(Servers,
-                     [this](const ReportRelays::Heard &Got) { Got_ = Got; });
+  void startRound(const std::vector<std::string> &Servers) {
+    Flush_.findHeard(Servers, [this](const ReportRelays::Heard &Result) {
+      Heard_ = Result;
+    });
   }
 
   ManualClock Time_;
   replication::ReplicaStatus Status_;
-  std::vector<Asked> Asked_;
-  std::optional<ReportRelays::Heard> Got_;
+  std::vector<SentRequest> Requests_;
+  std::optional<ReportRelays::Heard> Heard_;
   RelayFlush Flush_{
       "me", Time_, [this] { return Status_; },
       [this](const std::string &Member, FlushRequest Request,
              std::function<void()> Failed) {
-        Asked_.push_back({Member, std::move(Request), std::move(Failed)});
+        Requests_.push_back({Member, std::move(Request), std::move(Failed)});
       }};
 };
 
 } // namespace
 
-TEST_F(RelayFlushTest, AllOthersAreAskedAndOneWordIsEnough) {
-  find({"a", "b"});
-  ASSERT_EQ(Asked_.size(), 2U);
-  EXPECT_EQ(Asked_[0].Request_.From_, "me");
-  EXPECT_EQ(Asked_[0].Request_.Servers_, (std::vector<std::string>{"a", "b"}));
-  Flush_.onBatch(Asked_[0].Request_.Id_, {});
-  EXPECT_FALSE(Got_);
-  Flush_.onBatch(Asked_[0].Request_.Id_, {}); // Said again.
-  EXPECT_FALSE(Got_);
-  Flush_.onBatch(Asked_[1].Request_.Id_, {"b"});
-  ASSERT_TRUE(Got_);
-  EXPECT_EQ(*Got_, ReportRelays::Heard{"b"});
+TEST_F(RelayFlushTest, AsksAllOtherMembersAndIgnoresRepeatedAnswers) {
+  startRound({"a", "b"});
+  ASSERT_EQ(Requests_.size(), 2U);
+  EXPECT_EQ(Requests_[0].Request_.From_, "me");
+  EXPECT_EQ(Requests_[0].Request_.Servers_,
+            (std::vector<std::string>{"a", "b"}));
+  Flush_.onBatch(Requests_[0].Request_.Id_, {});
+  EXPECT_FALSE(Heard_);
+  Flush_.onBatch(Requests_[0].Request_.Id_, {}); // Said again.
+  EXPECT_FALSE(Heard_);
+  Flush_.onBatch(Requests_[1].Request_.Id_, {"b"});
+  ASSERT_TRUE(Heard_);
+  EXPECT_EQ(*Heard_, ReportRelays::Heard{"b"});
 }
 
-TEST_F(RelayFlushTest, AMemberThatIsGoneIsNotWaitedFor) {
-  find({"a"});
-  Flush_.onBatch(Asked_[0].Request_.Id_, {"a"});
+TEST_F(RelayFlushTest, DoesNotWaitForALostMember) {
+  startRound({"a"});
+  Flush_.onBatch(Requests_[0].Request_.Id_, {"a"});
   Flush_.retryExpired();
-  EXPECT_FALSE(Got_) << "it may only be slow";
+  EXPECT_FALSE(Heard_) << "it may only be slow";
   Status_.Gone_ = {"y"};
   Flush_.retryExpired();
-  ASSERT_TRUE(Got_);
-  EXPECT_EQ(*Got_, ReportRelays::Heard{"a"});
+  ASSERT_TRUE(Heard_);
+  EXPECT_EQ(*Heard_, ReportRelays::Heard{"a"});
 }
 
-TEST_F(RelayFlushTest, AQuestionThatDidNotArriveIsAskedAgain) {
-  find({"a"});
-  Flush_.onBatch(Asked_[0].Request_.Id_, {});
+TEST_F(RelayFlushTest, ResendsAFailedRequest) {
+  startRound({"a"});
+  Flush_.onBatch(Requests_[0].Request_.Id_, {});
   Flush_.retryExpired();
-  EXPECT_EQ(Asked_.size(), 2U);
-  Asked_[1].Failed_();
+  EXPECT_EQ(Requests_.size(), 2U);
+  Requests_[1].Failed_();
   Flush_.retryExpired();
-  ASSERT_EQ(Asked_.size(), 3U);
-  EXPECT_EQ(Asked_[2].Member_, "y");
-  Flush_.onBatch(Asked_[2].Request_.Id_, {});
-  EXPECT_TRUE(Got_);
+  ASSERT_EQ(Requests_.size(), 3U);
+  EXPECT_EQ(Requests_[2].Member_, "y");
+  Flush_.onBatch(Requests_[2].Request_.Id_, {});
+  EXPECT_TRUE(Heard_);
 }
 
 // A request that arrives while its answer is lost with the link would hold up a
 // leaving server, and its tasks, until the longest wait is over.
-TEST_F(RelayFlushTest, AQuestionWhoseAnswerWasLostIsAskedAgain) {
-  find({"a"});
-  Flush_.onBatch(Asked_[0].Request_.Id_, {});
+TEST_F(RelayFlushTest, ResendsARequestWithoutAnAnswer) {
+  startRound({"a"});
+  Flush_.onBatch(Requests_[0].Request_.Id_, {});
   Flush_.retryExpired();
-  EXPECT_EQ(Asked_.size(), 2U);
+  EXPECT_EQ(Requests_.size(), 2U);
   Time_.advance(1s);
   Flush_.retryExpired();
-  ASSERT_EQ(Asked_.size(), 3U);
-  EXPECT_EQ(Asked_[2].Member_, "y");
+  ASSERT_EQ(Requests_.size(), 3U);
+  EXPECT_EQ(Requests_[2].Member_, "y");
   Flush_.retryExpired();
-  EXPECT_EQ(Asked_.size(), 3U);
-  Flush_.onBatch(Asked_[2].Request_.Id_, {"a"});
-  ASSERT_TRUE(Got_);
-  Flush_.onBatch(Asked_[1].Request_.Id_, {}); // The first answer, after all.
-  EXPECT_EQ(*Got_, ReportRelays::Heard{"a"});
+  EXPECT_EQ(Requests_.size(), 3U);
+  Flush_.onBatch(Requests_[2].Request_.Id_, {"a"});
+  ASSERT_TRUE(Heard_);
+  Flush_.onBatch(Requests_[1].Request_.Id_, {}); // The first answer, after all.
+  EXPECT_EQ(*Heard_, ReportRelays::Heard{"a"});
 }
 
-TEST_F(RelayFlushTest, NobodyIsWaitedForForEver) {
-  find({"a"});
+TEST_F(RelayFlushTest, RoundTimesOut) {
+  startRound({"a"});
   Time_.advance(5s);
   Flush_.retryExpired();
-  EXPECT_FALSE(Got_);
+  EXPECT_FALSE(Heard_);
   Time_.advance(5s);
   Flush_.retryExpired();
-  EXPECT_TRUE(Got_);
+  EXPECT_TRUE(Heard_);
 }
 
-TEST_F(RelayFlushTest, WhoeverNoLongerLeadsWaitsForNobody) {
-  find({"a"});
+TEST_F(RelayFlushTest, RoundEndsWithLeadership) {
+  startRound({"a"});
   Status_.IsLeader_ = false;
   Flush_.retryExpired();
-  EXPECT_TRUE(Got_);
+  EXPECT_TRUE(Heard_);
 }
 
-TEST_F(RelayFlushTest, AloneThereIsNobodyToAsk) {
+TEST_F(RelayFlushTest, SingleMemberSendsNoRequest) {
   Status_.Members_.resize(1);
-  find({"a"});
-  EXPECT_TRUE(Got_);
-  EXPECT_TRUE(Asked_.empty());
+  startRound({"a"});
+  EXPECT_TRUE(Heard_);
+  EXPECT_TRUE(Requests_.empty());
 }
 
-TEST_F(ReportRelayTest, AFlushSendsWhatIsKeptWithoutWaitingForItsTurn) {
+TEST_F(ReportRelayTest, FlushSendsQueuedReportsAtOnce) {
   fillWindow();
   const std::size_t Before = Sent_.size();
   add("leaving");
@@ -140,14 +142,14 @@
 
 // A leaving server does not report again, so a relay that forgot the ends in a
 // deferred report would let their tasks run twice.
-TEST_F(ReportRelayTest, AFlushBringsEndsThatWereTurnedAway) {
+TEST_F(ReportRelayTest, FlushSendsEndedTasksOfDeferredReports) {
   fillWindow();
   ServerReport Last = makeReport("leaving");
   Last.IsDraining_ = true;
   Last.Ended_ = {{7, {{"k", 0, 1, 2}, 3, RunEnd::Done, ""}}};
   add(Last);
   Strand_.advance(1s);
-  ASSERT_EQ(Answered_["leaving"], 1);
+  ASSERT_EQ(AnswerCount_["leaving"], 1);
   Relay_->flushServers({"leader", 7, {"leaving"}});
   ASSERT_EQ(Sent_.back().Batch_.Reports_.size(), 1U);
   EXPECT_EQ(Sent_.back().Batch_.Reports_[0], Last);
@@ -156,7 +158,7 @@
   EXPECT_TRUE(Sent_.back().Batch_.Reports_.empty());
 }
 
-TEST_F(ReportRelayTest, AFlushBringsEndsOfABatchThatFailed) {
+TEST_F(ReportRelayTest, FlushSendsEndedTasksOfAFailedBatch) {
   ServerReport Last = makeReport("leaving");
   Last.Ended_ = {{7, {{"k", 0, 1, 2}, 3, RunEnd::Done, ""}}};
   add(Last);
@@ -171,7 +173,7 @@
   EXPECT_EQ(Sent_.back().Batch_.Reports_.size(), 1U);
 }
 
-TEST_F(ReportRelayTest, WhatIsSentAgainIsMarkedAsLate) {
+TEST_F(ReportRelayTest, ResentReportsAreMarkedAsLate) {
   ServerReport Lost = makeReport("leaving");
   Lost.Ended_ = {{7, {{"k", 0, 1, 2}, 3, RunEnd::Done, ""}}};
   add(Lost);
@@ -187,7 +189,7 @@
   EXPECT_EQ(Last.Reports_, (std::vector<ServerReport>{Lost, Next}));
 }
 
-TEST_F(ReportRelayTest, WhatTheLeaderHasAnsweredSinceIsNotSaidAgain) {
+TEST_F(ReportRelayTest, AnsweredEndedTasksAreNotResent) {
   ServerReport First = makeReport("leaving");
   First.Ended_ = {{7, {{"k", 0, 1, 2}, 3, RunEnd::Done, ""}}};
   add(First);
@@ -203,7 +205,7 @@
   EXPECT_TRUE(Sent_.back().Batch_.Reports_.empty());
 }
 
-TEST_F(ReportRelayTest, AServerThatWasSilentForSecondsIsNotHeard) {
+TEST_F(ReportRelayTest, SilentServerIsNotListedAsHeard) {
   add("gone");
   Strand_.advance(20ms);
   answer();
--- a/tests/jobservice/ReportInboxTest.cpp
+++ b/tests/jobservice/ReportInboxTest.cpp
@@ -1,4 +1,4 @@
-//===- ReportInboxTest.cpp - Batches that wait for the leader -------------===//
+//===- ReportInboxTest.cpp - Tests of batch expiry ------------------------===//
 
 #include "jobservice/ReportInbox.h"
 #include "jobservice/RelayFixture.h"
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_F(ReportInboxTest, ABatchInTimeIsHandledAtOnceWithTheTimeItWaited) {
+TEST_F(ReportInboxTest, BatchInTimeIsHandledWithItsWaitTime) {
   add({{makeReport("a")}}, 300ms);
   ASSERT_EQ(Handled_.size(), 1U);
   EXPECT_EQ(Handled_[0].Reports_[0].WaitedMs_, 300U);
@@ -42,7 +42,7 @@
 }
 
 // Guards against work on reports whose relays are about to give them up.
-TEST_F(ReportInboxTest, ABatchThatWaitedTooLongIsRejectedUnhandled) {
+TEST_F(ReportInboxTest, ExpiredBatchIsRejectedUnhandled) {
   add({{makeReport("a"), makeReport("b")}}, 401ms);
   ASSERT_EQ(Replies_.size(), 1U);
   ASSERT_EQ(Replies_[0].Answers_.size(), 2U);
@@ -51,7 +51,7 @@
 }
 
 // Guards against a server that is given up although its ends had arrived.
-TEST_F(ReportInboxTest, TheEndsInAFlushDoNotExpire) {
+TEST_F(ReportInboxTest, EndedTasksInAFlushDoNotExpire) {
   ReportBatch Batch{{makeReport("late"), makeReport("current")}};
   Batch.FlushId_ = 7;
   Batch.LateReports_ = 1;
@@ -61,7 +61,7 @@
   EXPECT_EQ(Handled_[0].FlushId_, 7U);
 }
 
-TEST_F(ReportInboxTest, ABatchWithoutATimeoutIsHandledHoweverLate) {
+TEST_F(ReportInboxTest, BatchWithoutATimeoutNeverExpires) {
   Inbox_.add({{makeReport("a")}}, Time_.now() - 5s, [](const auto &) {});
   EXPECT_EQ(Handled_.size(), 1U);
 }
--- a/tests/jobservice/ReportRelayTest.cpp
+++ b/tests/jobservice/ReportRelayTest.cpp
@@ -1,8 +1,8 @@
-//===- ReportRelayTest.cpp - Reports that reach the leader by others ------===//
+//===- ReportRelayTest.cpp - Tests of relayed reports ---------------------===//
 
+#include "jobservice/AnswerCollector.h"
 #include "jobservice/NodeCluster.h"
 #include "jobservice/RelayFixture.h"
-#include "jobservice/ReportGather.h"
 
 using namespace tulipweir;
 using namespace tulipweir::jobs;
@@ -11,46 +11,46 @@
 using jobservice::test::ReportRelayTest;
 using namespace std::chrono_literals;
 
-TEST_F(ReportRelayTest, ReportsOfOneMomentGoInOneBatchAndGetTheirOwnAnswers) {
+TEST_F(ReportRelayTest, ConcurrentReportsShareABatchAndGetTheirOwnAnswers) {
   for (const char *Id : {"a", "b", "c"})
     add(Id);
   Strand_.advance(20ms);
   ASSERT_EQ(Sent_.size(), 1U);
   answer();
-  EXPECT_EQ(Token_["a"], 1U);
-  EXPECT_EQ(Token_["b"], 2U);
-  EXPECT_EQ(Token_["c"], 3U);
+  EXPECT_EQ(Tokens_["a"], 1U);
+  EXPECT_EQ(Tokens_["b"], 2U);
+  EXPECT_EQ(Tokens_["c"], 3U);
 }
 
-TEST_F(ReportRelayTest, ASlowLeaderGetsNoMoreThanItAnswersInTime) {
+TEST_F(ReportRelayTest, ReportsInFlightMatchASlowLeader) {
   // 400 servers come again as soon as they are answered; the leader answers
   // one batch every 100 ms, each 500 ms late.
-  std::size_t MostOnTheWay = 0;
+  std::size_t MaxInFlight = 0;
   for (int Round = 0; Round < 60; ++Round) {
     for (int I = 0; I < 400; ++I)
-      if (Answered_[std::to_string(I)] == Asked_[std::to_string(I)])
+      if (AnswerCount_[std::to_string(I)] == ReportCount_[std::to_string(I)])
         add(std::to_string(I));
     Strand_.advance(100ms);
-    if (!Sent_.empty() && Time_.now() - Sent_.front().At_ >= 500ms)
+    if (!Sent_.empty() && Time_.now() - Sent_.front().SentAt_ >= 500ms)
       answer();
-    std::size_t OnTheWay = 0;
-    for (const Sent &Each : Sent_)
-      OnTheWay += Each.Batch_.Reports_.size();
+    std::size_t InFlight = 0;
+    for (const Sent &Batch : Sent_)
+      InFlight += Batch.Batch_.Reports_.size();
     if (Round >= 50)
-      MostOnTheWay = std::max(MostOnTheWay, OnTheWay);
+      MaxInFlight = std::max(MaxInFlight, InFlight);
   }
-  EXPECT_LT(MostOnTheWay, 200U);
-  EXPECT_GT(MostOnTheWay, 0U);
+  EXPECT_LT(MaxInFlight, 200U);
+  EXPECT_GT(MaxInFlight, 0U);
 }
 
-TEST_F(ReportRelayTest, WhatWaitsTooLongIsToldToComeAgainAndThenGoesFirst) {
+TEST_F(ReportRelayTest, OverdueReportIsDeferredAndThenGoesFirst) {
   fillWindow();
   add("late");
   Strand_.advance(2s);
-  EXPECT_EQ(Answered_["late"], 1);
-  EXPECT_TRUE(IsGood_["late"]);
-  EXPECT_EQ(Token_["late"], 0U) << "nobody may promise anything";
-  EXPECT_EQ(Lease_["late"], 0U);
+  EXPECT_EQ(AnswerCount_["late"], 1);
+  EXPECT_TRUE(Succeeded_["late"]);
+  EXPECT_EQ(Tokens_["late"], 0U) << "nobody may promise anything";
+  EXPECT_EQ(LeasesMs_["late"], 0U);
   EXPECT_FALSE(Sent_.back().Batch_.HasDeferred_);
   add("fresh");
   add("late");
@@ -62,7 +62,7 @@
   EXPECT_TRUE(Sent_.back().Batch_.HasDeferred_) << "the leader must know";
 }
 
-TEST_F(ReportRelayTest, TheLeaderIsNotToldOfDeferralsThatAreLongOver) {
+TEST_F(ReportRelayTest, OldDeferralsAreNotReported) {
   fillWindow();
   while (!Sent_.empty())
     answer();
@@ -73,95 +73,95 @@
   EXPECT_FALSE(Sent_.back().Batch_.HasDeferred_);
 }
 
-TEST_F(ReportRelayTest, AServerThatLeavesIsNotToldThatThisIsKnown) {
+TEST_F(ReportRelayTest, DrainingServerGetsAnErrorInsteadOfADeferral) {
   fillWindow();
   ServerReport Leaving = makeReport("leaving");
   Leaving.IsDraining_ = true;
   add(Leaving);
   Strand_.advance(2s);
-  EXPECT_EQ(Answered_["leaving"], 1);
-  EXPECT_FALSE(IsGood_["leaving"]);
+  EXPECT_EQ(AnswerCount_["leaving"], 1);
+  EXPECT_FALSE(Succeeded_["leaving"]);
 }
 
-TEST_F(ReportRelayTest, ALostBatchIsAnsweredWithItsErrorOnce) {
+TEST_F(ReportRelayTest, LostBatchIsAnsweredWithItsErrorOnce) {
   add("a");
   add("b");
   Strand_.advance(20ms);
   Sent_.front().Done_(fail(ErrorCode::Unavailable, "lost"));
-  EXPECT_EQ(Answered_["a"], 1);
-  EXPECT_EQ(Answered_["b"], 1);
-  EXPECT_FALSE(IsGood_["a"]);
+  EXPECT_EQ(AnswerCount_["a"], 1);
+  EXPECT_EQ(AnswerCount_["b"], 1);
+  EXPECT_FALSE(Succeeded_["a"]);
 }
 
-TEST_F(ReportRelayTest, AnswersThatAreNotWholeAreNoAnswers) {
+TEST_F(ReportRelayTest, IncompleteReplyIsAnError) {
   add("a");
   Strand_.advance(20ms);
   Sent_.front().Done_(ReportBatchReply{});
-  EXPECT_EQ(Answered_["a"], 1);
-  EXPECT_FALSE(IsGood_["a"]);
+  EXPECT_EQ(AnswerCount_["a"], 1);
+  EXPECT_FALSE(Succeeded_["a"]);
 }
 
-TEST_F(ReportRelayTest, TheRelaysAreThoseThatTheLeaderNamedLast) {
-  EXPECT_EQ(Relay_->pickFor("a"), "");
+TEST_F(ReportRelayTest, ChoosesFromTheRelaysThatTheLeaderNamedLast) {
+  EXPECT_EQ(Relay_->chooseRelayFor("a"), "");
   add("a");
   Strand_.advance(20ms);
   answer({"x", "y", "z"});
-  const std::string Own = Relay_->pickFor("a");
-  EXPECT_NE(Own, "");
-  EXPECT_EQ(Relay_->pickFor("a"), Own);
+  const std::string Relay = Relay_->chooseRelayFor("a");
+  EXPECT_NE(Relay, "");
+  EXPECT_EQ(Relay_->chooseRelayFor("a"), Relay);
 }
 
-TEST(ReportRelayPick, ServersSpreadAndMoveOnlyWhenTheirRelayGoes) {
+TEST(ReportRelayChoice, ServersSpreadAndMoveOnlyWhenTheirRelayIsLost) {
   const std::vector<std::string> All = {"w", "x", "y", "z"};
   const std::vector<std::string> Fewer = {"w", "x", "z"};
   std::map<std::string, int> Counts;
   for (int I = 0; I < 400; ++I) {
     const std::string Id = "i-" + std::to_string(I);
-    const std::string Before = ReportRelay::pick(All, Id);
+    const std::string Before = ReportRelay::chooseRelay(All, Id);
     ++Counts[Before];
     if (Before != "y") {
-      EXPECT_EQ(ReportRelay::pick(Fewer, Id), Before);
+      EXPECT_EQ(ReportRelay::chooseRelay(Fewer, Id), Before);
     }
   }
   for (const std::string &Name : All)
     EXPECT_GT(Counts[Name], 50) << Name;
 }
 
-TEST(ReportGatherTest, AnswersGoTogetherWhenTheLastIsThere) {
-  std::vector<ReportAnswer> Got;
-  ReportGather Gather(2, TimePoint{}, [&Got](std::vector<ReportAnswer> All) {
-    Got = std::move(All);
-  });
-  Gather.note(1, ServerOrders{});
-  EXPECT_FALSE(Gather.isSent());
-  Gather.note(0, fail(ErrorCode::NotLeader, "x"));
-  ASSERT_TRUE(Gather.isSent());
-  EXPECT_EQ(Got[0].Verdict_, ReportVerdict::NotLeader);
-  EXPECT_EQ(Got[0].Text_, "x");
-  EXPECT_EQ(Got[1].Verdict_, ReportVerdict::Answered);
+TEST(AnswerCollectorTest, SendsAllAnswersTogether) {
+  std::vector<ReportAnswer> Answers;
+  AnswerCollector Collector(
+      2, TimePoint{},
+      [&Answers](std::vector<ReportAnswer> All) { Answers = std::move(All); });
+  Collector.addAnswer(1, ServerOrders{});
+  EXPECT_FALSE(Collector.isSent());
+  Collector.addAnswer(0, fail(ErrorCode::NotLeader, "x"));
+  ASSERT_TRUE(Collector.isSent());
+  EXPECT_EQ(Answers[0].Verdict_, ReportVerdict::NotLeader);
+  EXPECT_EQ(Answers[0].Text_, "x");
+  EXPECT_EQ(Answers[1].Verdict_, ReportVerdict::Answered);
 }
 
-TEST(ReportGatherTest, OneThatHangsDoesNotKeepTheOthers) {
-  std::vector<ReportAnswer> Got;
-  int Times = 0;
-  ReportGather Gather(2, TimePoint{}, [&](std::vector<ReportAnswer> All) {
-    Got = std::move(All);
-    ++Times;
+TEST(AnswerCollectorTest, MissingAnswerDoesNotDelayTheOthers) {
+  std::vector<ReportAnswer> Answers;
+  int SendCount = 0;
+  AnswerCollector Collector(2, TimePoint{}, [&](std::vector<ReportAnswer> All) {
+    Answers = std::move(All);
+    ++SendCount;
   });
-  Gather.look(TimePoint{} + 2s);
-  EXPECT_FALSE(Gather.isSent()) << "there is nothing to send yet";
-  Gather.note(0, ServerOrders{});
-  Gather.look(TimePoint{} + 2s);
-  ASSERT_TRUE(Gather.isSent());
-  EXPECT_EQ(Got[0].Verdict_, ReportVerdict::Answered);
-  EXPECT_EQ(Got[1].Verdict_, ReportVerdict::Failed);
-  Gather.note(1, ServerOrders{});
-  EXPECT_EQ(Times, 1);
+  Collector.sendIfOverdue(TimePoint{} + 2s);
+  EXPECT_FALSE(Collector.isSent()) << "there is nothing to send yet";
+  Collector.addAnswer(0, ServerOrders{});
+  Collector.sendIfOverdue(TimePoint{} + 2s);
+  ASSERT_TRUE(Collector.isSent());
+  EXPECT_EQ(Answers[0].Verdict_, ReportVerdict::Answered);
+  EXPECT_EQ(Answers[1].Verdict_, ReportVerdict::Failed);
+  Collector.addAnswer(1, ServerOrders{});
+  EXPECT_EQ(SendCount, 1);
 }
 
 // Guards against answers that are sent after the leader's side has ended, as
 // its disk failed, and still ask the leader.
-TEST(ReportGatherTest, AnAnswerMayOutliveTheLeader) {
+TEST(AnswerCollectorTest, CollectorOutlivesTheLeader) {
   ManualClock Time;
   jobs::test::ManualExecutor Strand(Time);
   JobMachine Machine;
@@ -187,19 +187,19 @@
   Batch.Reports_ = {makeReport("late"), makeReport("new")};
   Batch.Reports_[1].Facts_ = jobs::test::makeServer("new");
   Batch.LateReports_ = 1;
-  std::optional<ReportBatchReply> Got;
-  const auto Gather =
-      ReportGather::decide(std::move(Batch), *Leader, Flush, Time,
-                           [&Got](ReportBatchReply Reply) { Got = Reply; });
+  std::optional<ReportBatchReply> Reply;
+  const auto Collector = AnswerCollector::handleBatch(
+      std::move(Batch), *Leader, Flush, Time,
+      [&Reply](ReportBatchReply NewReply) { Reply = NewReply; });
   Strand.runAll();
-  ASSERT_FALSE(Gather->isSent());
+  ASSERT_FALSE(Collector->isSent());
   Leader.reset();
-  Gather->look(Time.now() + 1s);
-  ASSERT_TRUE(Got);
-  EXPECT_EQ(Got->Answers_.size(), 2U);
+  Collector->sendIfOverdue(Time.now() + 1s);
+  ASSERT_TRUE(Reply);
+  EXPECT_EQ(Reply->Answers_.size(), 2U);
 }
 
-TEST(ReportBatchTest, ABatchAndItsReplyTravelWhole) {
+TEST(ReportBatchTest, BatchAndReplyRoundTrip) {
   ReportBatch Batch{{makeReport("a", 1ULL << 40), makeReport("b")},
                     true,
                     7,
@@ -226,12 +226,12 @@
   Reply.Answers_ = {ReportAnswer::make(Orders),
                     ReportAnswer::make(fail(ErrorCode::Timeout, "why")),
                     ReportAnswer::make(fail(ErrorCode::InvalidArgument, "x"))};
-  auto Back = decodeReportReply(encodeReportReply(Reply));
-  ASSERT_EQ(Back.value(), Reply);
+  auto Decoded = decodeReportReply(encodeReportReply(Reply));
+  ASSERT_EQ(Decoded.value(), Reply);
   // Whoever relays must know that the server, not the leader, is at fault.
-  EXPECT_EQ(std::move(Back.value().Answers_[1]).takeOutcome().error().Code_,
+  EXPECT_EQ(std::move(Decoded.value().Answers_[1]).takeOutcome().error().Code_,
             ErrorCode::Unavailable);
-  EXPECT_EQ(std::move(Back.value().Answers_[2]).takeOutcome().error().Code_,
+  EXPECT_EQ(std::move(Decoded.value().Answers_[2]).takeOutcome().error().Code_,
             ErrorCode::InvalidArgument);
   EXPECT_FALSE(decodeReports("no batch"));
 }
@@ -242,8 +242,8 @@
 protected:
   Outcome<ServerOrders> report(int Node, const ServerReport &Report) {
     std::promise<Outcome<ServerOrders>> Answer;
-    Nodes_.at(Node)->report(Report, [&Answer](Outcome<ServerOrders> Got) {
-      Answer.set_value(std::move(Got));
+    Nodes_.at(Node)->report(Report, [&Answer](Outcome<ServerOrders> Orders) {
+      Answer.set_value(std::move(Orders));
     });
     return Answer.get_future().get();
   }
@@ -251,7 +251,7 @@
 
 } // namespace
 
-TEST_F(RelayedReportsTest, AFollowerAnswersForTheLeader) {
+TEST_F(RelayedReportsTest, FollowerRelaysTheLeadersAnswer) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(1));
@@ -268,7 +268,7 @@
   EXPECT_GT(Orders.FencingToken_, 0U);
 }
 
-TEST_F(RelayedReportsTest, TheLeaderSendsServersToOthersAndAloneKeepsThem) {
+TEST_F(RelayedReportsTest, LeaderRedirectsServersToOtherMembers) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(1));
@@ -296,7 +296,7 @@
       jobservice::test::waitFor([&] { return ReportToLeader().empty(); }));
 }
 
-TEST_F(RelayedReportsTest, ServersGoOnWhenTheLeaderIsLost) {
+TEST_F(RelayedReportsTest, ReportsAreAnsweredAfterLosingTheLeader) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(1));
@@ -313,7 +313,7 @@
       jobservice::test::waitFor([&] { return IsAnswered(6 - Lost - Other); }));
 }
 
-TEST_F(RelayedReportsTest, ALeavingIsDoneOnceTheOthersHaveAnswered) {
+TEST_F(RelayedReportsTest, LeaveCompletesOnceOtherMembersHaveAnswered) {
   for (const int Node : {1, 2, 3})
     start(Node, {1, 2, 3}, true);
   ASSERT_TRUE(putConfiguration(1));
@@ -326,17 +326,17 @@
     const int Leader = findLeader();
     if (Leader == 0)
       return false;
-    std::promise<bool> Left;
-    Nodes_.at(Leader)->leave("i-1", [&Left](const Outcome<void> &Result) {
-      Left.set_value(Result.has_value());
+    std::promise<bool> HasLeft;
+    Nodes_.at(Leader)->leave("i-1", [&HasLeft](const Outcome<void> &Result) {
+      HasLeft.set_value(Result.has_value());
     });
-    return Left.get_future().get();
+    return HasLeft.get_future().get();
   };
   EXPECT_TRUE(jobservice::test::waitFor(Leave));
 }
 
-TEST_F(ReportRelayTest, AnAnswerThatComesTooLateLeavesItsServerFirst) {
-  const auto Extend = [this] {
+TEST_F(ReportRelayTest, LateAnswerDoesNotExtendALease) {
+  const auto AnswerWithLease = [this] {
     Sent Oldest = std::move(Sent_.front());
     Sent_.pop_front();
     ServerOrders Orders;
@@ -346,10 +346,10 @@
   };
   add("prompt");
   Strand_.advance(20ms);
-  Extend();
+  AnswerWithLease();
   add("late");
   Strand_.advance(1s); // It has given the report up by now.
-  Extend();
+  AnswerWithLease();
   fillWindow();
   add("prompt");
   add("late");
@@ -362,8 +362,8 @@
 
 // Guards against a cancelled run that goes on until its server's lease is the
 // oldest.
-TEST_F(ReportRelayTest, AServerThatAwaitsAStopGoesBeforeOlderLeases) {
-  const auto Extend = [this](std::vector<ServerAwaitingStop> Stops) {
+TEST_F(ReportRelayTest, ServerAwaitingAStopGoesBeforeOlderLeases) {
+  const auto AnswerWithLease = [this](std::vector<ServerAwaitingStop> Stops) {
     Sent Oldest = std::move(Sent_.front());
     Sent_.pop_front();
     ServerOrders Orders;
@@ -376,24 +376,24 @@
   };
   add("older");
   Strand_.advance(20ms);
-  Extend({});
+  AnswerWithLease({});
   Strand_.advance(1s);
   add("stops");
   Strand_.advance(20ms);
-  Extend({{"stops", 0}});
+  AnswerWithLease({{"stops", 0}});
   fillWindow();
   add("older");
   add("stops");
   while (Sent_.size() > 1)
     answer();
-  Extend({});
+  AnswerWithLease({});
   Strand_.advance(20ms);
   ASSERT_FALSE(Sent_.empty());
   EXPECT_EQ(Sent_.back().Batch_.Reports_.at(0).Facts_.Id_, "stops");
 }
 
 // The relay may be told of a stop while the server's report waits already.
-TEST_F(ReportRelayTest, AReportThatWaitsIsMovedUpForAStop) {
+TEST_F(ReportRelayTest, QueuedReportMovesUpForAStop) {
   fillWindow();
   add("waits");
   add("stops");
--- a/tests/jobservice/SlowLeaderTest.cpp
+++ b/tests/jobservice/SlowLeaderTest.cpp
@@ -1,4 +1,4 @@
-//===- SlowLeaderTest.cpp - No lease ends by a leader's slowness ----------===//
+//===- SlowLeaderTest.cpp - Leases while the leader is slow ---------------===//
 //
 // What happened: a leader with a third of its processor answered 500 to 900
 // reports a second of 1,100 servers, enough to answer each of them every two
@@ -30,45 +30,47 @@
   /// The longest that the platform's servers go on without an answer.
   static constexpr Duration Lease = 6s;
   /// Two, as they were seen at that leader.
-  static constexpr Duration Commits = 160ms;
+  static constexpr Duration CommitTime = 160ms;
   /// A server drops what comes later.
-  static constexpr Duration Patience = 1s;
+  static constexpr Duration ReportTimeout = 1s;
 
   struct Server {
     TimePoint NextReport_{};
     TimePoint SentAt_{};
-    TimePoint HeldFrom_{}; ///< When the report was sent that was answered last.
+    /// When the report was sent that was answered last.
+    TimePoint LeaseStart_{};
     bool IsWaiting_ = false;
     std::uint64_t Sequence_ = 0;
-    Duration LongestGap_{};
+    Duration MaxLeaseGap_{};
   };
 
   void report(std::size_t Number) {
-    Server &Own = Servers_[Number];
-    Own.IsWaiting_ = true;
-    Own.SentAt_ = Time_.now();
-    const std::uint64_t Sequence = ++Own.Sequence_;
+    Server &Backend = Servers_[Number];
+    Backend.IsWaiting_ = true;
+    Backend.SentAt_ = Time_.now();
+    const std::uint64_t Sequence = ++Backend.Sequence_;
     Relay_->add(makeReport("i-" + std::to_string(Number), Sequence),
                 [this, Number, Sequence](const Outcome<ServerOrders> &Answer) {
-                  take(Number, Sequence, Answer);
+                  handleAnswer(Number, Sequence, Answer);
                 });
   }
 
-  void take(std::size_t Number, std::uint64_t Sequence,
-            const Outcome<ServerOrders> &Answer) {
-    Server &Own = Servers_[Number];
+  void handleAnswer(std::size_t Number, std::uint64_t Sequence,
+                    const Outcome<ServerOrders> &Answer) {
+    Server &Backend = Servers_[Number];
     const TimePoint Now = Time_.now();
-    if (Sequence != Own.Sequence_ || Now - Own.SentAt_ > Patience)
+    if (Sequence != Backend.Sequence_ || Now - Backend.SentAt_ > ReportTimeout)
       return;
-    Own.IsWaiting_ = false;
+    Backend.IsWaiting_ = false;
     if (Answer && Answer.value().LeaseMs_ > 0) {
-      Own.HeldFrom_ = Own.SentAt_;
+      Backend.LeaseStart_ = Backend.SentAt_;
       // Runs of two seconds: some end between any two reports.
-      Own.NextReport_ = Now + 50ms;
+      Backend.NextReport_ = Now + 50ms;
       return;
     }
-    Own.NextReport_ = Now + std::chrono::milliseconds(
-                                Answer ? Answer.value().NextReportMs_ : 500);
+    Backend.NextReport_ =
+        Now +
+        std::chrono::milliseconds(Answer ? Answer.value().NextReportMs_ : 500);
   }
 
   /// Each 10 ms of the time that follows.
@@ -76,13 +78,14 @@
     Strand_.advance(10ms);
     const TimePoint Now = Time_.now();
     for (std::size_t I = 0; I < Servers_.size(); ++I) {
-      Server &Own = Servers_[I];
-      if (Own.IsWaiting_ && Now - Own.SentAt_ > Patience) {
-        Own.IsWaiting_ = false;
-        Own.NextReport_ = Now;
+      Server &Backend = Servers_[I];
+      if (Backend.IsWaiting_ && Now - Backend.SentAt_ > ReportTimeout) {
+        Backend.IsWaiting_ = false;
+        Backend.NextReport_ = Now;
       }
-      Own.LongestGap_ = std::max(Own.LongestGap_, Now - Own.HeldFrom_);
-      if (!Own.IsWaiting_ && Own.NextReport_ <= Now)
+      Backend.MaxLeaseGap_ =
+          std::max(Backend.MaxLeaseGap_, Now - Backend.LeaseStart_);
+      if (!Backend.IsWaiting_ && Backend.NextReport_ <= Now)
         report(I);
     }
   }
@@ -101,35 +104,34 @@
 
   /// A leader that takes so long for a report, one after the other, and for the
   /// commits that an answer waits for.
-  void run(std::size_t Count, Duration ForAReport, Duration Time) {
+  void run(std::size_t Count, Duration ReportCost, Duration Length) {
     Servers_.resize(Count);
     for (std::size_t I = 0; I < Count; ++I) {
-      Servers_[I].HeldFrom_ = Time_.now();
+      Servers_[I].LeaseStart_ = Time_.now();
       Servers_[I].NextReport_ =
           Time_.now() + 500ms * static_cast<int>(I) / static_cast<int>(Count);
     }
-    const TimePoint End = Time_.now() + Time;
-    TimePoint FreeFrom = Time_.now();
+    const TimePoint End = Time_.now() + Length;
+    TimePoint LeaderFreeAt = Time_.now();
     while (Time_.now() < End) {
       step();
       while (!Sent_.empty()) {
         const Sent &Next = Sent_.front();
         const TimePoint DoneAt =
-            std::max(FreeFrom, Next.At_) +
-            ForAReport * static_cast<int>(Next.Batch_.Reports_.size());
-        if (DoneAt + Commits > Time_.now())
+            std::max(LeaderFreeAt, Next.SentAt_) +
+            ReportCost * static_cast<int>(Next.Batch_.Reports_.size());
+        if (DoneAt + CommitTime > Time_.now())
           break;
-        FreeFrom = DoneAt;
+        LeaderFreeAt = DoneAt;
         answerWithLeases();
       }
     }
   }
 
   std::size_t countStarved() const {
-    return static_cast<std::size_t>(
-        std::count_if(Servers_.begin(), Servers_.end(), [](const Server &Each) {
-          return Each.LongestGap_ > Lease;
-        }));
+    return static_cast<std::size_t>(std::count_if(
+        Servers_.begin(), Servers_.end(),
+        [](const Server &Backend) { return Backend.MaxLeaseGap_ > Lease; }));
   }
 
   std::vector<Server> Servers_;
@@ -137,13 +139,13 @@
 
 } // namespace
 
-TEST_F(SlowLeaderTest, NoServerThatReportsMissesALeaseWhileOthersAreAnswered) {
+TEST_F(SlowLeaderTest, NoReportingServerLosesItsLease) {
   // A quarter of 1,100 servers, at a quarter of 512 reports a second.
   run(275, 7800us, 40s);
   EXPECT_EQ(countStarved(), 0U);
 }
 
-TEST_F(SlowLeaderTest, ServersThatComeFromAnotherRelayAreNotStarvedEither) {
+TEST_F(SlowLeaderTest, ServersFromALostRelayKeepTheirLeases) {
   run(180, 7800us, 10s);
   // Their relay is gone: a hundred more, which nobody here knows.
   run(280, 7800us, 30s);
--- a/tests/jobservice/StarvedFleet.cpp
+++ b/tests/jobservice/StarvedFleet.cpp
@@ -10,13 +10,13 @@
 
 /// As the link between a relay and the leader gives a call up.
 static constexpr Duration CallTimeout = 800ms;
-static constexpr Duration LookInterval = 250ms;
+static constexpr Duration TimeoutCheckInterval = 250ms;
 static constexpr Duration JobInterval = 60ms;
-static constexpr int TasksOfAJob = 8;
+static constexpr int TasksPerJob = 8;
 /// A task with so many crashed servers may be given up.
-static constexpr std::size_t CrashesToGiveUp = 3;
+static constexpr std::size_t MaxCrashes = 3;
 /// A fifth of a report's cost is its reading, also where it is not handled.
-static constexpr int ReadingParts = 5;
+static constexpr int ReadCostDivisor = 5;
 
 static std::string nameRelay(int Number) {
   return "relay" + std::to_string(Number);
@@ -32,14 +32,15 @@
   return Status;
 }
 
-static JobLeaderSettings makeSettings(const FleetDay &Day) {
+static JobLeaderSettings makeSettings(const FleetScenario &Scenario) {
   JobLeaderSettings Settings;
-  Settings.Lease_ = Day.Lease_;
+  Settings.Lease_ = Scenario.Lease_;
   return Settings;
 }
 
-StarvedFleet::StarvedFleet(const FleetDay &Day)
-    : Day_(Day), Random_(Day.Seed_), Settings_(makeSettings(Day)),
+StarvedFleet::StarvedFleet(const FleetScenario &Scenario)
+    : Scenario_(Scenario), Random_(Scenario.Seed_),
+      Settings_(makeSettings(Scenario)),
       Flush_(
           "me", Time_, [] { return makeStatus(Relays); },
           [this](const std::string &Member, const FlushRequest &Request,
@@ -48,12 +49,12 @@
               if (nameRelay(I) == Member)
                 Relays_[static_cast<std::size_t>(I)]->flushServers(Request);
           }),
-      Leader_(Settings_, Time_, Strand_, Group_, Machine_, Advisor_, Provider_,
-              Flush_, Log_, Meter_),
-      Inbox_(Time_, Meter_,
-             [this](ReportBatch Batch, ReportInbox::Reply Reply) {
-               InHand_ = InHand{std::move(Batch), std::move(Reply)};
-             }) {
+      Leader_(Settings_, Time_, Strand_, Replica_, Machine_, Advisor_,
+              Provider_, Flush_, Log_, Meter_),
+      Inbox_(
+          Time_, Meter_, [this](ReportBatch Batch, ReportInbox::Reply Reply) {
+            InProgress_ = BatchInProgress{std::move(Batch), std::move(Reply)};
+          }) {
   for (int I = 0; I < Relays; ++I)
     Relays_.push_back(std::make_shared<ReportRelay>(
         Strand_, Time_,
@@ -65,20 +66,21 @@
   Leader_.putConfiguration(jobs::test::makeConfiguration(),
                            [](const Outcome<void> &) {});
   Strand_.runAll();
-  Group_.IsHeld_ = true;
-  Servers_.resize(static_cast<std::size_t>(Day.Servers_));
+  Replica_.IsHeld_ = true;
+  Servers_.resize(static_cast<std::size_t>(Scenario.Servers_));
   for (std::size_t I = 0; I < Servers_.size(); ++I) {
     Servers_[I].Id_ = "i-" + std::to_string(I) + "-0";
     Servers_[I].Relay_ = static_cast<int>(I) % Relays;
-    Servers_[I].NextReport_ = Time_.now() + 10ms * static_cast<int>(draw(50));
+    Servers_[I].NextReport_ =
+        Time_.now() + 10ms * static_cast<int>(drawBelow(50));
     Servers_[I].AnsweredAt_ = Time_.now();
   }
-  Begin_ = FreeFrom_ = Time_.now();
+  StartedAt_ = LeaderFreeAt_ = Time_.now();
   NextFault_ = Time_.now() + 3s;
 }
 
 void StarvedFleet::run() {
-  const TimePoint End = Time_.now() + Day_.Length_;
+  const TimePoint End = Time_.now() + Scenario_.Length_;
   while (Time_.now() < End)
     step();
 }
@@ -95,110 +97,112 @@
   Strand_.advance(Step);
   const TimePoint Now = Time_.now();
   if (Now >= NextCommit_) {
-    NextCommit_ = Now + Day_.ForACommit_;
-    Group_.commitAll();
+    NextCommit_ = Now + Scenario_.CommitInterval_;
+    Replica_.commitAll();
     Strand_.runAll();
   }
   if (Now >= NextJob_) {
     NextJob_ = Now + JobInterval;
-    handIn();
-    if (draw(4) == 0)
-      cancelOne();
+    submitJob();
+    if (drawBelow(4) == 0)
+      cancelRandomJob();
   }
-  if (Day_.HasFaults_ && Now >= NextFault_) {
-    NextFault_ = Now + Day_.FaultInterval_;
-    strike();
+  if (Scenario_.HasFaults_ && Now >= NextFault_) {
+    NextFault_ = Now + Scenario_.FaultInterval_;
+    injectFault();
   }
   for (std::size_t I = 0; I < Servers_.size(); ++I) {
-    Server &Own = Servers_[I];
-    if (Own.IsGone_)
+    Server &Backend = Servers_[I];
+    if (Backend.IsGone_)
       continue;
-    work(Own);
-    if (Own.IsWaiting_ && Now - Own.SentAt_ > Patience) {
-      Own.IsWaiting_ = false;
-      Own.Relay_ = (Own.Relay_ + 1) % Relays;
-      Own.NextReport_ = Now;
+    endRuns(Backend);
+    if (Backend.IsWaiting_ && Now - Backend.SentAt_ > ReportTimeout) {
+      Backend.IsWaiting_ = false;
+      Backend.Relay_ = (Backend.Relay_ + 1) % Relays;
+      Backend.NextReport_ = Now;
     }
-    if (!Own.IsWaiting_ && Own.NextReport_ <= Now)
+    if (!Backend.IsWaiting_ && Backend.NextReport_ <= Now)
       report(I);
   }
-  serve();
-  observe();
-  if (Now < NextLook_)
+  runLeader();
+  updateObservations();
+  if (Now < NextTimeoutCheck_)
     return;
-  NextLook_ = Now + LookInterval;
+  NextTimeoutCheck_ = Now + TimeoutCheckInterval;
   Flush_.retryExpired();
-  std::erase_if(Gathers_, [Now](const auto &Each) {
-    Each->look(Now);
-    return Each->isSent();
+  std::erase_if(Collectors_, [Now](const auto &Collector) {
+    Collector->sendIfOverdue(Now);
+    return Collector->isSent();
   });
 }
 
 Duration StarvedFleet::getReportCost() const {
-  const Duration Passed = Time_.now() - Begin_;
-  const bool IsSlow = Passed >= Day_.SlowFrom_ && Passed < Day_.SlowUntil_;
-  return IsSlow ? Day_.SlowReport_ : Day_.ForAReport_;
+  const Duration Passed = Time_.now() - StartedAt_;
+  const bool IsSlow =
+      Passed >= Scenario_.SlowFrom_ && Passed < Scenario_.SlowUntil_;
+  return IsSlow ? Scenario_.SlowReportCost_ : Scenario_.ReportCost_;
 }
 
 /// Judges what goes on at the moment.
-void StarvedFleet::observe() {
+void StarvedFleet::updateObservations() {
   const TimePoint Now = Time_.now();
   StartsBySecond_.resize(
-      static_cast<std::size_t>((Now - Begin_) / Duration(1s)) + 1);
-  for (const Server &Each : Servers_) {
-    if (Each.IsGone_)
+      static_cast<std::size_t>((Now - StartedAt_) / Duration(1s)) + 1);
+  for (const Server &Backend : Servers_) {
+    if (Backend.IsGone_)
       continue;
-    LongestWithoutLease_ =
-        std::max(LongestWithoutLease_, Now - Each.AnsweredAt_);
-    for (const auto &[Task, Own] : Each.Running_) {
-      Stories_[Task].AtWork_ = Now;
+    MaxTimeWithoutLease_ =
+        std::max(MaxTimeWithoutLease_, Now - Backend.AnsweredAt_);
+    for (const auto &[Task, Run] : Backend.Running_) {
+      Histories_[Task].LastRunning_ = Now;
       const auto Cancelled = Cancelled_.find(Task.Job_);
       if (Cancelled != Cancelled_.end())
-        LongestAfterCancel_ =
-            std::max(LongestAfterCancel_, Now - Cancelled->second);
+        MaxTimeAfterCancel_ =
+            std::max(MaxTimeAfterCancel_, Now - Cancelled->second);
     }
   }
-  for (const TaskKey &Task : LastingTasks_) {
+  for (const TaskKey &Task : LongRunningTasks_) {
     if (Cancelled_.count(Task.Job_) != 0 || mayBeGivenUp(Task))
       continue;
-    TaskStory &Story = Stories_[Task];
-    if (isGone(Story.PlacedOn_))
-      Story.AtWork_ = std::max(Story.AtWork_, Story.PlacedAt_);
-    LongestAway_ = std::max(LongestAway_, Now - Story.AtWork_);
+    TaskHistory &History = Histories_[Task];
+    if (isGone(History.PlacedOn_))
+      History.LastRunning_ = std::max(History.LastRunning_, History.PlacedAt_);
+    MaxDowntime_ = std::max(MaxDowntime_, Now - History.LastRunning_);
   }
 }
 
 bool StarvedFleet::mayBeGivenUp(const TaskKey &Task) const {
   return Machine_.read([&Task](const JobBook &Book) {
     const TaskRecord *Record = Book.findTask(Task);
-    return Record && Record->Crashes_.size() >= CrashesToGiveUp;
+    return Record && Record->Crashes_.size() >= MaxCrashes;
   });
 }
 
-void StarvedFleet::notePlaced(const Event &Started) {
+void StarvedFleet::recordPlacement(const Event &Started) {
   if (Started.Outcome_ != "placed")
     return;
   // Jobs of the fleet have one step.
   const std::string Index = Started.Task_.substr(Started.Task_.rfind('.') + 1);
-  TaskStory &Story = Stories_[{Started.Job_, 0, 0, std::stoull(Index)}];
-  Story.PlacedOn_ = Started.Server_;
-  Story.PlacedAt_ = Time_.now();
+  TaskHistory &History = Histories_[{Started.Job_, 0, 0, std::stoull(Index)}];
+  History.PlacedOn_ = Started.Server_;
+  History.PlacedAt_ = Time_.now();
 }
 
 bool StarvedFleet::isGone(const std::string &Id) const {
-  return std::none_of(
-      Servers_.begin(), Servers_.end(),
-      [&Id](const Server &Each) { return Each.Id_ == Id && !Each.IsGone_; });
+  return std::none_of(Servers_.begin(), Servers_.end(),
+                      [&Id](const Server &Backend) {
+                        return Backend.Id_ == Id && !Backend.IsGone_;
+                      });
 }
 
 void StarvedFleet::receive(ReportBatch Batch, ReportRelay::BatchDone Done) {
   const TimePoint Now = Time_.now();
   const auto Shared = std::make_shared<ReportRelay::BatchDone>(std::move(Done));
   Calls_.push_back({Shared, Now});
-  FreeFrom_ =
-      std::max(FreeFrom_, Now) +
-      getReportCost() / ReadingParts * static_cast<int>(Batch.Reports_.size());
-  Work_.post([this, Shared, Now, Sent = std::move(Batch)]() mutable {
+  LeaderFreeAt_ = std::max(LeaderFreeAt_, Now) +
+                  getReportCost() / ReadCostDivisor *
+                      static_cast<int>(Batch.Reports_.size());
+  LeaderQueue_.post([this, Shared, Now, Sent = std::move(Batch)]() mutable {
     Inbox_.add(std::move(Sent), Now, [Shared](ReportBatchReply Reply) {
       if (*Shared)
         std::exchange(*Shared, nullptr)(std::move(Reply));
@@ -212,8 +216,8 @@
     int Count = static_cast<int>(Batch.Reports_.size() - Batch.LateReports_);
     for (std::size_t I = 0; I < Batch.LateReports_; ++I) {
       const std::vector<EndedTask> &Ends = Batch.Reports_[I].Ended_;
-      Count += std::any_of(Ends.begin(), Ends.end(), [&Book](const auto &Each) {
-        const TaskRecord *Task = Book.findTask(Each.End_.Task_);
+      Count += std::any_of(Ends.begin(), Ends.end(), [&Book](const auto &End) {
+        const TaskRecord *Task = Book.findTask(End.End_.Task_);
         return Task && Task->State_ != TaskState::Done;
       });
     }
@@ -222,46 +226,47 @@
 }
 
 /// Lets the leader work for as long as its budget does.
-void StarvedFleet::serve() {
+void StarvedFleet::runLeader() {
   const TimePoint Now = Time_.now();
-  for (const Call &Each : Calls_)
-    if (*Each.Done_ && Now - Each.SentAt_ > CallTimeout)
-      std::exchange(*Each.Done_, nullptr)(fail(ErrorCode::Timeout, "late"));
-  std::erase_if(Calls_, [](const Call &Each) { return !*Each.Done_; });
-  while (FreeFrom_ <= Now) {
-    if (InHand_) {
-      handle(std::move(*std::exchange(InHand_, std::nullopt)));
+  for (const Call &Pending : Calls_)
+    if (*Pending.Done_ && Now - Pending.SentAt_ > CallTimeout)
+      std::exchange(*Pending.Done_, nullptr)(fail(ErrorCode::Timeout, "late"));
+  std::erase_if(Calls_, [](const Call &Pending) { return !*Pending.Done_; });
+  while (LeaderFreeAt_ <= Now) {
+    if (InProgress_) {
+      handleBatch(std::move(*std::exchange(InProgress_, std::nullopt)));
       continue;
     }
-    if (Work_.isIdle())
+    if (LeaderQueue_.isIdle())
       return;
-    FreeFrom_ = std::max(FreeFrom_, Now - Step);
-    Work_.runNext();
-    if (InHand_)
-      FreeFrom_ += getReportCost() * (ReadingParts - 1) / ReadingParts *
-                   countHandled(InHand_->Batch_);
+    LeaderFreeAt_ = std::max(LeaderFreeAt_, Now - Step);
+    LeaderQueue_.runNext();
+    if (InProgress_)
+      LeaderFreeAt_ += getReportCost() * (ReadCostDivisor - 1) /
+                       ReadCostDivisor * countHandled(InProgress_->Batch_);
   }
 }
 
-void StarvedFleet::handle(InHand Next) {
-  const auto Gather = ReportGather::decide(
+void StarvedFleet::handleBatch(BatchInProgress Next) {
+  const auto Collector = AnswerCollector::handleBatch(
       std::move(Next.Batch_), Leader_, Flush_, Time_,
       [this, Reply = std::move(Next.Reply_)](ReportBatchReply Answers) {
         Answers.AwaitingStop_ = Leader_.listAwaitingStop();
         Reply(std::move(Answers));
       });
-  if (!Gather->isSent())
-    Gathers_.push_back(Gather);
+  if (!Collector->isSent())
+    Collectors_.push_back(Collector);
   Strand_.runAll();
 }
 
-void StarvedFleet::handIn() {
+void StarvedFleet::submitJob() {
   const std::string Id = "job" + std::to_string(Jobs_.size());
-  StepSpec Step = jobs::test::makeStep(TasksOfAJob, 1000);
-  const bool IsLasting =
-      draw(10) == 0 && (Day_.MostLasting_ == 0 || Lasting_ < Day_.MostLasting_);
-  Step.LongRunning_ = IsLasting;
-  Lasting_ += IsLasting ? 1 : 0;
+  StepSpec Step = jobs::test::makeStep(TasksPerJob, 1000);
+  const bool IsLongRunning =
+      drawBelow(10) == 0 && (Scenario_.MaxLongRunningJobs_ == 0 ||
+                             LongRunningJobs_ < Scenario_.MaxLongRunningJobs_);
+  Step.LongRunning_ = IsLongRunning;
+  LongRunningJobs_ += IsLongRunning ? 1 : 0;
   Jobs_.push_back(Id);
   Leader_.call({CallKind::Submit, jobs::test::Host,
                 std::string(jobs::test::Prefix) + Id,
@@ -269,8 +274,8 @@
                [](const Outcome<JobCallReply> &) {});
 }
 
-void StarvedFleet::cancelOne() {
-  const std::string Id = Jobs_[draw(Jobs_.size())];
+void StarvedFleet::cancelRandomJob() {
+  const std::string Id = Jobs_[drawBelow(Jobs_.size())];
   Leader_.call(
       {CallKind::Cancel, jobs::test::Host, std::string(jobs::test::Prefix) + Id,
        jobs::test::makeJob("", {})},
@@ -286,179 +291,183 @@
 
 /// A server leaves at once with work on it, or falls silent; another life
 /// begins at its place some time later.
-void StarvedFleet::strike() {
-  for (Server &Each : Servers_)
-    if (Each.IsGone_ && draw(4) == 0)
-      renew(Each);
-  const std::size_t Number = draw(Servers_.size());
-  Server &Own = Servers_[Number];
-  if (Own.IsGone_)
+void StarvedFleet::injectFault() {
+  for (Server &Backend : Servers_)
+    if (Backend.IsGone_ && drawBelow(4) == 0)
+      restartServer(Backend);
+  const std::size_t Number = drawBelow(Servers_.size());
+  Server &Backend = Servers_[Number];
+  if (Backend.IsGone_)
     return;
-  ++Left_;
-  if (draw(2) == 0) {
-    Own.IsGone_ = true;
+  ++ServersLost_;
+  if (drawBelow(2) == 0) {
+    Backend.IsGone_ = true;
     return;
   }
   // Its last report is on its way, or kept, when its leaving arrives; or it was
   // deferred or lost, and there is no other.
-  if (!Own.IsWaiting_ && draw(2) == 0)
+  if (!Backend.IsWaiting_ && drawBelow(2) == 0)
     report(Number);
-  leave(Own);
+  removeServer(Backend);
 }
 
-void StarvedFleet::leave(Server &Own) {
-  Own.IsGone_ = true;
-  Leader_.leave(Own.Id_, [](const Outcome<void> &) {});
-  for (const EndedTask &Each : Own.Ended_)
-    if (Each.End_.How_ == RunEnd::Done && Each.Number_ <= Own.LastReported_)
-      noteDone(Each.End_);
+void StarvedFleet::removeServer(Server &Backend) {
+  Backend.IsGone_ = true;
+  Leader_.leave(Backend.Id_, [](const Outcome<void> &) {});
+  for (const EndedTask &End : Backend.Ended_)
+    if (End.End_.How_ == RunEnd::Done &&
+        End.Number_ <= Backend.LastReportedEnd_)
+      recordCompletion(End.End_);
   Strand_.runAll();
 }
 
-void StarvedFleet::renew(Server &Own) {
-  Server Fresh;
-  const std::size_t Dash = Own.Id_.rfind('-');
-  Fresh.Id_ = Own.Id_.substr(0, Dash + 1) +
-              std::to_string(std::stoi(Own.Id_.substr(Dash + 1)) + 1);
-  Fresh.Relay_ = static_cast<int>(draw(Relays));
-  Fresh.NextReport_ = Time_.now();
-  Fresh.AnsweredAt_ = Time_.now();
-  Own = std::move(Fresh);
+void StarvedFleet::restartServer(Server &Backend) {
+  Server NewServer;
+  const std::size_t Dash = Backend.Id_.rfind('-');
+  NewServer.Id_ = Backend.Id_.substr(0, Dash + 1) +
+                  std::to_string(std::stoi(Backend.Id_.substr(Dash + 1)) + 1);
+  NewServer.Relay_ = static_cast<int>(drawBelow(Relays));
+  NewServer.NextReport_ = Time_.now();
+  NewServer.AnsweredAt_ = Time_.now();
+  Backend = std::move(NewServer);
 }
 
-void StarvedFleet::work(Server &Own) {
+void StarvedFleet::endRuns(Server &Backend) {
   const TimePoint Now = Time_.now();
-  std::vector<TaskKey> Over;
-  if (Own.HasLease_ && Now >= Own.LeaseEnd_) {
-    Own.HasLease_ = false;
-    LeasesLost_ += Own.Running_.empty() ? 0 : 1;
-    for (const auto &[Task, Each] : Own.Running_)
-      Over.push_back(Task);
-    for (const TaskKey &Each : Over)
-      end(Own, Each, RunEnd::Lapsed);
+  std::vector<TaskKey> Ended;
+  if (Backend.HasLease_ && Now >= Backend.LeaseEnd_) {
+    Backend.HasLease_ = false;
+    LeasesLost_ += Backend.Running_.empty() ? 0 : 1;
+    for (const auto &[Task, Run] : Backend.Running_)
+      Ended.push_back(Task);
+    for (const TaskKey &Task : Ended)
+      endRun(Backend, Task, RunEnd::Lapsed);
     return;
   }
-  for (const auto &[Task, Each] : Own.Running_)
-    if (Each.EndsAt_ <= Now)
-      Over.push_back(Task);
-  for (const TaskKey &Each : Over)
-    end(Own, Each, RunEnd::Done);
+  for (const auto &[Task, Run] : Backend.Running_)
+    if (Run.EndsAt_ <= Now)
+      Ended.push_back(Task);
+  for (const TaskKey &Task : Ended)
+    endRun(Backend, Task, RunEnd::Done);
 }
 
-void StarvedFleet::end(Server &Own, const TaskKey &Task, RunEnd How) {
-  const std::uint64_t Run = Own.Running_.at(Task).Number_;
-  Own.Running_.erase(Task);
-  Own.Ended_.push_back({++Own.LastEnd_, {Task, Run, How, ""}});
-  if (!Own.IsWaiting_)
-    Own.NextReport_ = std::min(Own.NextReport_, Time_.now() + 50ms);
+void StarvedFleet::endRun(Server &Backend, const TaskKey &Task, RunEnd How) {
+  const std::uint64_t Run = Backend.Running_.at(Task).Number_;
+  Backend.Running_.erase(Task);
+  Backend.Ended_.push_back({++Backend.LastEnd_, {Task, Run, How, ""}});
+  if (!Backend.IsWaiting_)
+    Backend.NextReport_ = std::min(Backend.NextReport_, Time_.now() + 50ms);
   Done_ += How == RunEnd::Done ? 1 : 0;
 }
 
 void StarvedFleet::report(std::size_t Number) {
-  Server &Own = Servers_[Number];
+  Server &Backend = Servers_[Number];
   ServerReport Report;
-  Report.Facts_ = jobs::test::makeServer(Own.Id_);
+  Report.Facts_ = jobs::test::makeServer(Backend.Id_);
   Report.Facts_.Address_ = "place" + std::to_string(Number) + ":1";
-  Report.Sequence_ = ++Own.Sequence_;
-  for (const auto &[Task, Each] : Own.Running_)
+  Report.Sequence_ = ++Backend.Sequence_;
+  for (const auto &[Task, Run] : Backend.Running_)
     Report.Running_.push_back(
-        {Task, Each.Number_, "", Each.IsLasting_ ? 100U : 50U, 0});
-  Report.Ended_ = Own.Ended_;
-  Own.LastReported_ = Own.LastEnd_;
-  Own.IsWaiting_ = true;
-  Own.SentAt_ = Time_.now();
-  Relays_[static_cast<std::size_t>(Own.Relay_)]->add(
-      Report, [this, Number, Id = Own.Id_,
-               Sequence = Own.Sequence_](const Outcome<ServerOrders> &Answer) {
+        {Task, Run.Number_, "", Run.IsLongRunning_ ? 100U : 50U, 0});
+  Report.Ended_ = Backend.Ended_;
+  Backend.LastReportedEnd_ = Backend.LastEnd_;
+  Backend.IsWaiting_ = true;
+  Backend.SentAt_ = Time_.now();
+  Relays_[static_cast<std::size_t>(Backend.Relay_)]->add(
+      Report, [this, Number, Id = Backend.Id_, Sequence = Backend.Sequence_](
+                  const Outcome<ServerOrders> &Answer) {
         if (Servers_[Number].Id_ == Id)
-          take(Number, Sequence, Answer);
+          handleAnswer(Number, Sequence, Answer);
       });
 }
 
-void StarvedFleet::take(std::size_t Number, std::uint64_t Sequence,
-                        const Outcome<ServerOrders> &Answer) {
-  Server &Own = Servers_[Number];
+void StarvedFleet::handleAnswer(std::size_t Number, std::uint64_t Sequence,
+                                const Outcome<ServerOrders> &Answer) {
+  Server &Backend = Servers_[Number];
   const TimePoint Now = Time_.now();
-  if (Own.IsGone_ || Sequence != Own.Sequence_ || !Own.IsWaiting_ ||
-      Now - Own.SentAt_ > Patience)
+  if (Backend.IsGone_ || Sequence != Backend.Sequence_ || !Backend.IsWaiting_ ||
+      Now - Backend.SentAt_ > ReportTimeout)
     return;
-  Own.IsWaiting_ = false;
+  Backend.IsWaiting_ = false;
   if (!Answer) {
-    Own.Relay_ = (Own.Relay_ + 1) % Relays;
-    Own.NextReport_ = Now + 100ms;
+    Backend.Relay_ = (Backend.Relay_ + 1) % Relays;
+    Backend.NextReport_ = Now + 100ms;
     return;
   }
   const ServerOrders &Orders = Answer.value();
-  for (const EndedTask &Each : Own.Ended_)
-    if (Each.Number_ <= Orders.EndsNoted_ && Each.End_.How_ == RunEnd::Done)
-      noteDone(Each.End_);
-  std::erase_if(Own.Ended_, [&Orders](const EndedTask &Each) {
-    return Each.Number_ <= Orders.EndsNoted_;
+  for (const EndedTask &End : Backend.Ended_)
+    if (End.Number_ <= Orders.EndsNoted_ && End.End_.How_ == RunEnd::Done)
+      recordCompletion(End.End_);
+  std::erase_if(Backend.Ended_, [&Orders](const EndedTask &End) {
+    return End.Number_ <= Orders.EndsNoted_;
   });
-  const bool HasNews = !Own.Ended_.empty() || !Orders.Starts_.empty();
-  Own.NextReport_ =
+  const bool HasNews = !Backend.Ended_.empty() || !Orders.Starts_.empty();
+  Backend.NextReport_ =
       Now + (HasNews ? 50ms : std::chrono::milliseconds(Orders.NextReportMs_));
   if (Orders.LeaseMs_ == 0)
     return;
-  Own.HasLease_ = true;
-  Own.AnsweredAt_ = Now;
-  Own.LeaseEnd_ = std::max(
-      Own.LeaseEnd_, Own.SentAt_ + std::chrono::milliseconds(Orders.LeaseMs_));
-  for (const StopOrder &Each : Orders.Stops_) {
-    std::uint64_t &Highest = Own.Highest_[Each.Task_];
-    Highest = std::max(Highest, Each.Run_);
-    const auto Found = Own.Running_.find(Each.Task_);
-    if (Found != Own.Running_.end() && Found->second.Number_ == Each.Run_)
-      end(Own, Each.Task_, RunEnd::Stopped);
+  Backend.HasLease_ = true;
+  Backend.AnsweredAt_ = Now;
+  Backend.LeaseEnd_ =
+      std::max(Backend.LeaseEnd_,
+               Backend.SentAt_ + std::chrono::milliseconds(Orders.LeaseMs_));
+  for (const StopOrder &Stop : Orders.Stops_) {
+    std::uint64_t &HighestRun = Backend.HighestRuns_[Stop.Task_];
+    HighestRun = std::max(HighestRun, Stop.Run_);
+    const auto It = Backend.Running_.find(Stop.Task_);
+    if (It != Backend.Running_.end() && It->second.Number_ == Stop.Run_)
+      endRun(Backend, Stop.Task_, RunEnd::Stopped);
   }
-  for (const StartOrder &Each : Orders.Starts_)
-    begin(Own, Each);
+  for (const StartOrder &Start : Orders.Starts_)
+    startRun(Backend, Start);
 }
 
-void StarvedFleet::begin(Server &Own, const StartOrder &Start) {
-  std::uint64_t &Highest = Own.Highest_[Start.Task_];
-  if (Start.Run_ <= Highest)
+void StarvedFleet::startRun(Server &Backend, const StartOrder &Start) {
+  std::uint64_t &HighestRun = Backend.HighestRuns_[Start.Task_];
+  if (Start.Run_ <= HighestRun)
     return;
-  Highest = Start.Run_;
+  HighestRun = Start.Run_;
   const TimePoint Now = Time_.now();
-  for (const Server &Each : Servers_)
-    if (!Each.IsGone_ && Each.Running_.count(Start.Task_) != 0)
-      breakPromise("runs in two places", Start.Task_);
-  TaskStory &Story = Stories_[Start.Task_];
-  Story.LastBegun_ = std::max(Story.LastBegun_, Start.Run_);
-  if (Story.IsDone_)
-    breakPromise("begins though its end was noted", Start.Task_);
+  for (const Server &Other : Servers_)
+    if (!Other.IsGone_ && Other.Running_.count(Start.Task_) != 0)
+      recordViolation("runs in two places", Start.Task_);
+  TaskHistory &History = Histories_[Start.Task_];
+  History.LastRun_ = std::max(History.LastRun_, Start.Run_);
+  if (History.IsDone_)
+    recordViolation("begins though its end was noted", Start.Task_);
   const auto Cancelled = Cancelled_.find(Start.Task_.Job_);
-  if (Cancelled != Cancelled_.end() && Now - Cancelled->second > CancelTime)
-    breakPromise("begins after its job was cancelled", Start.Task_);
-  const bool IsLasting = Machine_.read([&Start](const JobBook &Book) {
+  if (Cancelled != Cancelled_.end() && Now - Cancelled->second > MaxCancelDelay)
+    recordViolation("begins after its job was cancelled", Start.Task_);
+  const bool IsLongRunning = Machine_.read([&Start](const JobBook &Book) {
     const StepSpec *Step = Book.findStep(Start.Task_);
     return Step && Step->LongRunning_;
   });
-  Own.Running_[Start.Task_] = {
+  Backend.Running_[Start.Task_] = {
       Start.Run_,
-      IsLasting ? TimePoint::max()
-                : Now + 10ms * static_cast<int>(20 + draw(180)),
-      IsLasting};
-  Story.AtWork_ = Now;
-  if (IsLasting)
-    LastingTasks_.insert(Start.Task_);
+      IsLongRunning ? TimePoint::max()
+                    : Now + 10ms * static_cast<int>(20 + drawBelow(180)),
+      IsLongRunning};
+  History.LastRunning_ = Now;
+  if (IsLongRunning)
+    LongRunningTasks_.insert(Start.Task_);
   ++Started_;
   ++StartsBySecond_.back();
 }
 
 /// An end that is noted now must not have been begun again before.
-void StarvedFleet::noteDone(const TaskEnd &End) {
-  TaskStory &Story = Stories_[End.Task_];
-  Story.IsDone_ = true;
-  if (Story.LastBegun_ > End.Run_)
-    breakPromise("was done, and begun again before that was noted", End.Task_);
+void StarvedFleet::recordCompletion(const TaskEnd &End) {
+  TaskHistory &History = Histories_[End.Task_];
+  History.IsDone_ = true;
+  if (History.LastRun_ > End.Run_)
+    recordViolation("was done, and begun again before that was noted",
+                    End.Task_);
 }
 
-void StarvedFleet::breakPromise(const std::string &What, const TaskKey &Task) {
-  Broken_.push_back(Task.Job_ + "." + std::to_string(Task.Index_) + " " + What +
-                    " at " +
-                    std::to_string(std::chrono::duration<double>(
-                                       Time_.now().time_since_epoch())
-                                       .count()));
+void StarvedFleet::recordViolation(const std::string &Violation,
+                                   const TaskKey &Task) {
+  Violations_.push_back(Task.Job_ + "." + std::to_string(Task.Index_) + " " +
+                        Violation + " at " +
+                        std::to_string(std::chrono::duration<double>(
+                                           Time_.now().time_since_epoch())
+                                           .count()));
 }
--- a/tests/jobservice/StarvedFleet.h
+++ b/tests/jobservice/StarvedFleet.h
@@ -1,4 +1,4 @@
-//===- StarvedFleet.h - Servers, relays and a leader short of time --------===//
+//===- StarvedFleet.h - Simulates a fleet with a slow leader --------------===//
 //
 // A real leader behind three real relays, and servers that keep to the
 // platform's protocol, all under one manual clock. The leader has a budget: so
@@ -12,8 +12,8 @@
 #define TULIPWEIR_TESTS_JOBSERVICE_STARVEDFLEET_H
 
 #include "jobs/LeaderFixture.h"
+#include "jobservice/AnswerCollector.h"
 #include "jobservice/RelayFlush.h"
-#include "jobservice/ReportGather.h"
 #include "jobservice/ReportInbox.h"
 #include "jobservice/ReportRelay.h"
 
@@ -25,25 +25,26 @@
 using jobs::StartOrder;
 using jobs::TaskKey;
 
-struct FleetDay {
+struct FleetScenario {
   std::uint64_t Seed_ = 1;
   int Servers_ = 90;
-  Duration ForAReport_ = std::chrono::microseconds(500);
-  Duration ForACommit_ = std::chrono::milliseconds(10);
+  Duration ReportCost_ = std::chrono::microseconds(500);
+  Duration CommitInterval_ = std::chrono::milliseconds(10);
   Duration Length_ = std::chrono::seconds(30);
   bool HasFaults_ = false; ///< Servers leave, fall silent and come anew.
   Duration FaultInterval_ = std::chrono::milliseconds(700);
-  /// A slow spell: a report takes SlowReport_ instead, from SlowFrom_ after the
-  /// beginning to SlowUntil_.
-  Duration SlowReport_{};
+  /// A slow spell: a report takes SlowReportCost_ instead, from SlowFrom_ after
+  /// the beginning to SlowUntil_.
+  Duration SlowReportCost_{};
   Duration SlowFrom_{};
   Duration SlowUntil_{};
   Duration Lease_ = std::chrono::seconds(5);
-  int MostLasting_ = 0; ///< Most jobs of lasting tasks; 0 for any number.
+  int MaxLongRunningJobs_ =
+      0; ///< Most jobs of lasting tasks; 0 for any number.
 };
 
 /// What the leader has to do, which waits until it has time.
-class LeaderExecutor final : public Executor {
+class LeaderQueue final : public Executor {
 public:
   void post(std::function<void()> Task) override {
     Tasks_.push_back(std::move(Task));
@@ -78,27 +79,27 @@
 
 class StarvedFleet {
 public:
-  explicit StarvedFleet(const FleetDay &Day);
+  explicit StarvedFleet(const FleetScenario &Scenario);
   void run();
   /// From after the beginning to before Until, both in whole seconds.
   std::size_t countStarts(Duration From, Duration Until) const;
 
   // What was seen.
 
-  std::vector<std::string> Broken_; ///< Promises, in words.
-  std::size_t LeasesLost_ = 0;      ///< Of servers that reported all the while.
+  std::vector<std::string> Violations_; ///< Promises, in words.
+  std::size_t LeasesLost_ = 0; ///< Of servers that reported all the while.
   std::size_t Started_ = 0;
   std::size_t Done_ = 0;
-  std::size_t Left_ = 0; ///< Servers that left or fell silent.
+  std::size_t ServersLost_ = 0; ///< Servers that left or fell silent.
   /// Longest time that a server reported without an answer that extends its
   /// lease.
-  Duration LongestWithoutLease_{};
+  Duration MaxTimeWithoutLease_{};
   /// Longest time that a run went on after its job's cancellation was
   /// acknowledged.
-  Duration LongestAfterCancel_{};
+  Duration MaxTimeAfterCancel_{};
   /// Longest time that a lasting task was not at work after it once was, or
   /// after it was placed on a server that was lost as well.
-  Duration LongestAway_{};
+  Duration MaxDowntime_{};
   /// Starts in each second.
   std::vector<std::size_t> StartsBySecond_;
 
@@ -106,22 +107,23 @@
   static constexpr int Relays = 3;
   static constexpr Duration Step = std::chrono::milliseconds(10);
   /// A server drops what comes later.
-  static constexpr Duration Patience = std::chrono::seconds(1);
+  static constexpr Duration ReportTimeout = std::chrono::seconds(1);
   /// From the acknowledgement of a cancel to its last start.
-  static constexpr Duration CancelTime = std::chrono::seconds(3);
+  static constexpr Duration MaxCancelDelay = std::chrono::seconds(3);
 
   struct Run {
     std::uint64_t Number_ = 0;
     TimePoint EndsAt_{};
-    bool IsLasting_ = false;
+    bool IsLongRunning_ = false;
   };
   struct Server {
     std::string Id_;
     std::map<TaskKey, Run> Running_;
-    std::map<TaskKey, std::uint64_t> Highest_; ///< Runs seen, also as stopped.
+    /// Runs seen, also as stopped.
+    std::map<TaskKey, std::uint64_t> HighestRuns_;
     std::vector<jobs::EndedTask> Ended_;
     std::uint64_t LastEnd_ = 0;
-    std::uint64_t LastReported_ = 0; ///< Of these.
+    std::uint64_t LastReportedEnd_ = 0; ///< Of these.
     std::uint64_t Sequence_ = 0;
     int Relay_ = 0;
     bool IsWaiting_ = false;
@@ -133,7 +135,7 @@
     TimePoint AnsweredAt_{}; ///< Its last answer with a lease, or its begin.
   };
   /// A batch that the leader has at hand.
-  struct InHand {
+  struct BatchInProgress {
     jobs::ReportBatch Batch_;
     ReportInbox::Reply Reply_;
   };
@@ -142,69 +144,69 @@
     std::shared_ptr<ReportRelay::BatchDone> Done_; ///< Empty once called.
     TimePoint SentAt_{};
   };
-  struct TaskStory {
-    std::uint64_t LastBegun_ = 0; ///< The highest run that began.
-    bool IsDone_ = false;         ///< An end as done was noted.
-    std::string PlacedOn_;        ///< The server of its last start.
+  struct TaskHistory {
+    std::uint64_t LastRun_ = 0; ///< The highest run that began.
+    bool IsDone_ = false;       ///< An end as done was noted.
+    std::string PlacedOn_;      ///< The server of its last start.
     TimePoint PlacedAt_{};
-    TimePoint AtWork_{}; ///< When a lasting one was last seen running.
+    TimePoint LastRunning_{}; ///< When a lasting one was last seen running.
   };
 
   void step();
-  void serve();
-  void observe();
-  void notePlaced(const Event &Started);
+  void runLeader();
+  void updateObservations();
+  void recordPlacement(const Event &Started);
   bool isGone(const std::string &Id) const;
   bool mayBeGivenUp(const TaskKey &Task) const;
   Duration getReportCost() const;
   void receive(jobs::ReportBatch Batch, ReportRelay::BatchDone Done);
-  void handle(InHand Next);
+  void handleBatch(BatchInProgress Next);
   int countHandled(const jobs::ReportBatch &Batch) const;
-  void handIn();
-  void cancelOne();
-  void strike();
-  void leave(Server &Own);
-  void renew(Server &Own);
-  void work(Server &Own);
-  void end(Server &Own, const TaskKey &Task, jobs::RunEnd How);
+  void submitJob();
+  void cancelRandomJob();
+  void injectFault();
+  void removeServer(Server &Backend);
+  void restartServer(Server &Backend);
+  void endRuns(Server &Backend);
+  void endRun(Server &Backend, const TaskKey &Task, jobs::RunEnd How);
   void report(std::size_t Number);
-  void take(std::size_t Number, std::uint64_t Sequence,
-            const Outcome<ServerOrders> &Answer);
-  void begin(Server &Own, const StartOrder &Start);
-  void noteDone(const jobs::TaskEnd &End);
-  void breakPromise(const std::string &What, const TaskKey &Task);
-  std::uint64_t draw(std::uint64_t Below) { return Random_() % Below; }
-
-  const FleetDay Day_;
+  void handleAnswer(std::size_t Number, std::uint64_t Sequence,
+                    const Outcome<ServerOrders> &Answer);
+  void startRun(Server &Backend, const StartOrder &Start);
+  void recordCompletion(const jobs::TaskEnd &End);
+  void recordViolation(const std::string &Violation, const TaskKey &Task);
+  std::uint64_t drawBelow(std::uint64_t Limit) { return Random_() % Limit; }
+
+  const FleetScenario Scenario_;
   std::mt19937_64 Random_;
   ManualClock Time_;
   jobs::test::ManualExecutor Strand_{Time_};
   jobs::JobMachine Machine_;
-  jobs::test::ManualReplica Group_{Machine_};
+  jobs::test::ManualReplica Replica_{Machine_};
   jobs::NoAdvisor Advisor_;
   jobs::NoVmProvider Provider_;
-  StartLog Log_{[this](const Event &Started) { notePlaced(Started); }};
+  StartLog Log_{[this](const Event &Started) { recordPlacement(Started); }};
   jobs::NoJobMeter Meter_;
   const jobs::JobLeaderSettings Settings_;
   std::vector<std::shared_ptr<ReportRelay>> Relays_;
   RelayFlush Flush_;
   jobs::JobLeader Leader_;
-  LeaderExecutor Work_;
+  LeaderQueue LeaderQueue_;
   ReportInbox Inbox_;
-  std::optional<InHand> InHand_;
+  std::optional<BatchInProgress> InProgress_;
   std::deque<Call> Calls_;
-  std::vector<std::shared_ptr<ReportGather>> Gathers_;
+  std::vector<std::shared_ptr<AnswerCollector>> Collectors_;
   std::vector<Server> Servers_;
-  std::map<TaskKey, TaskStory> Stories_;
-  std::set<TaskKey> LastingTasks_;             ///< That have begun.
+  std::map<TaskKey, TaskHistory> Histories_;
+  std::set<TaskKey> LongRunningTasks_;         ///< That have begun.
   std::map<std::string, TimePoint> Cancelled_; ///< Jobs, and when it was said.
   std::vector<std::string> Jobs_;
-  int Lasting_ = 0; ///< Jobs of lasting tasks.
-  TimePoint Begin_{};
-  TimePoint FreeFrom_{};
+  int LongRunningJobs_ = 0; ///< Jobs of lasting tasks.
+  TimePoint StartedAt_{};
+  TimePoint LeaderFreeAt_{};
   TimePoint NextCommit_{};
   TimePoint NextJob_{};
-  TimePoint NextLook_{};
+  TimePoint NextTimeoutCheck_{};
   TimePoint NextFault_{};
 };
 
