--- a/src/jobservice/RelayFlush.h
+++ b/src/jobservice/RelayFlush.h
@@ -1,9 +1,9 @@
-//===- RelayFlush.h - Asks relays for buffered reports ---------*- C++ -*-===//
+//===- RelayFlush.h - Requests buffered reports from relays -----*- C++ -*-===//
 //
 // The leader sends a flush request to every other member. A relay answers with
 // a batch of reports on the link that carries all its batches, so its earlier
-// batches have arrived by then. Members that are gone are not waited for.
-// Requests that fail or get no answer are sent again.
+// batches have arrived by then. Lost members are not waited for. Requests that
+// fail or get no answer are sent again.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,59 +20,61 @@
 
 namespace tulipweir::jobservice {
 
-/// Lives on one executor: all members are called there, and callbacks run
-/// there.
+/// All members are called on one executor, and callbacks run there.
 class RelayFlush final : public jobs::ReportRelays {
 public:
-  /// Sends a request to a member; Failed is called on the executor if it may
-  /// not have arrived.
-  using Ask = std::function<void(const std::string &Member, jobs::FlushRequest,
-                                 std::function<void()> Failed)>;
-  /// The state of this member's replica.
+  /// Sends a request to a member. Failed is called on the executor if the
+  /// request may not have arrived.
+  using SendRequest =
+      std::function<void(const std::string &Member, jobs::FlushRequest,
+                         std::function<void()> Failed)>;
+  /// Returns the status of this member's replica.
   using GetStatus = std::function<replication::ReplicaStatus()>;
 
   /// Self is this member's name. Time must outlive it.
   RelayFlush(std::string Self, const Clock &Time, GetStatus FindStatus,
-             Ask Asking);
+             SendRequest Send);
 
   // Commands.
 
   void flush(const std::string &ServerId, std::function<void()> Done) override;
   void findHeard(const std::vector<std::string> &ServerIds,
                  std::function<void(Heard)> Done) override;
-  /// Called once the reports of a batch that answers a request were handled.
+  /// Completes a request. Called once the reports of the batch that answers it
+  /// have been handled.
   void onBatch(std::uint64_t FlushId, const std::vector<std::string> &Servers);
-  /// Resends requests without an answer, and gives up those that took too
-  /// long. Called periodically.
+  /// Resends requests without an answer, and gives up those that took too long.
+  /// Called periodically.
   void retryExpired();
 
 private:
   struct Round {
     std::vector<std::string> Servers_;
     bool OnlySilent_ = false;
-    std::size_t Open_ = 0; ///< Members that have not answered.
+    std::size_t Unanswered_ = 0; ///< Members that have not answered.
     Heard Heard_;
     std::function<void(Heard)> Done_;
-    TimePoint Begin_;
+    TimePoint StartedAt_;
   };
   /// A request to one member.
   struct PendingRequest {
     std::shared_ptr<Round> Round_;
     std::string Member_;
     bool HasFailed_ = false;
-    TimePoint AskedAt_{};
+    TimePoint SentAt_{};
   };
 
-  void begin(Round Fresh);
-  void ask(std::uint64_t Id);
-  void settle(std::uint64_t Id, const std::vector<std::string> &Servers);
+  void startRound(Round Initial);
+  void sendRequest(std::uint64_t Id);
+  void completeRequest(std::uint64_t Id,
+                       const std::vector<std::string> &Servers);
 
   const std::string Self_;
   const Clock &Time_;
   const GetStatus FindStatus_;
-  const Ask Ask_;
+  const SendRequest SendRequest_;
   std::uint64_t LastId_ = 0;
-  std::map<std::uint64_t, PendingRequest> Open_;
+  std::map<std::uint64_t, PendingRequest> Requests_;
   /// Invalidates callbacks that run after destruction.
   std::shared_ptr<RelayFlush *> Alive_ = std::make_shared<RelayFlush *>(this);
 };
--- a/tests/jobservice/ReportInboxTest.cpp
+++ b/tests/jobservice/ReportInboxTest.cpp
@@ -1,4 +1,4 @@
-//===- ReportInboxTest.cpp - Batches that wait for the leader -------------===//
+//===- ReportInboxTest.cpp - Tests of batch expiry ------------------------===//
 
 #include "jobservice/ReportInbox.h"
 #include "jobservice/RelayFixture.h"
@@ -13,7 +13,7 @@
 
 class ReportInboxTest : public ::testing::Test {
 protected:
-  /// Adds a batch that has waited for so long.
+  /// Adds a batch that has waited for the given time.
   void add(ReportBatch Batch, Duration Waited) {
     Batch.TimeoutMs_ = 800;
     Inbox_.add(std::move(Batch), Time_.now() - Waited,
@@ -34,15 +34,15 @@
 
 } // namespace
 
-TEST_F(ReportInboxTest, ABatchInTimeIsHandledAtOnceWithTheTimeItWaited) {
+TEST_F(ReportInboxTest, BatchInTimeIsHandledWithItsWaitTime) {
   add({{makeReport("a")}}, 300ms);
   ASSERT_EQ(Handled_.size(), 1U);
   EXPECT_EQ(Handled_[0].Reports_[0].WaitedMs_, 300U);
   EXPECT_TRUE(Replies_.empty());
 }
 
-// Guards against work on reports whose relays are about to give them up.
-TEST_F(ReportInboxTest, ABatchThatWaitedTooLongIsRejectedUnhandled) {
+// Guards against work on reports whose relays are about to time out.
+TEST_F(ReportInboxTest, ExpiredBatchIsRejectedUnhandled) {
   add({{makeReport("a"), makeReport("b")}}, 401ms);
   ASSERT_EQ(Replies_.size(), 1U);
   ASSERT_EQ(Replies_[0].Answers_.size(), 2U);
@@ -50,8 +50,8 @@
   EXPECT_TRUE(Handled_.empty());
 }
 
-// Guards against a server that is given up although its ends had arrived.
-TEST_F(ReportInboxTest, TheEndsInAFlushDoNotExpire) {
+// Guards against a server that is removed although its ended tasks had arrived.
+TEST_F(ReportInboxTest, EndedTasksInAFlushDoNotExpire) {
   ReportBatch Batch{{makeReport("late"), makeReport("current")}};
   Batch.FlushId_ = 7;
   Batch.LateReports_ = 1;
@@ -61,7 +61,7 @@
   EXPECT_EQ(Handled_[0].FlushId_, 7U);
 }
 
-TEST_F(ReportInboxTest, ABatchWithoutATimeoutIsHandledHoweverLate) {
+TEST_F(ReportInboxTest, BatchWithoutATimeoutNeverExpires) {
   Inbox_.add({{makeReport("a")}}, Time_.now() - 5s, [](const auto &) {});
   EXPECT_EQ(Handled_.size(), 1U);
 }
--- a/tests/jobservice/StarvedFleet.h
+++ b/tests/jobservice/StarvedFleet.h
@@ -1,10 +1,10 @@
-//===- StarvedFleet.h - Servers, relays and a leader short of time --------===//
+//===- StarvedFleet.h - Simulates a fleet with a slow leader ----*- C++ -*-===//
 //
-// A real leader behind three real relays, and servers that keep to the
-// platform's protocol, all under one manual clock. The leader has a budget: so
-// much time for each report, one batch after the other, and so long for a
-// commit. Whatever a server sees is judged: what starts, what has ended, whose
-// lease ends. The same seed gives the same day.
+// Runs a real leader with three real relays, and servers that follow the
+// platform's protocol, under one manual clock. The leader has a time budget:
+// it handles batches one after the other, at a cost for each report, and
+// commits at a fixed interval. The fleet checks the starts, the ended runs and
+// the leases that servers see. Equal seeds give equal results.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,8 +12,8 @@
 #define TULIPWEIR_TESTS_JOBSERVICE_STARVEDFLEET_H
 
 #include "jobs/LeaderFixture.h"
+#include "jobservice/AnswerCollector.h"
 #include "jobservice/RelayFlush.h"
-#include "jobservice/ReportGather.h"
 #include "jobservice/ReportInbox.h"
 #include "jobservice/ReportRelay.h"
 
@@ -25,31 +25,32 @@
 using jobs::StartOrder;
 using jobs::TaskKey;
 
-struct FleetDay {
+struct FleetScenario {
   std::uint64_t Seed_ = 1;
   int Servers_ = 90;
-  Duration ForAReport_ = std::chrono::microseconds(500);
-  Duration ForACommit_ = std::chrono::milliseconds(10);
+  Duration ReportCost_ = std::chrono::microseconds(500);
+  Duration CommitInterval_ = std::chrono::milliseconds(10);
   Duration Length_ = std::chrono::seconds(30);
-  bool HasFaults_ = false; ///< Servers leave, fall silent and come anew.
+  bool HasFaults_ = false; ///< Servers leave, fall silent and restart.
   Duration FaultInterval_ = std::chrono::milliseconds(700);
-  /// A slow spell: a report takes SlowReport_ instead, from SlowFrom_ after the
-  /// beginning to SlowUntil_.
-  Duration SlowReport_{};
+  /// Between SlowFrom_ and SlowUntil_ after the start, a report costs
+  /// SlowReportCost_ instead of ReportCost_.
+  Duration SlowReportCost_{};
   Duration SlowFrom_{};
   Duration SlowUntil_{};
   Duration Lease_ = std::chrono::seconds(5);
-  int MostLasting_ = 0; ///< Most jobs of lasting tasks; 0 for any number.
+  /// Most jobs with long-running tasks; 0 for no limit.
+  int MaxLongRunningJobs_ = 0;
 };
 
-/// What the leader has to do, which waits until it has time.
-class LeaderExecutor final : public Executor {
+/// Queues the leader's work until its time budget allows it.
+class LeaderQueue final : public Executor {
 public:
   void post(std::function<void()> Task) override {
     Tasks_.push_back(std::move(Task));
   }
   void postAfter(Duration, std::function<void()>) override {
-    ADD_FAILURE() << "nothing is posted for later here";
+    ADD_FAILURE() << "delayed tasks are not supported";
   }
   bool isIdle() const { return Tasks_.empty(); }
   void runNext() {
@@ -62,7 +63,7 @@
   std::deque<std::function<void()>> Tasks_;
 };
 
-/// Tells what starts.
+/// Reports the starts of tasks.
 class StartLog final : public EventLog {
 public:
   using OnStart = std::function<void(const Event &)>;
@@ -78,50 +79,56 @@
 
 class StarvedFleet {
 public:
-  explicit StarvedFleet(const FleetDay &Day);
+  explicit StarvedFleet(const FleetScenario &Scenario);
   void run();
-  /// From after the beginning to before Until, both in whole seconds.
+  /// Counts the starts from From up to Until, both in whole seconds from the
+  /// beginning.
   std::size_t countStarts(Duration From, Duration Until) const;
 
-  // What was seen.
+  // Results.
 
-  std::vector<std::string> Broken_; ///< Promises, in words.
-  std::size_t LeasesLost_ = 0;      ///< Of servers that reported all the while.
+  /// Descriptions of violated invariants.
+  std::vector<std::string> Violations_;
+  std::size_t LeasesLost_ = 0; ///< Leases lost by servers that kept reporting.
   std::size_t Started_ = 0;
   std::size_t Done_ = 0;
-  std::size_t Left_ = 0; ///< Servers that left or fell silent.
-                         /// Longest time that a server reported without an
-                         /// answer that extends its lease.
-  Duration LongestWithoutLease_{};
-  /// Longest time that a run went on after its job's cancellation was
+  std::size_t ServersLost_ = 0; ///< Servers that left or fell silent.
+                                /// Longest time for which a server reported
+                                /// without an answer that extends its lease.
+  Duration MaxTimeWithoutLease_{};
+  /// Longest time for which a run continued after its job's cancellation was
   /// acknowledged.
-  Duration LongestAfterCancel_{};
-  /// Longest time that a lasting task was not at work after it once was, or
-  /// after it was placed on a server that was lost as well.
-  Duration LongestAway_{};
-  /// Starts in each second.
+  Duration MaxTimeAfterCancel_{};
+  /// Longest time for which a long-running task did not run, after it had run
+  /// or after it was placed on a server that was lost as well.
+  Duration MaxDowntime_{};
+  /// The number of starts in each second.
   std::vector<std::size_t> StartsBySecond_;
 
 private:
   static constexpr int Relays = 3;
   static constexpr Duration Step = std::chrono::milliseconds(10);
-  /// A server drops what comes later.
-  static constexpr Duration Patience = std::chrono::seconds(1);
-  /// From the acknowledgement of a cancel to its last start.
-  static constexpr Duration CancelTime = std::chrono::seconds(3);
+  /// A server drops answers that take longer.
+  static constexpr Duration ReportTimeout = std::chrono::seconds(1);
+  /// Longest time from the acknowledgement of a cancellation to the job's last
+  /// start.
+  static constexpr Duration MaxCancelDelay = std::chrono::seconds(3);
 
   struct Run {
     std::uint64_t Number_ = 0;
     TimePoint EndsAt_{};
-    bool IsLasting_ = false;
+    bool IsLongRunning_ = false;
   };
   struct Server {
     std::string Id_;
     std::map<TaskKey, Run> Running_;
-    std::map<TaskKey, std::uint64_t> Highest_; ///< Runs seen, also as stopped.
+    /// The highest run of each task that the server has seen, started or
+    /// stopped.
+    std::map<TaskKey, std::uint64_t> HighestRuns_;
     std::vector<jobs::EndedTask> Ended_;
     std::uint64_t LastEnd_ = 0;
-    std::uint64_t LastReported_ = 0; ///< Of these.
+    /// The last ended task that was reported.
+    std::uint64_t LastReportedEnd_ = 0;
     std::uint64_t Sequence_ = 0;
     int Relay_ = 0;
     bool IsWaiting_ = false;
@@ -130,81 +137,83 @@
     TimePoint SentAt_{};
     TimePoint NextReport_{};
     TimePoint LeaseEnd_{};
-    TimePoint AnsweredAt_{}; ///< Its last answer with a lease, or its begin.
+    TimePoint AnsweredAt_{}; ///< The last answer with a lease, or the start.
   };
-  /// A batch that the leader has at hand.
-  struct InHand {
+  /// A batch that the leader is handling.
+  struct BatchInProgress {
     jobs::ReportBatch Batch_;
     ReportInbox::Reply Reply_;
   };
   /// A relay's call to the leader.
   struct Call {
-    std::shared_ptr<ReportRelay::BatchDone> Done_; ///< Empty once called.
+    std::shared_ptr<ReportRelay::BatchDone> Done_; ///< Null once called.
     TimePoint SentAt_{};
   };
-  struct TaskStory {
-    std::uint64_t LastBegun_ = 0; ///< The highest run that began.
-    bool IsDone_ = false;         ///< An end as done was noted.
-    std::string PlacedOn_;        ///< The server of its last start.
+  struct TaskHistory {
+    std::uint64_t LastRun_ = 0; ///< The highest run that has started.
+    bool IsDone_ = false;  ///< The leader has acknowledged the task as done.
+    std::string PlacedOn_; ///< The server of the last placement.
     TimePoint PlacedAt_{};
-    TimePoint AtWork_{}; ///< When a lasting one was last seen running.
+    TimePoint LastRunning_{}; ///< When the task was last seen running.
   };
 
   void step();
-  void serve();
-  void observe();
-  void notePlaced(const Event &Started);
+  void runLeader();
+  void updateObservations();
+  void recordPlacement(const Event &Started);
   bool isGone(const std::string &Id) const;
   bool mayBeGivenUp(const TaskKey &Task) const;
   Duration getReportCost() const;
   void receive(jobs::ReportBatch Batch, ReportRelay::BatchDone Done);
-  void handle(InHand Next);
+  void handleBatch(BatchInProgress Next);
   int countHandled(const jobs::ReportBatch &Batch) const;
-  void handIn();
-  void cancelOne();
-  void strike();
-  void leave(Server &Own);
-  void renew(Server &Own);
-  void work(Server &Own);
-  void end(Server &Own, const TaskKey &Task, jobs::RunOutcome How);
+  void submitJob();
+  void cancelRandomJob();
+  void injectFault();
+  void removeServer(Server &Backend);
+  void restartServer(Server &Backend);
+  void endRuns(Server &Backend);
+  void endRun(Server &Backend, const TaskKey &Task, jobs::RunOutcome How);
   void report(std::size_t Number);
-  void take(std::size_t Number, std::uint64_t Sequence,
-            const Outcome<ServerOrders> &Answer);
-  void begin(Server &Own, const StartOrder &Start);
-  void noteDone(const jobs::TaskEnd &End);
-  void breakPromise(const std::string &What, const TaskKey &Task);
-  std::uint64_t draw(std::uint64_t Below) { return Random_() % Below; }
-
-  const FleetDay Day_;
+  void handleAnswer(std::size_t Number, std::uint64_t Sequence,
+                    const Outcome<ServerOrders> &Answer);
+  void startRun(Server &Backend, const StartOrder &Start);
+  void recordCompletion(const jobs::TaskEnd &End);
+  void recordViolation(const std::string &Violation, const TaskKey &Task);
+  std::uint64_t drawBelow(std::uint64_t Limit) { return Random_() % Limit; }
+
+  const FleetScenario Scenario_;
   std::mt19937_64 Random_;
   ManualClock Time_;
   jobs::test::ManualExecutor Strand_{Time_};
   jobs::JobStateMachine Machine_;
-  jobs::test::ManualReplica Group_{Machine_};
+  jobs::test::ManualReplica Replica_{Machine_};
   jobs::NullAdvisor Advisor_;
   jobs::NullVmProvider Provider_;
-  StartLog Log_{[this](const Event &Started) { notePlaced(Started); }};
+  StartLog Log_{[this](const Event &Started) { recordPlacement(Started); }};
   jobs::NoJobMeter Meter_;
   const jobs::JobLeaderSettings Settings_;
   std::vector<std::shared_ptr<ReportRelay>> Relays_;
   RelayFlush Flush_;
   jobs::JobLeader Leader_;
-  LeaderExecutor Work_;
+  LeaderQueue LeaderQueue_;
   ReportInbox Inbox_;
-  std::optional<InHand> InHand_;
+  std::optional<BatchInProgress> InProgress_;
   std::deque<Call> Calls_;
-  std::vector<std::shared_ptr<ReportGather>> Gathers_;
+  std::vector<std::shared_ptr<AnswerCollector>> Collectors_;
   std::vector<Server> Servers_;
-  std::map<TaskKey, TaskStory> Stories_;
-  std::set<TaskKey> LastingTasks_;             ///< That have begun.
-  std::map<std::string, TimePoint> Cancelled_; ///< Jobs, and when it was said.
+  std::map<TaskKey, TaskHistory> Histories_;
+  /// Long-running tasks that have started.
+  std::set<TaskKey> LongRunningTasks_;
+  /// Cancelled jobs and when the cancellation was acknowledged.
+  std::map<std::string, TimePoint> Cancelled_;
   std::vector<std::string> Jobs_;
-  int Lasting_ = 0; ///< Jobs of lasting tasks.
-  TimePoint Begin_{};
-  TimePoint FreeFrom_{};
+  int LongRunningJobs_ = 0; ///< Number of jobs with long-running tasks.
+  TimePoint StartedAt_{};
+  TimePoint LeaderFreeAt_{};
   TimePoint NextCommit_{};
   TimePoint NextJob_{};
-  TimePoint NextLook_{};
+  TimePoint NextTimeoutCheck_{};
   TimePoint NextFault_{};
 };
 
