--- a/src/jobs/PaceSetter.h
+++ b/src/jobs/PaceSetter.h
@@ -13,9 +13,7 @@
 #include "jobs/LiveServerTable.h"
 
 #include "jobs/PaceController.h"
-#include "jobs/PaceGuard.h"
 
-#include "jobs/ServerBoard.h"
 #include "jobs/TailLearner.h"
 #include "tulipweir/core/EventLog.h"
 #include "tulipweir/core/Time.h"
