--- a/src/jobs/CapacitySurvey.h
+++ b/src/jobs/CapacitySurvey.h
@@ -11,10 +11,8 @@
 
 #include "jobs/InterferenceModel.h"
 #include "jobs/LiveServerTable.h"
-
 #include "jobs/ReadyTimes.h"
 #include "jobs/RemainingCapacity.h"
-
 #include "jobs/ServerHealth.h"
 #include "jobs/ServingLoads.h"
 #include "jobs/TailHeadroom.h"
--- a/src/jobs/Dispatcher.h
+++ b/src/jobs/Dispatcher.h
@@ -16,7 +16,6 @@
 #include "jobs/IsolationPlanner.h"
 #include "jobs/LiveServerTable.h"
 #include "jobs/PaceController.h"
-
 #include "jobs/ReadyTimes.h"
 #include "jobs/RemainingCapacity.h"
 #include "jobs/SchedulingOrder.h"
--- a/src/jobs/JobLeaderImpl.h
+++ b/src/jobs/JobLeaderImpl.h
@@ -22,11 +22,9 @@
 #include "jobs/IncarnationConflicts.h"
 #include "jobs/LiveServerTable.h"
 #include "jobs/PaceController.h"
-
 #include "jobs/PaceSetter.h"
 #include "jobs/PendingStops.h"
 #include "jobs/WavePlanner.h"
-
 #include "replication/LeaderWatch.h"
 
 #include <deque>
--- a/src/jobs/PaceSetter.h
+++ b/src/jobs/PaceSetter.h
@@ -11,9 +11,7 @@
 
 #include "jobs/InterferenceModel.h"
 #include "jobs/LiveServerTable.h"
-
 #include "jobs/PaceController.h"
-
 #include "jobs/TailLearner.h"
 #include "tulipweir/core/EventLog.h"
 #include "tulipweir/core/Time.h"
