--- a/bench/platform/FleetSimulator.h
+++ b/bench/platform/FleetSimulator.h
@@ -3,8 +3,8 @@
 // Simulates several hundred backend servers, whose tasks run on a manual clock
 // and which report in the platform's format, and clients that submit three
 // kinds of jobs: short, filling and long-running ones. They talk to a
-// FleetTarget. Runs with the same seed are equal as far as the target's answers
-// are.
+// FleetTarget. Runs with the same seed are identical if the target gives the
+// same answers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -45,6 +45,7 @@
   double OverTargetShare_ = 0;
 };
 
+/// Simulates servers and clients of a FleetTarget. Not thread-safe.
 class FleetSimulator {
 public:
   FleetSimulator(const FleetLoad &Load, FleetTarget &Target);
--- a/tests/platform/MalformedBodiesTest.cpp
+++ b/tests/platform/MalformedBodiesTest.cpp
@@ -27,14 +27,14 @@
 namespace {
 
 const Json &getHeartbeat() {
-  static const Json Whole = Json::parse(
+  static const Json Valid = Json::parse(
       R"({"service":"s","address":"10.128.0.9:8080","zone":"z","version":"v1",
           "slots":8,"state":"ready","coldLeftMs":0,
           "capacity":{"cpu":16000,"memMb":32768,"gpu":0},
           "labels":["a","r1-3"],"currentTimeMs":482113,"seq":4,
           "running":[["5c0e.0.1.17",2,"00bb",41,77]],
           "finished":[[58,"5c0e.0.1.9",1,"done",""]]})");
-  return Whole;
+  return Valid;
 }
 
 /// Returns a value of each JSON type and some unusual ones.
@@ -75,10 +75,10 @@
 }
 
 TEST(MalformedBodiesTest, ReportWithFieldOfWrongTypeIsRejected) {
-  for (const auto &[Field, Whole] : getHeartbeat().items())
+  for (const auto &[Field, Original] : getHeartbeat().items())
     for (const Json &Unexpected : getUnexpectedValues()) {
       // Values of the field's own type may be valid.
-      if (Unexpected.type_name() == std::string(Whole.type_name()))
+      if (Unexpected.type_name() == std::string(Original.type_name()))
         continue;
       Json Value = getHeartbeat();
       Value[Field] = Unexpected;
@@ -144,10 +144,10 @@
                                        {"m-5", "p", VmState::Down, ""},
                                        {"m-6", "p", VmState::Up, "i-6"}}));
   EXPECT_FALSE(Result.value().List_.IsWhole_);
-  const auto Whole = parseVmPage(
+  const auto Complete = parseVmPage(
       R"({"machines":[{"machine":"m-1","pool":"p","state":"odd"}]})");
-  ASSERT_TRUE(Whole);
-  EXPECT_TRUE(Whole.value().List_.IsWhole_) << "all that there are are named";
+  ASSERT_TRUE(Complete);
+  EXPECT_TRUE(Complete.value().List_.IsWhole_) << "every row names a VM";
 }
 
 TEST(MalformedBodiesTest, VmListWithoutRowsIsRejected) {
--- a/tests/platform/WireTest.cpp
+++ b/tests/platform/WireTest.cpp
@@ -151,9 +151,9 @@
 }
 
 TEST(WireTest, TruncatedBodiesAreMalformed) {
-  for (const std::string *Whole : {&Job, &Heartbeat, &Configuration})
-    for (std::size_t Size = 0; Size < Whole->size(); ++Size) {
-      const std::string Cut = Whole->substr(0, Size);
+  for (const std::string *Complete : {&Job, &Heartbeat, &Configuration})
+    for (std::size_t Size = 0; Size < Complete->size(); ++Size) {
+      const std::string Cut = Complete->substr(0, Size);
       EXPECT_FALSE(parseJob(Cut));
       EXPECT_FALSE(parseHeartbeat("i", Cut));
       EXPECT_FALSE(parseConfiguration(Cut));
--- a/tests/platform/system/WholePathTest.cpp
+++ b/tests/platform/system/EndToEndTest.cpp
@@ -1,4 +1,4 @@
-//===- WholePathTest.cpp - System tests of the platform's programs --------===//
+//===- EndToEndTest.cpp - System tests of the platform's programs ---------===//
 
 #include "platform/system/PlatformCluster.h"
 
@@ -15,10 +15,10 @@
 
 namespace {
 
-class WholePathTest : public ::testing::Test, public PlatformCluster {
+class EndToEndTest : public ::testing::Test, public PlatformCluster {
 protected:
-  WholePathTest() : PlatformCluster(Links::Direct) {}
-  ~WholePathTest() override {
+  EndToEndTest() : PlatformCluster(Links::Direct) {}
+  ~EndToEndTest() override {
     Workers_.clear();
     if (HasFailure())
       printLogs();
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_F(WholePathTest, JobsCompleteOnceAndInOrder) {
+TEST_F(EndToEndTest, JobsCompleteOnceAndInOrder) {
   putConfiguration(1);
   addWorkers(3);
   for (int I = 0; I < 6; ++I)
@@ -66,7 +66,7 @@
   EXPECT_EQ(callControl("GET", "/api/config").json().value("version", 0), 1);
 }
 
-TEST_F(WholePathTest, JobsSurviveLossOfLeaderAndWorker) {
+TEST_F(EndToEndTest, JobsSurviveLossOfLeaderAndWorker) {
   putConfiguration(1);
   addWorkers(4);
   for (int I = 0; I < 8; ++I)
@@ -86,7 +86,7 @@
   EXPECT_EQ(Audit_.listViolations(), std::vector<std::string>{});
 }
 
-TEST_F(WholePathTest, StateSurvivesKillOfAllControls) {
+TEST_F(EndToEndTest, StateSurvivesKillOfAllControls) {
   putConfiguration(3);
   submit("kept", makeJob("ms=100;cpu=1000;mem=500"));
   for (int I = 0; I < Controls; ++I)
@@ -99,7 +99,7 @@
   EXPECT_EQ(Audit_.listViolations(), std::vector<std::string>{});
 }
 
-TEST_F(WholePathTest, EvacuationSurvivesLossOfLeaderUntilCancelled) {
+TEST_F(EndToEndTest, EvacuationSurvivesLossOfLeaderUntilCancelled) {
   putConfiguration(1);
   addWorkers(2);
   submit("first", makeJob("ms=50;cpu=1000;mem=500"));
@@ -122,7 +122,7 @@
   EXPECT_EQ(Audit_.listViolations(), std::vector<std::string>{});
 }
 
-TEST_F(WholePathTest, FailedAndCancelledJobsEnd) {
+TEST_F(EndToEndTest, FailedAndCancelledJobsEnd) {
   putConfiguration(1);
   addWorkers(2);
   submit("poison", makeJob("ms=20;cpu=1000;mem=500;fail"));
@@ -137,7 +137,7 @@
   EXPECT_EQ(Audit_.listViolations(), std::vector<std::string>{});
 }
 
-TEST_F(WholePathTest, DrainingWorkerGetsNoNewTasks) {
+TEST_F(EndToEndTest, DrainingWorkerGetsNoNewTasks) {
   putConfiguration(1);
   addWorkers(1);
   submit("first", makeJob("ms=50;cpu=1000;mem=500"));
@@ -153,7 +153,7 @@
   EXPECT_TRUE(waitForState("second", "completed"));
 }
 
-TEST_F(WholePathTest, PlannedStopsExitCleanly) {
+TEST_F(EndToEndTest, PlannedStopsExitCleanly) {
   putConfiguration(1);
   submit("j", makeJob("ms=50;cpu=1000;mem=500"));
   for (auto &[Name, Process] : processes()) {
@@ -162,7 +162,7 @@
   }
 }
 
-TEST_F(WholePathTest, LogLinesAreJsonAndNameFailedJobs) {
+TEST_F(EndToEndTest, LogLinesAreJsonAndNameFailedJobs) {
   putConfiguration(1);
   addWorkers(1);
   submit("fine", makeJob("ms=50;cpu=1000;mem=500"));
--- a/tests/platform/system/Worker.cpp
+++ b/tests/platform/system/Worker.cpp
@@ -56,9 +56,9 @@
     }
 }
 
-void Audit::reportViolation(const std::string &What) {
+void Audit::reportViolation(const std::string &Violation) {
   const std::lock_guard Hold(Lock_);
-  Violations_.push_back(What);
+  Violations_.push_back(Violation);
 }
 
 std::vector<std::string> Audit::listViolations() const {
--- a/tests/platform/system/Worker.h
+++ b/tests/platform/system/Worker.h
@@ -38,7 +38,7 @@
   /// expired since the end. No run of the task may begin after this end, not
   /// even one that began before the acknowledgement.
   void recordEndAcknowledged(const std::string &Task, std::uint64_t Run);
-  void reportViolation(const std::string &What);
+  void reportViolation(const std::string &Violation);
   std::vector<std::string> listViolations() const;
   std::uint64_t countDone() const;
   std::uint64_t countStarts() const;
@@ -64,6 +64,7 @@
   std::vector<std::string> Violations_;
 };
 
+/// A worker with a thread for heartbeats and one that ends due tasks.
 class Worker {
 public:
   struct Endpoint {
