--- a/bench/platform/HeartbeatBench.cpp
+++ b/bench/platform/HeartbeatBench.cpp
@@ -1,8 +1,9 @@
-//===- HeartbeatBench.cpp - A heartbeat from its bytes to its answer
+//===- HeartbeatBench.cpp - Cost of handling a heartbeat ------------------===//
 //
-// Heartbeats with 20 running entries and 2 ends each through the adapter's
-// codec and the leader's whole handling, over a replica that commits at once,
-// against parsing the JSON alone. The bound is a ratio of one run.
+// Passes heartbeats with 20 running and 2 ended tasks through the codec and the
+// leader, over a replica that commits immediately, and compares the time with
+// that of parsing the JSON alone. The bound applies to the ratio of both times
+// in one run.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +19,7 @@
 using namespace tulipweir::jobs;
 using namespace tulipweir::jobs::test;
 
-static constexpr double MostRatio = 3;
+static constexpr double MaxRatio = 3;
 static constexpr int RunningEntries = 20;
 static constexpr int EndedEntries = 2;
 static constexpr int Heartbeats = 2000;
@@ -45,7 +46,8 @@
   Leader.start();
   Strand.advance(std::chrono::milliseconds(100));
   Leader.putConfiguration(makeConfiguration(), [](const Outcome<void> &) {});
-  // Endless work of small tasks, so that each end is followed by a start.
+  // There are more tasks than the servers finish, so that each end is followed
+  // by a start.
   for (int I = 0; I < 50; ++I)
     Leader.call({CallKind::Submit, Host,
                  std::string(Prefix) + "5c0e7a21d94b36" + std::to_string(I),
@@ -57,7 +59,7 @@
   double Parsing = 0;
   double Handling = 0;
   for (int I = 1; I <= Heartbeats; ++I) {
-    nlohmann::json Beat = {
+    nlohmann::json Heartbeat = {
         {"service", "booking"},
         {"address", "10.128.0.9:8080"},
         {"zone", "dc1"},
@@ -74,13 +76,13 @@
     for (int End = 0; End < EndedEntries && Running.size() > RunningEntries;
          ++End) {
       const auto First = Running.begin();
-      Beat["finished"].push_back(
+      Heartbeat["finished"].push_back(
           {++Ends, First->first, First->second, "done", ""});
       Running.erase(First);
     }
     for (const auto &[Task, Run] : Running)
-      Beat["running"].push_back({Task, Run, "00000bb87a21d94b", 41, 20});
-    const std::string Body = Beat.dump();
+      Heartbeat["running"].push_back({Task, Run, "00000bb87a21d94b", 41, 20});
+    const std::string Body = Heartbeat.dump();
     const double Begin = nowMicros();
     const bool IsObject = nlohmann::json::parse(Body).is_object();
     const double Parsed = nowMicros();
@@ -101,7 +103,7 @@
       Running[Start[0]] = Start[1];
   }
   const double Ratio = Handling / Parsing;
-  const bool IsMet = Ratio <= MostRatio;
+  const bool IsMet = Ratio <= MaxRatio;
   std::printf("a heartbeat with %d running and %d ended entries: parsing alone "
               "%.1f us, all of it %.1f us\n",
               RunningEntries, EndedEntries, Parsing / Heartbeats,
--- a/tests/platform/system/Worker.h
+++ b/tests/platform/system/Worker.h
@@ -1,9 +1,9 @@
-//===- Worker.h - A stand-in for the platform's workers
-//-----------------------===//
+//===- Worker.h - Fake of the platform's workers --------------------------===//
 //
 // Speaks the platform's protocol to the controls: heartbeats, starts, stops,
-// leases, fencing tokens, checkpoints. A task's payload says what it does:
-// "ms=N;cpu=N;mem=N[;fail]". Whatever must never happen is written down.
+// leases, fencing tokens and checkpoints. The payload of a task defines what it
+// does: "ms=N;cpu=N;mem=N[;fail]". Violations of the protocol's guarantees are
+// recorded.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,22 +26,23 @@
 
 using Instant = std::chrono::steady_clock::time_point;
 
-/// What all workers of a test see together. Thread-safe.
+/// Record of the runs on all workers of a test. Thread-safe.
 class Audit {
 public:
-  void noteStart(const std::string &Task, std::uint64_t Run,
-                 const std::string &Worker, Instant At);
-  /// At: when it really ended, which may be earlier than it is noticed.
-  void noteEnd(const std::string &Task, std::uint64_t Run,
-               const std::string &How, Instant At);
-  /// The system took note of the run's end, and no lease had run out since:
-  /// from then on, and for what was started before, the end stands.
-  void noteTaken(const std::string &Task, std::uint64_t Run);
-  void noteBreak(const std::string &What);
-  std::vector<std::string> listBreaks() const;
+  void recordStart(const std::string &Task, std::uint64_t Run,
+                   const std::string &Worker, Instant At);
+  /// At is the time when the run ended, which may be before this call.
+  void recordEnd(const std::string &Task, std::uint64_t Run,
+                 const std::string &Outcome, Instant At);
+  /// Records that the leader has acknowledged the run's end and no lease had
+  /// expired since the end. No run of the task may begin after this end, not
+  /// even one that began before the acknowledgement.
+  void recordEndAcknowledged(const std::string &Task, std::uint64_t Run);
+  void reportViolation(const std::string &Violation);
+  std::vector<std::string> listViolations() const;
   std::uint64_t countDone() const;
   std::uint64_t countStarts() const;
-  /// Whether any task of the job was ever started.
+  /// Returns whether any task of the job was ever started.
   bool hasStarted(const std::string &Job) const;
 
 private:
@@ -51,44 +52,47 @@
     Instant Begin_;
     Instant End_ = Instant::max();
     bool IsDone_ = false;
-    bool IsTaken_ = false; ///< The end, as noteTaken says.
+    bool IsEndAcknowledged_ = false; ///< See recordEndAcknowledged().
   };
-  static void judge(const std::string &Task, const std::vector<Run> &Runs,
-                    std::vector<std::string> &Breaks);
+  static void checkRuns(const std::string &Task, const std::vector<Run> &Runs,
+                        std::vector<std::string> &Violations);
 
   mutable std::mutex Lock_;
-  std::map<std::string, std::vector<Run>> Runs_; ///< By task, as they began.
+  /// Runs by task, in the order of their starts.
+  std::map<std::string, std::vector<Run>> Runs_;
   std::uint64_t Starts_ = 0;
-  std::vector<std::string> Breaks_;
+  std::vector<std::string> Violations_;
 };
 
+/// A worker with a thread for heartbeats and one that ends due tasks.
 class Worker {
 public:
-  struct Place {
+  struct Endpoint {
     std::string Address_;
     std::uint16_t Port_ = 0;
   };
-  /// Address: of its machine, which lives on when it crashes; its own without.
-  Worker(std::string Id, std::vector<Place> Controls, Audit &Seen,
+  /// Address is that of the worker's machine, which survives a crash. If it is
+  /// empty, the worker gets an address of its own.
+  Worker(std::string Id, std::vector<Endpoint> Controls, Audit &SharedAudit,
          const std::string &Address = "");
   ~Worker();
   Worker(const Worker &) = delete;
   Worker &operator=(const Worker &) = delete;
 
-  /// Ends everything that runs, without a word: a crash.
+  /// Ends all tasks without reporting them.
   void crash();
   void drain() { IsDraining_ = true; }
-  /// While cut off, its heartbeats go nowhere and its leases run out.
+  /// While cut off, the worker sends no heartbeats, and its leases expire.
   void setCut(bool Cut) { IsCut_ = Cut; }
-  /// After a crash: the last heartbeat that was held up by a cut arrives.
-  void deliverHeldUp();
+  /// Delivers the last heartbeat that a cut has delayed. Called after a crash.
+  void deliverDelayedHeartbeat();
   std::uint64_t countRunning() const;
 
 private:
   struct Task {
     std::uint64_t Run_ = 0;
     std::uint64_t TotalMs_ = 0;
-    std::uint64_t SavedMs_ = 0; ///< Work done before this run.
+    std::uint64_t CheckpointMs_ = 0; ///< Progress before this run.
     std::int64_t Cpu_ = 0;
     std::int64_t Memory_ = 0;
     bool Fails_ = false;
@@ -97,38 +101,40 @@
 
   void run();
   void watchLeases();
-  void beat();
-  bool send(const Place &To, const std::string &Body);
-  void takeOrders(const nlohmann::json &Orders, Instant SentAt);
+  void sendHeartbeat();
+  bool send(const Endpoint &To, const std::string &Body);
+  void applyOrders(const nlohmann::json &Orders, Instant SentAt);
   void startTask(const nlohmann::json &Row);
-  void endTask(const std::string &Name, const std::string &How, Instant At);
-  void endDue(Instant Now);
-  void pause(std::chrono::milliseconds Most);
-  nlohmann::json makeBeat();
-  static std::uint64_t getDoneMs(const Task &Of, Instant Now);
+  void endTask(const std::string &Name, const std::string &Outcome, Instant At);
+  void endDueTasks(Instant Now);
+  void pause(std::chrono::milliseconds Max);
+  nlohmann::json makeHeartbeat();
+  static std::uint64_t getProgressMs(const Task &Measured, Instant Now);
 
   const std::string Id_;
   const std::string Address_;
-  std::vector<Place> Controls_;
-  Audit &Seen_;
+  std::vector<Endpoint> Controls_;
+  Audit &Audit_;
   std::atomic<bool> Stopping_{false};
   std::atomic<bool> IsDraining_{false};
   std::atomic<bool> IsCut_{false};
-  std::string HeldUp_; ///< The last heartbeat made while cut off.
-  std::size_t Next_ = 0;
+  std::string DelayedHeartbeat_; ///< The last heartbeat made while cut off.
+  std::size_t NextControl_ = 0;
   std::uint64_t Sequence_ = 0;
   std::uint64_t HighestToken_ = 0;
-  std::atomic<std::uint64_t> NextEnd_{1};
+  std::atomic<std::uint64_t> NextEndNumber_{1};
   Instant LeaseEnd_{};
-  Instant LastLapse_{}; ///< Guarded by Lock_, as is LeaseEnd_.
-  std::chrono::milliseconds Wait_{100};
-  mutable std::mutex Lock_; ///< Guards all below.
+  Instant LastLeaseExpiry_{}; ///< Guarded by Lock_, as is LeaseEnd_.
+  std::chrono::milliseconds HeartbeatDelay_{100};
+  mutable std::mutex Lock_; ///< Guards all members below.
   std::map<std::string, Task> Running_;
   std::vector<nlohmann::json> Ended_;
-  std::map<std::uint64_t, Instant> EndedAt_;      ///< By number, of these.
-  std::map<std::string, std::uint64_t> Outlawed_; ///< Highest run refused.
-  std::thread Thread_;
-  std::thread Watch_;
+  /// Time of each end in Ended_, by number.
+  std::map<std::uint64_t, Instant> EndedAt_;
+  /// Runs up to this number are rejected.
+  std::map<std::string, std::uint64_t> HighestRejectedRun_;
+  std::thread HeartbeatThread_;
+  std::thread LeaseThread_;
 };
 
 } // namespace tulipweir::platform_test
