--- a/bench/datacentre/AnnouncementBench.cpp
+++ b/bench/datacentre/AnnouncementBench.cpp
@@ -1,6 +1,6 @@
-//===- AnnouncementBench.cpp - Heartbeats, as the leader sees them --------===//
+//===- AnnouncementBench.cpp - Cost of announcements at the leader --------===//
 
-#include "tulipweir/datacentre/ServerLedger.h"
+#include "tulipweir/datacentre/ServerTracker.h"
 #include "tulipweir/wire/Codec.h"
 
 #include <benchmark/benchmark.h>
@@ -20,11 +20,11 @@
   Value.Slots_ = 8;
   Value.Connections_ = 64;
   TimePoint Now{std::chrono::hours(1)};
-  ServerLedger Ledger{ServerLedgerSettings{}, 1, Now, State};
+  ServerTracker Tracker{ServerTrackerSettings{}, 1, Now, State};
   std::uint64_t Index = 0;
-  const auto First = Ledger.onAnnouncement(Value, State, {Now, true});
-  for (const Command &Each : First.value().Proposals_)
-    State.apply(Each, 1, ++Index);
+  const auto First = Tracker.onAnnouncement(Value, State, {Now, true});
+  for (const Command &Proposal : First.value().Proposals_)
+    State.apply(Proposal, 1, ++Index);
   const JobId Job("job-1");
   if (Tasks > 0)
     State.apply(AdoptJob{{Job, TeamId("t"), JobClassId("c"), 1, Tasks,
@@ -49,7 +49,7 @@
   for (auto _ : Run) {
     ++Value.Sequence_;
     Now += std::chrono::milliseconds(500);
-    const auto Result = Ledger.onAnnouncement(Value, State, {Now, true});
+    const auto Result = Tracker.onAnnouncement(Value, State, {Now, true});
     ReplyBytes = wire::encode(Result.value().Reply_).size();
   }
   Run.counters["requestBytes"] =
--- a/bench/datacentre/ApplyBench.cpp
+++ b/bench/datacentre/ApplyBench.cpp
@@ -1,4 +1,4 @@
-//===- ApplyBench.cpp - Cost of commands and of snapshots -----------------===//
+//===- ApplyBench.cpp - Cost of commands and snapshots --------------------===//
 //
 // Commands against a state of the target's size: 300 servers and 13,000 tasks
 // in one data centre, and up to 1,000,000 records.
--- a/bench/datacentre/SlotBench.cpp
+++ b/bench/datacentre/SlotBench.cpp
@@ -1,6 +1,6 @@
-//===- SlotBench.cpp - Ways of sharing slots, and their cost --------------===//
+//===- SlotBench.cpp - Slot sharing rules and their cost ------------------===//
 
-#include "tulipweir/datacentre/SlotLedger.h"
+#include "tulipweir/datacentre/SlotAllocator.h"
 #include "tulipweir/wire/Codec.h"
 
 #include <benchmark/benchmark.h>
@@ -30,25 +30,25 @@
     Table = Rule(Slots, Average);
   std::mt19937 Random(1);
   double Total = 0;
-  double Without = 0;
-  int Least = 48;
+  double UnservedRequests = 0;
+  int LeastReached = 48;
   for (int E = 0; E < Entries; ++E) {
-    std::uint32_t Has = 0;
+    std::uint32_t Granted = 0;
     int Reached = 0;
     for (const auto &Row : Table) {
-      Has += Row[E];
+      Granted += Row[E];
       Reached += Row[E] > 0;
     }
-    Least = std::min(Least, Reached);
+    LeastReached = std::min(LeastReached, Reached);
     std::poisson_distribution<int> Draw(Average[E]);
     for (int I = 0; I < 10'000; ++I) {
-      const int Now = Draw(Random);
-      Total += Now;
-      Without += std::max(0, Now - static_cast<int>(Has));
+      const int Requests = Draw(Random);
+      Total += Requests;
+      UnservedRequests += std::max(0, Requests - static_cast<int>(Granted));
     }
   }
-  Run.counters["withoutSlotPercent"] = 100 * Without / Total;
-  Run.counters["leastServersReached"] = Least;
+  Run.counters["withoutSlotPercent"] = 100 * UnservedRequests / Total;
+  Run.counters["leastServersReached"] = LeastReached;
 }
 BENCHMARK_CAPTURE(share, evenly, &shareEvenly)->Arg(1)->Arg(2)->Arg(4);
 BENCHMARK_CAPTURE(share, byDemand, &shareByDemand)->Arg(1)->Arg(2)->Arg(4);
@@ -57,29 +57,29 @@
 /// One entry's report while nothing changes, with that many servers.
 static void report(benchmark::State &Run) {
   TimePoint Now{std::chrono::hours(1)};
-  SlotLedger Ledger{SlotSettings{}, 1, Now, {}};
+  SlotAllocator Allocator{SlotSettings{}, 1, Now, {}};
   for (int I = 0; I < Run.range(0); ++I)
-    Ledger.upsertServer({BackendServerId("server-" + std::to_string(I)),
-                         BootId("0123456789abcdef"),
-                         "10.0.0.1:8000",
-                         {ServiceId("booking")},
-                         8,
-                         64});
+    Allocator.upsertServer({BackendServerId("server-" + std::to_string(I)),
+                            BootId("0123456789abcdef"),
+                            "10.0.0.1:8000",
+                            {ServiceId("booking")},
+                            8,
+                            64});
   std::vector<wire::EntryReport> Reports(Entries);
   std::size_t TableBytes = 0;
   const auto Report = [&](int Entry) {
     wire::EntryReport &Value = Reports[Entry];
     Value.Entry_ = EntryId("entry-" + std::to_string(Entry));
     Value.Incarnation_ = 1;
-    const auto Reply = Ledger.onReport(Value, {Now, true}).value();
+    const auto Reply = Allocator.onReport(Value, {Now, true}).value();
     if (!Reply.Routes_)
       return;
     TableBytes = wire::encode(Reply).size();
     Value.RoutesHeld_ = Reply.RoutesVersion_;
     Value.Grants_.clear();
-    for (const wire::Route &Each : *Reply.Routes_)
+    for (const wire::Route &Route : *Reply.Routes_)
       Value.Grants_.push_back(
-          {Each.Server_, Each.Boot_, Each.Slots_, Each.Connections_, 0});
+          {Route.Server_, Route.Boot_, Route.Slots_, Route.Connections_, 0});
   };
   for (int Round = 0; Round < 20 * Entries; ++Round)
     Report(Round % Entries);
--- a/include/tulipweir/datacentre/Changes.h
+++ b/include/tulipweir/datacentre/Changes.h
@@ -1,4 +1,4 @@
-//===- Changes.h - What applying commands changed --------------*- C++ -*-===//
+//===- Changes.h - Effects of applied commands ------------------*- C++ -*-===//
 //
 // A command can change more than it names: a new boot ends attempts, a
 // cancellation ends waiting tasks. Changes name every effect, so that a
--- a/include/tulipweir/datacentre/Commands.h
+++ b/include/tulipweir/datacentre/Commands.h
@@ -1,4 +1,4 @@
-//===- Commands.h - Entries of a data centre's log -------------*- C++ -*-===//
+//===- Commands.h - Entries of a data centre's log --------------*- C++ -*-===//
 //
 // The commands that a data centre's replicas apply, and their results. Encoded
 // by encodeCommand/decodeCommand of DataCentreCodec.h.
@@ -36,7 +36,7 @@
 
 /// A backend server's first announcement of a boot, or a changed one. A new
 /// boot ends every attempt of the earlier boot as lost, so it is proposed only
-/// when none of them can still run (ServerLedger).
+/// when none of them can still run (ServerTracker).
 struct RegisterServer {
   BackendServerId Server_;
   BootId Boot_;
--- a/include/tulipweir/datacentre/DataCentreCodec.h
+++ b/include/tulipweir/datacentre/DataCentreCodec.h
@@ -1,4 +1,4 @@
-//===- DataCentreCodec.h - Bytes of commands, results, progress -*- C++ -*-===//
+//===- DataCentreCodec.h - Encodes commands and results ---------*- C++ -*-===//
 //
 // msgpack encodings of what goes into a data centre's log and comes out of it.
 // Decoding never trusts its input: bytes that do not fit give Malformed.
--- a/include/tulipweir/datacentre/DataCentreState.h
+++ b/include/tulipweir/datacentre/DataCentreState.h
@@ -1,4 +1,4 @@
-//===- DataCentreState.h - What a data centre's log builds -----*- C++ -*-===//
+//===- DataCentreState.h - Replicated state of a data centre ----*- C++ -*-===//
 //
 // Servers, jobs, tasks, placements and records of non-repeatable requests of
 // one data centre. Deterministic; no clock, lock or socket inside.
@@ -61,7 +61,7 @@
   bool operator==(const ServerRecord &) const = default;
 };
 
-/// Not thread-safe; DataCentreMachine adds the lock. Work per command is
+/// Not thread-safe; DataCentreStateMachine adds the lock. Work per command is
 /// logarithmic, except that a new boot, a cancellation and an adoption touch
 /// the tasks that they concern.
 class DataCentreState {
@@ -110,7 +110,7 @@
   std::map<JobId, JobRecord> Jobs_;
   /// Assignments of dropped jobs, oldest drop first; a bounded number. A
   /// leader whose fleet replica lags must not adopt a dropped job again.
-  std::map<JobId, std::uint64_t> Dropped_;
+  std::map<JobId, std::uint64_t> DroppedAssignments_;
   std::deque<JobId> DropOrder_;
   RequestRecords Records_;
 };
--- a/include/tulipweir/datacentre/DataCentreMachine.h
+++ b/include/tulipweir/datacentre/DataCentreStateMachine.h
@@ -1,12 +1,12 @@
-//===- DataCentreMachine.h - The data centre's state as a machine -*- C++ -*-=//
+//===- DataCentreStateMachine.h - Data centre state machine -----*- C++ -*-===//
 //
 // Puts DataCentreState behind replication::StateMachine, with a lock of its
 // own, queries for other threads and a feed of what was applied.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_DATACENTRE_DATACENTREMACHINE_H
-#define TULIPWEIR_DATACENTRE_DATACENTREMACHINE_H
+#ifndef TULIPWEIR_DATACENTRE_DATACENTRESTATEMACHINE_H
+#define TULIPWEIR_DATACENTRE_DATACENTRESTATEMACHINE_H
 
 #include "tulipweir/datacentre/DataCentreState.h"
 #include "tulipweir/replication/StateMachine.h"
@@ -27,7 +27,7 @@
 };
 
 /// Thread-safe. apply and restoreSnapshot are called by one thread at a time.
-class DataCentreMachine final : public replication::StateMachine {
+class DataCentreStateMachine final : public replication::StateMachine {
 public:
   /// Told of each applied command, in the log's order, on the applying thread
   /// and without the lock held: it may call withState, but the state may then
@@ -38,9 +38,9 @@
   using RestoredListener = std::function<void()>;
 
   /// Either listener may be empty.
-  explicit DataCentreMachine(const RecordLimits &Limits,
-                             AppliedListener OnApplied = {},
-                             RestoredListener OnRestored = {});
+  explicit DataCentreStateMachine(const RecordLimits &Limits,
+                                  AppliedListener OnApplied = {},
+                                  RestoredListener OnRestored = {});
 
   // Commands.
 
@@ -53,13 +53,15 @@
 
   /// Calls Use with the state, which stays as it is during the call. Use must
   /// be short and must not call this machine.
-  void withState(const std::function<void(const DataCentreState &)> &Use) const;
+  void
+  withState(const std::function<void(const DataCentreState &)> &Callback) const;
 
   /// The same with the index of the last command applied: a listener that
   /// rebuilds itself ignores fed commands up to that index. After a restore
   /// the index is 0 until the next command, as snapshots do not carry it.
-  void withStateAndIndex(const std::function<void(const DataCentreState &,
-                                                  std::uint64_t)> &Use) const;
+  void withStateAndIndex(
+      const std::function<void(const DataCentreState &, std::uint64_t)>
+          &Callback) const;
 
 private:
   const RecordLimits Limits_;
@@ -72,4 +74,4 @@
 
 } // namespace tulipweir::datacentre
 
-#endif // TULIPWEIR_DATACENTRE_DATACENTREMACHINE_H
+#endif // TULIPWEIR_DATACENTRE_DATACENTRESTATEMACHINE_H
--- a/include/tulipweir/datacentre/JobOutcomes.h
+++ b/include/tulipweir/datacentre/JobOutcomeTracker.h
@@ -1,11 +1,11 @@
-//===- JobOutcomes.h - Which jobs ended or were released --------*- C++ -*-===//
+//===- JobOutcomeTracker.h - Tracks ended and released jobs -----*- C++ -*-===//
 //
 // Derived from the feed of changes: what the fleet has yet to be told.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_DATACENTRE_JOBOUTCOMES_H
-#define TULIPWEIR_DATACENTRE_JOBOUTCOMES_H
+#ifndef TULIPWEIR_DATACENTRE_JOBOUTCOMETRACKER_H
+#define TULIPWEIR_DATACENTRE_JOBOUTCOMETRACKER_H
 
 #include "tulipweir/datacentre/DataCentreState.h"
 
@@ -31,13 +31,13 @@
 JobOutcome summarizeJob(const JobRecord &Job);
 
 /// Not thread-safe.
-class JobOutcomes {
+class JobOutcomeTracker {
 public:
   // Commands.
 
   /// To be told of every change that is applied, and of listChanges() after a
   /// reset.
-  void note(const Change &Value);
+  void onChange(const Change &AppliedChange);
   /// Forgets everything, before a rebuild.
   void reset();
 
@@ -59,4 +59,4 @@
 
 } // namespace tulipweir::datacentre
 
-#endif // TULIPWEIR_DATACENTRE_JOBOUTCOMES_H
+#endif // TULIPWEIR_DATACENTRE_JOBOUTCOMETRACKER_H
--- a/include/tulipweir/datacentre/Leadership.h
+++ b/include/tulipweir/datacentre/Leadership.h
@@ -1,4 +1,4 @@
-//===- Leadership.h - Moments of leadership, and clock drift ---*- C++ -*-===//
+//===- Leadership.h - Leadership checks and clock drift ---------*- C++ -*-===//
 //
 // What everything that a leader promises for a time has in common.
 //
@@ -19,9 +19,9 @@
 /// such a moment on was promised before the next election, however long the
 /// process is frozen afterwards: the other side counts from before Now_, the
 /// next leader from after it.
-struct LeaderMoment {
+struct LeadershipCheck {
   TimePoint Now_;
-  bool Leads_ = false;
+  bool IsLeader_ = false;
 };
 
 /// Returns how long a promise of Length by another clock may last at most by
--- a/include/tulipweir/datacentre/LeaseKeeper.h
+++ b/include/tulipweir/datacentre/LeaseManager.h
@@ -1,4 +1,4 @@
-//===- LeaseKeeper.h - Until when attempts may run -------------*- C++ -*-===//
+//===- LeaseManager.h - Expiry of task leases at the leader -----*- C++ -*-===//
 //
 // The leader's volatile account of task leases. One object per leadership:
 // made anew after each election, once everything committed before it was
@@ -12,8 +12,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_DATACENTRE_LEASEKEEPER_H
-#define TULIPWEIR_DATACENTRE_LEASEKEEPER_H
+#ifndef TULIPWEIR_DATACENTRE_LEASEMANAGER_H
+#define TULIPWEIR_DATACENTRE_LEASEMANAGER_H
 
 #include "tulipweir/core/Ids.h"
 #include "tulipweir/core/Time.h"
@@ -37,18 +37,18 @@
   bool operator==(const LeaseSettings &) const = default;
 
   /// Returns how long after the answer an attempt may run at most.
-  Duration longestRun() const {
+  Duration getMaxRunTime() const {
     return stretchForDrift(Ttl_ + StopGrace_, DriftPpm_);
   }
 };
 
 /// Not thread-safe: the leader's strand owns it.
-class LeaseKeeper {
+class LeaseManager {
 public:
   /// LastPlaced is the highest token of a placement that another keeper may
   /// have granted a lease for; ElectedAt a moment after the election.
-  LeaseKeeper(const LeaseSettings &Settings, const FencingToken &LastPlaced,
-              TimePoint ElectedAt);
+  LeaseManager(const LeaseSettings &Settings, const FencingToken &LastPlaced,
+               TimePoint ElectedAt);
 
   // Commands.
 
@@ -56,7 +56,7 @@
   /// received before Moment. False, and nothing granted, if another leader
   /// could exist by then.
   [[nodiscard]] bool renew(const TaskId &Task, AttemptNumber Attempt,
-                           const LeaderMoment &Moment);
+                           const LeadershipCheck &Check);
 
   /// Forgets an attempt that ended.
   void forget(const TaskId &Task, AttemptNumber Attempt);
@@ -65,13 +65,13 @@
 
   /// Until when the attempt may run at most, whoever renewed it. Token is that
   /// of its placement.
-  TimePoint findEnd(const TaskId &Task, AttemptNumber Attempt,
-                    const FencingToken &Token) const;
+  TimePoint findExpiry(const TaskId &Task, AttemptNumber Attempt,
+                       const FencingToken &Token) const;
 
   /// Whether no lease of the attempt can still run.
-  bool hasRunOut(const TaskId &Task, AttemptNumber Attempt,
-                 const FencingToken &Token, TimePoint Now) const {
-    return Now >= findEnd(Task, Attempt, Token);
+  bool hasExpired(const TaskId &Task, AttemptNumber Attempt,
+                  const FencingToken &Token, TimePoint Now) const {
+    return Now >= findExpiry(Task, Attempt, Token);
   }
 
   const LeaseSettings &settings() const { return Settings_; }
@@ -80,15 +80,15 @@
 private:
   struct Lease {
     AttemptNumber Attempt_;
-    TimePoint End_;
+    TimePoint Expiry_;
   };
 
   const LeaseSettings Settings_;
   const FencingToken LastPlaced_;
-  const TimePoint EarlierEnd_;
+  const TimePoint EarlierLeasesEnd_;
   std::unordered_map<TaskId, Lease> Leases_;
 };
 
 } // namespace tulipweir::datacentre
 
-#endif // TULIPWEIR_DATACENTRE_LEASEKEEPER_H
+#endif // TULIPWEIR_DATACENTRE_LEASEMANAGER_H
--- a/include/tulipweir/datacentre/RequestRecords.h
+++ b/include/tulipweir/datacentre/RequestRecords.h
@@ -1,4 +1,4 @@
-//===- RequestRecords.h - Non-repeatable requests, once each ---*- C++ -*-===//
+//===- RequestRecords.h - Records of non-repeatable requests ----*- C++ -*-===//
 //
 // The records that make a non-repeatable request run at most once. Part of the
 // data centre's state; bounded by retention and by count.
@@ -52,7 +52,7 @@
   std::uint64_t Nonce_ = 0; ///< Of the asker that was told Run last.
   std::uint64_t BegunWallMs_ = 0;
   /// Retention counts from here: the latest of begin, deadline and issue.
-  std::uint64_t KeptFromMs_ = 0;
+  std::uint64_t RetentionStartMs_ = 0;
   std::optional<wire::StoredAnswer> Answer_;
   bool operator==(const RequestRecord &) const = default;
 };
@@ -96,8 +96,8 @@
 private:
   using RecordMap = std::map<RequestKey, RequestRecord>;
 
-  void advance(std::uint64_t WallMs);
-  void retire(const RequestKey &Key);
+  void advanceClock(std::uint64_t WallMs);
+  void expireRecord(const RequestKey &Key);
   void index(const RequestKey &Key, const RequestRecord &Record);
   void unindexBegun(const RequestKey &Key, const RequestRecord &Record);
   RequestRecord *findAttempt(const RequestKey &Key, std::uint64_t Attempt);
@@ -105,7 +105,7 @@
   RecordLimits Limits_;
   std::uint64_t WallMs_ = 0;
   RecordMap Records_;
-  std::set<std::pair<std::uint64_t, RequestKey>> ByKeptFrom_;
+  std::set<std::pair<std::uint64_t, RequestKey>> ByRetentionStart_;
   std::map<EntryId, std::set<RequestKey>> BegunByEntry_;
 };
 
--- a/include/tulipweir/datacentre/SlotLedger.h
+++ b/include/tulipweir/datacentre/SlotAllocator.h
@@ -1,4 +1,4 @@
-//===- SlotLedger.h - Shares of servers' slots, granted to entries -*- C++ -*-//
+//===- SlotAllocator.h - Grants server slots to entries ---------*- C++ -*-===//
 //
 // The leader's volatile account of slots and connections of backend servers:
 // which entry process may use how many, until when. One object per leadership.
@@ -25,8 +25,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_DATACENTRE_SLOTLEDGER_H
-#define TULIPWEIR_DATACENTRE_SLOTLEDGER_H
+#ifndef TULIPWEIR_DATACENTRE_SLOTALLOCATOR_H
+#define TULIPWEIR_DATACENTRE_SLOTALLOCATOR_H
 
 #include "tulipweir/core/Error.h"
 #include "tulipweir/core/Ids.h"
@@ -53,7 +53,7 @@
   Duration MaxRequest_ = std::chrono::seconds(30);
   std::uint32_t DriftPpm_ = 1000;
   /// Shares follow the demand at most this often.
-  Duration RebalanceEvery_ = std::chrono::seconds(2);
+  Duration RebalanceInterval_ = std::chrono::seconds(2);
   ShareRule Share_ = &shareByDemand;
 };
 
@@ -83,12 +83,12 @@
 };
 
 /// Not thread-safe: the leader's strand owns it.
-class SlotLedger {
+class SlotAllocator {
 public:
   /// Known are the servers that earlier leaders may have shared: all of the
   /// state with everything applied that was committed before this term.
-  SlotLedger(const SlotSettings &Settings, std::uint64_t Term,
-             TimePoint ElectedAt, const std::vector<SlotServer> &Known);
+  SlotAllocator(const SlotSettings &Settings, std::uint64_t Term,
+                TimePoint ElectedAt, const std::vector<SlotServer> &Known);
 
   // Commands.
 
@@ -101,14 +101,14 @@
   /// reply is left to the caller. Fails with NotLeader when another leader
   /// could exist.
   Outcome<wire::EntryReportReply> onReport(const wire::EntryReport &Report,
-                                           const LeaderMoment &Moment);
+                                           const LeadershipCheck &Check);
 
   /// The server was seen with at most BusySlots requests running at SampledAt,
   /// by this process's clock. Frees what is accounted to grants that had run
   /// out before then, beyond those: such requests only become fewer. A measure
   /// over a period counts from the period's begin.
-  void noteBusy(const BackendServerId &Id, std::uint32_t BusySlots,
-                TimePoint SampledAt);
+  void applyUsageSample(const BackendServerId &Id, std::uint32_t BusySlots,
+                        TimePoint SampledAt);
 
   /// Frees what entries held whose grants, and all requests that were sent
   /// under them, have run out by Now. Also part of onReport.
@@ -119,12 +119,12 @@
   /// What is accounted to all entry processes together, and to those of
   /// earlier leaders that are not known yet: after an election for a while
   /// more than there is.
-  SlotAmount findAccounted(const BackendServerId &Server) const;
+  SlotAmount findAllocated(const BackendServerId &Server) const;
   std::vector<EntryView> listEntries(TimePoint Now) const;
   /// Processes that began non-repeatable requests and whose reports ended: to
   /// be proposed, so that callers are told Unknown.
-  std::vector<EndEntry> findGone(const RequestRecords &Records,
-                                 TimePoint Now) const;
+  std::vector<EndEntry> findExpiredEntries(const RequestRecords &Records,
+                                           TimePoint Now) const;
   const SlotSettings &settings() const { return Settings_; }
 
 private:
@@ -133,17 +133,19 @@
   struct Server {
     SlotServer Info_;
     bool Removed_ = false;
-    SlotAmount Earlier_; ///< What earlier leaders may have granted unseen.
-    SlotAmount Sum_;     ///< Of all holders.
-    SlotAmount Blocked_; ///< At the latest rebalancing: see findBlocked.
+    SlotAmount
+        EarlierGrants_;       ///< What earlier leaders may have granted unseen.
+    SlotAmount AllocatedSum_; ///< Of all holders.
+    SlotAmount
+        Unavailable_; ///< At the latest rebalancing: see findUnavailable.
     std::size_t Group_ = 0;
   };
   struct Share {
-    SlotAmount Held_;     ///< The most that it may use now.
-    SlotAmount Offered_;  ///< In the latest table.
-    SlotAmount Shown_;    ///< In its latest report.
-    SlotAmount Target_;   ///< What rebalancing would give it.
-    SlotAmount Replaced_; ///< Earlier grants given up with the first table.
+    SlotAmount Allocated_; ///< The most that it may use now.
+    SlotAmount Offered_;   ///< In the latest table.
+    SlotAmount Reported_;  ///< In its latest report.
+    SlotAmount Target_;    ///< What rebalancing would give it.
+    SlotAmount Replaced_;  ///< Earlier grants given up with the first table.
     std::uint32_t InFlight_ = 0; ///< In its latest report.
   };
   struct Holder {
@@ -151,44 +153,47 @@
     BundleVersion Bundle_;
     bool Stopping_ = false;
     bool Confirmed_ = false; ///< It showed a version of this leader's.
-    std::uint64_t Version_ = 0;
+    std::uint64_t TableVersion_ = 0;
     std::vector<wire::Route> Table_; ///< The latest one offered.
     TimePoint GrantEnd_;             ///< When it may send nothing more.
-    TimePoint ReleaseAt_;  ///< When nothing that it sent can still run.
-    bool Counted_ = false; ///< Part of the latest rebalancing.
-    std::map<std::size_t, Share> Shares_; ///< By server's position.
-    std::vector<double> Demand_;          ///< By group; smoothed.
-    std::vector<double> DemandUsed_;      ///< At the latest rebalancing.
+    TimePoint ReleaseAt_;      ///< When nothing that it sent can still run.
+    bool InRebalance_ = false; ///< Part of the latest rebalancing.
+    std::map<std::size_t, Share> Shares_;  ///< By server's position.
+    std::vector<double> Demand_;           ///< By group; smoothed.
+    std::vector<double> RebalancedDemand_; ///< At the latest rebalancing.
   };
 
-  void setHeld(Share &Of, Server &At, const SlotAmount &Amount);
-  bool isLatest(const wire::EntryReport &Report) const;
-  void takeBrief(Holder &From, std::string_view InFlight);
-  void takeShown(Holder &From, const wire::EntryReport &Report);
-  void noteReplaced(Holder &To, bool OfEarlier, bool NewTable);
-  void settle(Holder &From, std::uint64_t RoutesHeld);
-  void learnDemand(Holder &From);
-  SlotAmount chooseOffer(const Holder &To, const Server &At, const Share &Of,
-                         TimePoint Now) const;
-  bool offerTable(Holder &To, TimePoint Now);
-  void release(Holder &Of);
+  void setAllocated(Share &EntryShare, Server &Backend,
+                    const SlotAmount &Amount);
+  bool holdsLatestTable(const wire::EntryReport &Report) const;
+  void readBriefReport(Holder &Entry, std::string_view InFlight);
+  void readReportedGrants(Holder &Entry, const wire::EntryReport &Report);
+  void recordReplacedGrants(Holder &Entry, bool OfEarlier, bool NewTable);
+  void applyConfirmedTable(Holder &Entry, std::uint64_t RoutesHeld);
+  void updateDemand(Holder &Entry);
+  SlotAmount computeOffer(const Holder &Entry, const Server &Backend,
+                          const Share &EntryShare, TimePoint Now) const;
+  bool offerTable(Holder &Entry, TimePoint Now);
+  void releaseAllocation(Holder &Entry);
   void rebalance(TimePoint Now);
   bool needsRebalance(TimePoint Now);
-  std::vector<SlotAmount> findBlocked(TimePoint Now) const;
-  bool hasBlockedMoved(TimePoint Now) const;
+  std::vector<SlotAmount> findUnavailable(TimePoint Now) const;
+  bool hasUnavailableChanged(TimePoint Now) const;
   void rebalanceGroup(std::size_t Group, const std::vector<Holder *> &Sharers);
-  bool isEarlierOpen(TimePoint Now) const { return Now < EarlierEnd_; }
-  bool isLive(const Holder &Of, TimePoint Now) const {
-    return Now < Of.GrantEnd_;
+  bool mayEarlierRequestsRun(TimePoint Now) const {
+    return Now < EarlierRequestsEnd_;
+  }
+  bool isLive(const Holder &Entry, TimePoint Now) const {
+    return Now < Entry.GrantEnd_;
   }
   /// Whether it is one of those that share the slots.
-  bool takesPart(const Holder &Of, TimePoint Now) const {
-    return isLive(Of, Now) && !Of.Stopping_;
+  bool isActive(const Holder &Entry, TimePoint Now) const {
+    return isLive(Entry, Now) && !Entry.Stopping_;
   }
 
   const SlotSettings Settings_;
-  const TimePoint SettledAt_;  ///< When earlier leaders' grants are over.
-  const TimePoint EarlierEnd_; ///< And all requests sent under them.
+  const TimePoint EarlierGrantsEnd_; ///< When earlier leaders' grants are over.
+  const TimePoint EarlierRequestsEnd_; ///< And all requests sent under them.
   std::uint64_t NextVersion_;
   const std::uint64_t FirstVersion_;
   std::vector<Server> Servers_;
@@ -196,10 +201,10 @@
   /// Servers of the same services are shared together.
   std::map<std::vector<ServiceId>, std::size_t> Groups_;
   std::map<HolderKey, Holder> Holders_;
-  bool MustRebalance_ = true;
+  bool RebalanceRequired_ = true;
   TimePoint RebalancedAt_;
 };
 
 } // namespace tulipweir::datacentre
 
-#endif // TULIPWEIR_DATACENTRE_SLOTLEDGER_H
+#endif // TULIPWEIR_DATACENTRE_SLOTALLOCATOR_H
--- a/include/tulipweir/datacentre/SlotAmount.h
+++ b/include/tulipweir/datacentre/SlotAmount.h
@@ -1,4 +1,4 @@
-//===- SlotAmount.h - Slots and connections of one server ------*- C++ -*-===//
+//===- SlotAmount.h - Slots and connections of one server -------*- C++ -*-===//
 //
 // Every request needs one of each.
 //
--- a/include/tulipweir/datacentre/SlotShares.h
+++ b/include/tulipweir/datacentre/SlotShares.h
@@ -1,4 +1,4 @@
-//===- SlotShares.h - How slots are dealt to entries -----------*- C++ -*-===//
+//===- SlotShares.h - Rules for sharing slots among entries -----*- C++ -*-===//
 //
 // The ways in which the slots of alike servers can be shared. docs/LEASES.md
 // says what was weighed; bench/datacentre measures them against each other.
--- a/src/control/ChangeFeed.h
+++ b/src/control/ChangeFeed.h
@@ -8,7 +8,7 @@
 #ifndef TULIPWEIR_SRC_CONTROL_CHANGEFEED_H
 #define TULIPWEIR_SRC_CONTROL_CHANGEFEED_H
 
-#include "tulipweir/datacentre/DataCentreMachine.h"
+#include "tulipweir/datacentre/DataCentreStateMachine.h"
 
 #include <atomic>
 #include <cstdint>
--- a/src/control/ControlCore.cpp
+++ b/src/control/ControlCore.cpp
@@ -15,7 +15,7 @@
 control::makeLeadershipSettings(const ControlSettings &Settings) {
   LeadershipSettings Result;
   Result.DataCentre_ = DataCentreId(Settings.DataCentre_);
-  datacentre::ServerLedgerSettings &Servers = Result.Servers_;
+  datacentre::ServerTrackerSettings &Servers = Result.Servers_;
   Servers.Leases_.Ttl_ = Settings.LeaseTtl_;
   Servers.Leases_.DriftPpm_ = static_cast<std::uint32_t>(Settings.DriftPpm_);
   Servers.Leases_.StopGrace_ = Settings.StopGrace_;
--- a/src/control/ControlCore.h
+++ b/src/control/ControlCore.h
@@ -27,7 +27,7 @@
   Executor &FleetStrand_;
   PeerCaller &Peers_;
   ChangeFeed &Feed_;
-  const datacentre::DataCentreMachine &DataCentreMachine_;
+  const datacentre::DataCentreStateMachine &DataCentreMachine_;
   const fleet::FleetMachine &FleetMachine_;
   replication::Replica &DataCentreGroup_;
   replication::Replica &FleetGroup_;
--- a/src/control/ControlProcess.cpp
+++ b/src/control/ControlProcess.cpp
@@ -125,7 +125,7 @@
   ChangeFeed Feed_;
   /// Set once Core_ stands; the machines apply entries before that.
   std::atomic<ControlCore *> Ready_{nullptr};
-  datacentre::DataCentreMachine DataCentreMachine_;
+  datacentre::DataCentreStateMachine DataCentreMachine_;
   fleet::FleetMachine FleetMachine_;
   std::unique_ptr<Replica> DataCentreGroup_;
   std::unique_ptr<Replica> FleetGroup_;
--- a/src/control/DataCentreLeadership.cpp
+++ b/src/control/DataCentreLeadership.cpp
@@ -22,7 +22,7 @@
 
 /// Reads a machine for a constructor, where the value is needed at once.
 template <class Make>
-static auto readState(const datacentre::DataCentreMachine &Machine,
+static auto readState(const datacentre::DataCentreStateMachine &Machine,
                       Make Function) {
   std::optional<decltype(Function(std::declval<const DataCentreState &>()))>
       Result;
@@ -93,7 +93,7 @@
       Proposer_(Parts.Group_, Parts.Strand_),
       Servers_(readState(Parts.Machine_,
                          [&](const DataCentreState &State) {
-                           return datacentre::ServerLedger(
+                           return datacentre::ServerTracker(
                                Settings.Servers_, Term, Parts.Time_.now(),
                                State);
                          })),
@@ -101,7 +101,7 @@
              readState(Parts.Machine_, listSlotServers)),
       Jobs_(Settings.DataCentre_, Parts.Fleet_, Parts.Machine_, Parts.Lease_,
             Proposer_, Parts.FleetProposals_, Parts.Strand_, Parts.Time_,
-            Settings.Servers_.Leases_.longestRun()),
+            Settings.Servers_.Leases_.getMaxRunTime()),
       Planning_(
           Parts.Machine_, Proposer_, Servers_.attempts(), Parts.Stream_,
           Parts.Time_, Parts.Counters_.Planning_,
@@ -124,7 +124,7 @@
   if (Index <= BuiltAtIndex_)
     return;
   for (const datacentre::Change &Value : Changes) {
-    Servers_.note(Value);
+    Servers_.onChange(Value);
     if (Value.Kind_ == ChangeKind::AttemptEnded)
       Parts_.Counters_.AttemptsEnded_.add();
     if (Value.Kind_ == ChangeKind::JobAdopted ||
@@ -149,7 +149,7 @@
   Planning_.setBundle(Parts_.Keeper_.getBundle());
 }
 
-datacentre::LeaderMoment DataCentreLeadership::readMoment() const {
+datacentre::LeadershipCheck DataCentreLeadership::readMoment() const {
   const TimePoint Now = Parts_.Time_.now();
   return {Now, Parts_.Group_.findLeaseTerm(Now) == Term_};
 }
@@ -157,7 +157,7 @@
 Outcome<wire::AnnouncementReply>
 DataCentreLeadership::onAnnouncement(const wire::Announcement &Value) {
   Parts_.Counters_.Announcements_.add();
-  const datacentre::LeaderMoment Moment = readMoment();
+  const datacentre::LeadershipCheck Moment = readMoment();
   Outcome<datacentre::AnnouncementResult> Result =
       fail(ErrorCode::Internal, "");
   Parts_.Machine_.withState([&](const DataCentreState &State) {
@@ -172,7 +172,7 @@
   datacentre::AnnouncementResult &Answer = Result.value();
   submit(Answer.Proposals_);
   withhold(Answer.Reply_);
-  if (Answer.Fresh_)
+  if (Answer.IsNewest_)
     learn(Value, Moment.Now_);
   else
     Parts_.Counters_.StaleAnnouncements_.add();
@@ -198,7 +198,7 @@
 /// waits longer than needed, never shorter.
 void DataCentreLeadership::withhold(wire::AnnouncementReply &Reply) {
   const TimePoint Until =
-      Parts_.Time_.now() + Settings_.Servers_.Leases_.longestRun();
+      Parts_.Time_.now() + Settings_.Servers_.Leases_.getMaxRunTime();
   const std::size_t Before = Reply.Renewals_.size() + Reply.Commands_.size();
   std::erase_if(Reply.Renewals_, [&](const wire::LeaseRenewal &Renewal) {
     return !mayRunOn(Renewal.Task_.Job_, Until);
@@ -245,12 +245,12 @@
     const bool Taken = Proposer_.propose(
         std::visit(KeyOf(), Value), Value,
         [this, Value](const Outcome<datacentre::CommandResult> &) {
-          Servers_.noteDone(Value);
+          Servers_.onProposalDone(Value);
         });
     // Something else about it is open; the next announcement or tick says
     // again what it needs.
     if (!Taken)
-      Servers_.noteDone(Value);
+      Servers_.onProposalDone(Value);
   }
 }
 
@@ -282,10 +282,10 @@
 ServerReach DataCentreLeadership::findReach(const BackendServerId &Server,
                                             TimePoint Now) const {
   // Compared as times, as "never" has no difference to now.
-  const TimePoint HeardAt = Servers_.findHeardAt(Server);
+  const TimePoint HeardAt = Servers_.findLastHeardAt(Server);
   if (HeardAt > Now - Settings_.Servers_.SilentAfter_)
     return ServerReach::Heard;
-  const bool Gone = HeardAt <= Now - Settings_.Servers_.Leases_.longestRun();
+  const bool Gone = HeardAt <= Now - Settings_.Servers_.Leases_.getMaxRunTime();
   return Gone ? ServerReach::Gone : ServerReach::Silent;
 }
 
@@ -317,7 +317,7 @@
 void DataCentreLeadership::endGoneEntries(TimePoint Now) {
   std::vector<datacentre::EndEntry> Gone;
   Parts_.Machine_.withState([&](const DataCentreState &State) {
-    Gone = Slots_.findGone(State.records(), Now);
+    Gone = Slots_.findExpiredEntries(State.records(), Now);
   });
   for (const datacentre::EndEntry &Value : Gone) {
     const bool Taken =
@@ -349,7 +349,7 @@
 
 bool DataCentreLeadership::plan() {
   // Each tick comes back to what is left out here.
-  if (!readMoment().Leads_)
+  if (!readMoment().IsLeader_)
     return false;
   return Planning_.run(Settings_.PlanBudget_) >= Settings_.PlanBudget_;
 }
--- a/src/control/DataCentreLeadership.h
+++ b/src/control/DataCentreLeadership.h
@@ -16,8 +16,8 @@
 #include "control/JobReconciler.h"
 #include "control/PlanningDuty.h"
 #include "control/RollOutTracker.h"
-#include "tulipweir/datacentre/ServerLedger.h"
-#include "tulipweir/datacentre/SlotLedger.h"
+#include "tulipweir/datacentre/ServerTracker.h"
+#include "tulipweir/datacentre/SlotAllocator.h"
 
 #include <cstdint>
 #include <map>
@@ -30,7 +30,7 @@
 /// Settings that every control of a data centre must share.
 struct LeadershipSettings {
   DataCentreId DataCentre_;
-  datacentre::ServerLedgerSettings Servers_;
+  datacentre::ServerTrackerSettings Servers_;
   datacentre::SlotSettings Slots_;
   std::size_t PlanBudget_ = 128; ///< Decisions in one go.
   std::size_t JobBudget_ = 64;   ///< Jobs reviewed in one go.
@@ -51,7 +51,7 @@
 /// What a leadership works with; all outlive it.
 struct LeadershipParts {
   replication::Replica &Group_;
-  const datacentre::DataCentreMachine &Machine_;
+  const datacentre::DataCentreStateMachine &Machine_;
   const fleet::FleetMachine &Fleet_;
   const BundleKeeper &Keeper_;
   const fleet::AssignmentLease &Lease_;
@@ -104,8 +104,8 @@
   // Queries.
 
   const PlanningDuty &planning() const { return Planning_; }
-  const datacentre::ServerLedger &servers() const { return Servers_; }
-  const datacentre::SlotLedger &slots() const { return Slots_; }
+  const datacentre::ServerTracker &servers() const { return Servers_; }
+  const datacentre::SlotAllocator &slots() const { return Slots_; }
   const AnnouncementDigests &digests() const { return Digests_; }
   const JobReconciler &jobs() const { return Jobs_; }
   std::size_t countOpenProposals() const { return Proposer_.countOpen(); }
@@ -124,9 +124,9 @@
     bool operator==(const RouteNote &) const = default;
   };
 
-  /// Leads_ only while the replica's term is the one that this began under:
+  /// IsLeader_ only while the replica's term is the one that this began under:
   /// it may have lost that one and won a later one unnoticed.
-  datacentre::LeaderMoment readMoment() const;
+  datacentre::LeadershipCheck readMoment() const;
   void submit(const std::vector<datacentre::Command> &Proposals);
   void withhold(wire::AnnouncementReply &Reply);
   bool mayRunOn(const JobId &Job, TimePoint Until);
@@ -144,9 +144,9 @@
   const std::uint64_t Term_;
   std::uint64_t BuiltAtIndex_ = 0;
   CommandProposer Proposer_;
-  datacentre::ServerLedger Servers_;
+  datacentre::ServerTracker Servers_;
   AnnouncementDigests Digests_;
-  datacentre::SlotLedger Slots_;
+  datacentre::SlotAllocator Slots_;
   JobReconciler Jobs_;
   PlanningDuty Planning_;
   std::map<BackendServerId, RouteNote> Routes_;
--- a/src/control/JobReconciler.cpp
+++ b/src/control/JobReconciler.cpp
@@ -84,7 +84,7 @@
 
 JobReconciler::JobReconciler(DataCentreId DataCentre,
                              const fleet::FleetMachine &Fleet,
-                             const datacentre::DataCentreMachine &Machine,
+                             const datacentre::DataCentreStateMachine &Machine,
                              const fleet::AssignmentLease &Lease,
                              CommandProposer &Proposer,
                              FleetProposer &FleetProposals, Executor &Strand,
--- a/src/control/JobReconciler.h
+++ b/src/control/JobReconciler.h
@@ -12,7 +12,7 @@
 
 #include "control/CommandProposer.h"
 #include "control/FleetProposer.h"
-#include "tulipweir/datacentre/DataCentreMachine.h"
+#include "tulipweir/datacentre/DataCentreStateMachine.h"
 #include "tulipweir/fleet/AssignmentLease.h"
 #include "tulipweir/fleet/FleetMachine.h"
 
@@ -72,7 +72,7 @@
 class JobReconciler {
 public:
   JobReconciler(DataCentreId DataCentre, const fleet::FleetMachine &Fleet,
-                const datacentre::DataCentreMachine &Machine,
+                const datacentre::DataCentreStateMachine &Machine,
                 const fleet::AssignmentLease &Lease, CommandProposer &Proposer,
                 FleetProposer &FleetProposals, Executor &Strand,
                 const Clock &Time, Duration LongestTaskLease);
@@ -123,7 +123,7 @@
 
   const DataCentreId DataCentre_;
   const fleet::FleetMachine &Fleet_;
-  const datacentre::DataCentreMachine &Machine_;
+  const datacentre::DataCentreStateMachine &Machine_;
   const fleet::AssignmentLease &Lease_;
   CommandProposer &Proposer_;
   FleetProposer &FleetProposals_;
--- a/src/control/JobRoutes.cpp
+++ b/src/control/JobRoutes.cpp
@@ -86,7 +86,7 @@
 
 JobRoutes::JobRoutes(DataCentreId DataCentre, const fleet::FleetMachine &Fleet,
                      const BundleKeeper &Keeper,
-                     const datacentre::DataCentreMachine &Machine,
+                     const datacentre::DataCentreStateMachine &Machine,
                      FleetProposer &Proposer, FleetSurvey &Survey,
                      DataCentreDuties &Duties, const Clock &Time)
     : DataCentre_(std::move(DataCentre)), Fleet_(Fleet), Keeper_(Keeper),
--- a/src/control/JobRoutes.h
+++ b/src/control/JobRoutes.h
@@ -18,7 +18,7 @@
 public:
   JobRoutes(DataCentreId DataCentre, const fleet::FleetMachine &Fleet,
             const BundleKeeper &Keeper,
-            const datacentre::DataCentreMachine &Machine,
+            const datacentre::DataCentreStateMachine &Machine,
             FleetProposer &Proposer, FleetSurvey &Survey,
             DataCentreDuties &Duties, const Clock &Time);
 
@@ -47,7 +47,7 @@
   const DataCentreId DataCentre_;
   const fleet::FleetMachine &Fleet_;
   const BundleKeeper &Keeper_;
-  const datacentre::DataCentreMachine &Machine_;
+  const datacentre::DataCentreStateMachine &Machine_;
   FleetProposer &Proposer_;
   FleetSurvey &Survey_;
   DataCentreDuties &Duties_;
--- a/src/control/PlanningDuty.cpp
+++ b/src/control/PlanningDuty.cpp
@@ -66,9 +66,9 @@
           From.addCounter(Name, Help, "kind=\"hold\"")};
 }
 
-PlanningDuty::PlanningDuty(const datacentre::DataCentreMachine &Machine,
+PlanningDuty::PlanningDuty(const datacentre::DataCentreStateMachine &Machine,
                            CommandProposer &Proposer,
-                           datacentre::AttemptLedger &Attempts,
+                           datacentre::AttemptTracker &Attempts,
                            DecisionStream &Stream, const Clock &Time,
                            PlanningCounters Counters, MayPlace JobMayRun,
                            std::uint64_t Seed)
--- a/src/control/PlanningDuty.h
+++ b/src/control/PlanningDuty.h
@@ -10,8 +10,8 @@
 
 #include "control/CommandProposer.h"
 #include "control/DecisionStream.h"
-#include "tulipweir/datacentre/AttemptLedger.h"
-#include "tulipweir/datacentre/DataCentreMachine.h"
+#include "tulipweir/datacentre/AttemptTracker.h"
+#include "tulipweir/datacentre/DataCentreStateMachine.h"
 #include "tulipweir/decide/Planner.h"
 #include "tulipweir/fleet/Bundle.h"
 #include "tulipweir/net/Metrics.h"
@@ -48,8 +48,8 @@
   /// Whether a task of the job may be placed at all at the moment.
   using MayPlace = std::function<bool(const JobId &)>;
 
-  PlanningDuty(const datacentre::DataCentreMachine &Machine,
-               CommandProposer &Proposer, datacentre::AttemptLedger &Attempts,
+  PlanningDuty(const datacentre::DataCentreStateMachine &Machine,
+               CommandProposer &Proposer, datacentre::AttemptTracker &Attempts,
                DecisionStream &Stream, const Clock &Time,
                PlanningCounters Counters, MayPlace JobMayRun,
                std::uint64_t Seed);
@@ -115,9 +115,9 @@
   ServerReach findReach(const BackendServerId &Server) const;
   std::optional<decide::TaskInfo> makeTask(const Change &Value) const;
 
-  const datacentre::DataCentreMachine &Machine_;
+  const datacentre::DataCentreStateMachine &Machine_;
   CommandProposer &Proposer_;
-  datacentre::AttemptLedger &Attempts_;
+  datacentre::AttemptTracker &Attempts_;
   DecisionStream &Stream_;
   const Clock &Time_;
   const PlanningCounters Counters_;
--- a/src/control/ServerRoutes.cpp
+++ b/src/control/ServerRoutes.cpp
@@ -23,7 +23,7 @@
     {"GET", "/dump", &ServerRoutes::dump}};
 
 ServerRoutes::ServerRoutes(const BundleKeeper &Keeper,
-                           const datacentre::DataCentreMachine &Machine,
+                           const datacentre::DataCentreStateMachine &Machine,
                            DecisionStream &Stream, DataCentreDuties &Duties,
                            const Clock &Time, std::function<Json()> MakeDump)
     : Keeper_(Keeper), Machine_(Machine), Stream_(Stream), Duties_(Duties),
@@ -96,7 +96,7 @@
       One["routable"] = Flags.Routable_;
       One["quarantined"] = Flags.Quarantined_;
       One["state"] = describeServer(Flags);
-      const TimePoint HeardAt = Leader.servers().findHeardAt(Id);
+      const TimePoint HeardAt = Leader.servers().findLastHeardAt(Id);
       if (HeardAt != TimePoint::min())
         One["heardMsAgo"] = duration_cast<milliseconds>(Now - HeardAt).count();
       Servers.push_back(std::move(One));
--- a/src/control/ServerRoutes.h
+++ b/src/control/ServerRoutes.h
@@ -18,7 +18,7 @@
 public:
   /// MakeDump gives what the process itself adds to the dump.
   ServerRoutes(const BundleKeeper &Keeper,
-               const datacentre::DataCentreMachine &Machine,
+               const datacentre::DataCentreStateMachine &Machine,
                DecisionStream &Stream, DataCentreDuties &Duties,
                const Clock &Time, std::function<Json()> MakeDump);
 
@@ -38,7 +38,7 @@
   static const RouteEntry<ServerRoutes> Table[];
 
   const BundleKeeper &Keeper_;
-  const datacentre::DataCentreMachine &Machine_;
+  const datacentre::DataCentreStateMachine &Machine_;
   DecisionStream &Stream_;
   DataCentreDuties &Duties_;
   const Clock &Time_;
--- a/src/datacentre/CommandApplier.h
+++ b/src/datacentre/CommandApplier.h
@@ -1,4 +1,4 @@
-//===- CommandApplier.h - Applies one command to the state -----*- C++ -*-===//
+//===- CommandApplier.h - Applies one command to the state ------*- C++ -*-===//
 //
 // One member function per command; each checks first and changes then, so that
 // a refused command changes nothing.
@@ -8,7 +8,7 @@
 #ifndef TULIPWEIR_SRC_DATACENTRE_COMMANDAPPLIER_H
 #define TULIPWEIR_SRC_DATACENTRE_COMMANDAPPLIER_H
 
-#include "datacentre/ChangeNotes.h"
+#include "datacentre/ChangeRecorder.h"
 #include "tulipweir/datacentre/DataCentreState.h"
 
 namespace tulipweir::datacentre {
@@ -18,37 +18,37 @@
   /// Changes may be null.
   CommandApplier(DataCentreState &State, FencingToken Token,
                  std::vector<Change> *Changes)
-      : State_(State), Token_(Token), Notes_(Changes) {}
-
-  CommandResult apply(const RegisterServer &Value);
-  CommandResult apply(const ForgetServer &Value);
-  CommandResult apply(const AdoptJob &Value);
-  CommandResult apply(const PlaceTask &Value);
-  CommandResult apply(const ChangeReservation &Value);
-  CommandResult apply(const EndAttempt &Value);
-  CommandResult apply(const CancelJob &Value);
-  CommandResult apply(const DropJob &Value);
-  CommandResult apply(const BeginRecord &Value);
-  CommandResult apply(const FinishRecord &Value);
-  CommandResult apply(const AbandonRecord &Value);
-  CommandResult apply(const EndEntry &Value);
-  CommandResult apply(const ReleaseJob &Value);
+      : State_(State), Token_(Token), Recorder_(Changes) {}
+
+  CommandResult apply(const RegisterServer &Cmd);
+  CommandResult apply(const ForgetServer &Cmd);
+  CommandResult apply(const AdoptJob &Cmd);
+  CommandResult apply(const PlaceTask &Cmd);
+  CommandResult apply(const ChangeReservation &Cmd);
+  CommandResult apply(const EndAttempt &Cmd);
+  CommandResult apply(const CancelJob &Cmd);
+  CommandResult apply(const DropJob &Cmd);
+  CommandResult apply(const BeginRecord &Cmd);
+  CommandResult apply(const FinishRecord &Cmd);
+  CommandResult apply(const AbandonRecord &Cmd);
+  CommandResult apply(const EndEntry &Cmd);
+  CommandResult apply(const ReleaseJob &Cmd);
 
 private:
   JobRecord *findJob(const JobId &Job);
   TaskRecord *findTask(const TaskId &Task);
   /// The task while just this attempt of it is placed; else nullptr with the
   /// Refusal, which says Otherwise of the attempt.
-  TaskRecord *findPlaced(const TaskId &Id, const AttemptNumber &Attempt,
-                         const char *Otherwise, CommandResult &Refusal);
-  std::string findPlacementProblem(const PlaceTask &Value, ErrorCode &Code);
-  void endPlaced(const EndAttempt &Value, TaskRecord &Task);
+  TaskRecord *findPlacedTask(const TaskId &Id, const AttemptNumber &Attempt,
+                             const char *Reason, CommandResult &Refusal);
+  std::string findPlacementProblem(const PlaceTask &Cmd, ErrorCode &Code);
+  void endPlacedAttempt(const EndAttempt &Cmd, TaskRecord &Task);
   void setTaskState(const TaskId &Id, TaskRecord &Task, TaskState State);
-  void rememberDropped(const JobId &Job, std::uint64_t Assignment);
+  void recordDroppedJob(const JobId &Job, std::uint64_t Assignment);
 
   DataCentreState &State_;
   FencingToken Token_;
-  ChangeNotes Notes_;
+  ChangeRecorder Recorder_;
 };
 
 } // namespace tulipweir::datacentre
--- a/src/datacentre/DataCentreCodec.cpp
+++ b/src/datacentre/DataCentreCodec.cpp
@@ -1,4 +1,4 @@
-//===- DataCentreCodec.cpp - Bytes of commands, results, progress ---------===//
+//===- DataCentreCodec.cpp - Encodes commands and results -----------------===//
 
 #include "tulipweir/datacentre/DataCentreCodec.h"
 #include "datacentre/Fields.h"
@@ -21,15 +21,15 @@
 }
 
 template <class T>
-static Outcome<T> decodeOne(std::string_view Bytes, const char *What) {
+static Outcome<T> decodeOne(std::string_view Bytes, const char *Kind) {
   try {
     pack::Stream In(Bytes);
     T Value = In.next<T>();
     In.expectEnd();
     return Value;
-  } catch (const std::exception &Problem) {
+  } catch (const std::exception &Exception) {
     return fail(ErrorCode::Malformed,
-                std::string(What) + ": " + Problem.what());
+                std::string(Kind) + ": " + Exception.what());
   }
 }
 
--- a/src/datacentre/DataCentreState.cpp
+++ b/src/datacentre/DataCentreState.cpp
@@ -1,4 +1,4 @@
-//===- DataCentreState.cpp - What a data centre's log builds --------------===//
+//===- DataCentreState.cpp - Replicated state of a data centre ------------===//
 
 #include "tulipweir/datacentre/DataCentreState.h"
 #include "datacentre/CommandApplier.h"
@@ -15,31 +15,31 @@
 namespace tulipweir::datacentre {
 
 /// What of a job cannot be rebuilt from its tasks.
-struct JobImage {
+struct JobSnapshot {
   JobSpec Spec_;
   std::uint64_t Assignment_ = 0;
   bool Cancelling_ = false;
   bool Releasing_ = false;
   std::vector<TaskRecord> Tasks_;
 };
-struct DroppedImage {
+struct DroppedJobSnapshot {
   JobId Job_;
   std::uint64_t Assignment_ = 0;
 };
-struct HeaderImage {
+struct SnapshotHeader {
   std::uint64_t Format_ = 0;
   std::uint64_t Servers_ = 0;
   std::uint64_t Jobs_ = 0;
   std::uint64_t Dropped_ = 0;
 };
 
-static void fields(auto &V, IsA<JobImage> auto &X) {
+static void fields(auto &V, IsA<JobSnapshot> auto &X) {
   V(X.Spec_, X.Assignment_, X.Cancelling_, X.Releasing_, X.Tasks_);
 }
-static void fields(auto &V, IsA<DroppedImage> auto &X) {
+static void fields(auto &V, IsA<DroppedJobSnapshot> auto &X) {
   V(X.Job_, X.Assignment_);
 }
-static void fields(auto &V, IsA<HeaderImage> auto &X) {
+static void fields(auto &V, IsA<SnapshotHeader> auto &X) {
   V(X.Format_, X.Servers_, X.Jobs_, X.Dropped_);
 }
 
@@ -72,7 +72,10 @@
                                      std::vector<Change> *Changes) {
   CommandApplier Applier(*this, FencingToken{Term, Index}, Changes);
   return std::visit(
-      [&Applier](const auto &Held) { return Applier.apply(Held); }, Value);
+      [&Applier](const auto &Alternative) {
+        return Applier.apply(Alternative);
+      },
+      Value);
 }
 
 const TaskRecord *DataCentreState::findTask(const TaskId &Task) const {
@@ -83,58 +86,58 @@
 }
 
 const JobRecord *DataCentreState::findJob(const JobId &Job) const {
-  const auto Found = Jobs_.find(Job);
-  return Found == Jobs_.end() ? nullptr : &Found->second;
+  const auto It = Jobs_.find(Job);
+  return It == Jobs_.end() ? nullptr : &It->second;
 }
 
 const ServerRecord *
 DataCentreState::findServer(const BackendServerId &Server) const {
-  const auto Found = Servers_.find(Server);
-  return Found == Servers_.end() ? nullptr : &Found->second;
+  const auto It = Servers_.find(Server);
+  return It == Servers_.end() ? nullptr : &It->second;
 }
 
 std::uint64_t DataCentreState::findAssignment(const JobId &Job) const {
   if (const JobRecord *Record = findJob(Job))
     return Record->Assignment_;
-  const auto Found = Dropped_.find(Job);
-  return Found == Dropped_.end() ? 0 : Found->second;
+  const auto It = DroppedAssignments_.find(Job);
+  return It == DroppedAssignments_.end() ? 0 : It->second;
 }
 
 std::vector<Change> DataCentreState::listChanges() const {
   std::vector<Change> Changes;
-  ChangeNotes Notes(&Changes);
+  ChangeRecorder Recorder(&Changes);
   for (const auto &[Id, Server] : Servers_)
-    Notes.noteServer(ChangeKind::ServerChanged, Id);
+    Recorder.recordServer(ChangeKind::ServerChanged, Id);
   for (const auto &[Id, Job] : Jobs_) {
-    Notes.noteJob(ChangeKind::JobAdopted, Id);
+    Recorder.recordJob(ChangeKind::JobAdopted, Id);
     if (Job.Cancelling_)
-      Notes.noteJob(ChangeKind::JobCancelling, Id);
+      Recorder.recordJob(ChangeKind::JobCancelling, Id);
     if (Job.Releasing_)
-      Notes.noteJob(ChangeKind::JobReleasing, Id);
+      Recorder.recordJob(ChangeKind::JobReleasing, Id);
     for (std::uint32_t I = 0; I < Job.Tasks_.size(); ++I) {
       const TaskId Task{Id, I};
       if (Job.Tasks_[I].State_ == TaskState::Placed)
-        Notes.notePlaced(ChangeKind::TaskPlaced, Task, Job.Tasks_[I]);
+        Recorder.recordPlacement(ChangeKind::TaskPlaced, Task, Job.Tasks_[I]);
       else
-        Notes.noteTask(Task, Job.Tasks_[I]);
+        Recorder.recordTask(Task, Job.Tasks_[I]);
     }
     if (Job.Ended_ == Job.Tasks_.size())
-      Notes.noteJob(ChangeKind::JobEnded, Id);
+      Recorder.recordJob(ChangeKind::JobEnded, Id);
   }
   return Changes;
 }
 
 std::string DataCentreState::encode() const {
   pack::Writer Out;
-  Out.write(HeaderImage{SnapshotFormat, Servers_.size(), Jobs_.size(),
-                        DropOrder_.size()});
+  Out.write(SnapshotHeader{SnapshotFormat, Servers_.size(), Jobs_.size(),
+                           DropOrder_.size()});
   for (const auto &[Id, Server] : Servers_)
     Out.write(Server.Info_);
   for (const auto &[Id, Job] : Jobs_)
-    Out.write(JobImage{Job.Spec_, Job.Assignment_, Job.Cancelling_,
-                       Job.Releasing_, Job.Tasks_});
+    Out.write(JobSnapshot{Job.Spec_, Job.Assignment_, Job.Cancelling_,
+                          Job.Releasing_, Job.Tasks_});
   for (const JobId &Job : DropOrder_)
-    Out.write(DroppedImage{Job, Dropped_.at(Job)});
+    Out.write(DroppedJobSnapshot{Job, DroppedAssignments_.at(Job)});
   return Out.take() + Records_.encode();
 }
 
@@ -143,7 +146,7 @@
   try {
     DataCentreState Result(Limits);
     pack::Stream In(Bytes);
-    const auto Header = In.next<HeaderImage>();
+    const auto Header = In.next<SnapshotHeader>();
     if (Header.Format_ != SnapshotFormat)
       return fail(ErrorCode::VersionMismatch,
                   "snapshot of format " + std::to_string(Header.Format_) +
@@ -154,28 +157,28 @@
       Server.Info_ = std::move(Info);
     }
     for (std::uint64_t I = 0; I < Header.Jobs_; ++I) {
-      auto Image = In.next<JobImage>();
-      JobRecord &Job = Result.Jobs_[Image.Spec_.Job_];
-      Job.Spec_ = std::move(Image.Spec_);
-      Job.Assignment_ = Image.Assignment_;
-      Job.Cancelling_ = Image.Cancelling_;
-      Job.Releasing_ = Image.Releasing_;
-      Job.Tasks_ = std::move(Image.Tasks_);
+      auto Decoded = In.next<JobSnapshot>();
+      JobRecord &Job = Result.Jobs_[Decoded.Spec_.Job_];
+      Job.Spec_ = std::move(Decoded.Spec_);
+      Job.Assignment_ = Decoded.Assignment_;
+      Job.Cancelling_ = Decoded.Cancelling_;
+      Job.Releasing_ = Decoded.Releasing_;
+      Job.Tasks_ = std::move(Decoded.Tasks_);
       if (!linkTasks(Job, Result.Servers_))
         return fail(ErrorCode::Malformed, "a task is placed nowhere");
     }
     for (std::uint64_t I = 0; I < Header.Dropped_; ++I) {
-      auto Image = In.next<DroppedImage>();
-      Result.Dropped_[Image.Job_] = Image.Assignment_;
-      Result.DropOrder_.push_back(std::move(Image.Job_));
+      auto Decoded = In.next<DroppedJobSnapshot>();
+      Result.DroppedAssignments_[Decoded.Job_] = Decoded.Assignment_;
+      Result.DropOrder_.push_back(std::move(Decoded.Job_));
     }
     auto Records = RequestRecords::decode(In.rest(), Limits);
     if (!Records)
       return Records.as_failure();
     Result.Records_ = std::move(Records).value();
     return Result;
-  } catch (const std::exception &Problem) {
+  } catch (const std::exception &Exception) {
     return fail(ErrorCode::Malformed,
-                std::string("snapshot: ") + Problem.what());
+                std::string("snapshot: ") + Exception.what());
   }
 }
--- a/src/datacentre/DataCentreMachine.cpp
+++ b/src/datacentre/DataCentreStateMachine.cpp
@@ -1,6 +1,6 @@
-//===- DataCentreMachine.cpp - The data centre's state as a machine -------===//
+//===- DataCentreStateMachine.cpp - Data centre state machine -------------===//
 
-#include "tulipweir/datacentre/DataCentreMachine.h"
+#include "tulipweir/datacentre/DataCentreStateMachine.h"
 #include "tulipweir/datacentre/DataCentreCodec.h"
 
 #include <mutex>
@@ -9,20 +9,21 @@
 using namespace tulipweir;
 using namespace tulipweir::datacentre;
 
-DataCentreMachine::DataCentreMachine(const RecordLimits &Limits,
-                                     AppliedListener OnApplied,
-                                     RestoredListener OnRestored)
+DataCentreStateMachine::DataCentreStateMachine(const RecordLimits &Limits,
+                                               AppliedListener OnApplied,
+                                               RestoredListener OnRestored)
     : Limits_(Limits), OnApplied_(std::move(OnApplied)),
       OnRestored_(std::move(OnRestored)), State_(Limits) {}
 
-std::string DataCentreMachine::apply(const replication::CommittedEntry &Entry) {
+std::string
+DataCentreStateMachine::apply(const replication::CommittedEntry &Entry) {
   const Outcome<Command> Value = decodeCommand(Entry.Command_);
   if (!Value) {
     // The same on every replica, so it is a result and no failure.
-    CommandResult Refused;
-    Refused.Error_ = std::string(getErrorName(Value.error().Code_));
-    Refused.Message_ = Value.error().Message_;
-    return encodeResult(Refused);
+    CommandResult Refusal;
+    Refusal.Error_ = std::string(getErrorName(Value.error().Code_));
+    Refusal.Message_ = Value.error().Message_;
+    return encodeResult(Refusal);
   }
   std::vector<Change> Changes;
   CommandResult Result;
@@ -37,7 +38,8 @@
   return encodeResult(Result);
 }
 
-Outcome<void> DataCentreMachine::restoreSnapshot(std::string_view Snapshot) {
+Outcome<void>
+DataCentreStateMachine::restoreSnapshot(std::string_view Snapshot) {
   auto Restored = DataCentreState::decode(Snapshot, Limits_);
   if (!Restored)
     return Restored.as_failure();
@@ -51,20 +53,20 @@
   return succeed();
 }
 
-std::string DataCentreMachine::takeSnapshot() const {
+std::string DataCentreStateMachine::takeSnapshot() const {
   const std::shared_lock Lock(Mutex_);
   return State_.encode();
 }
 
-void DataCentreMachine::withState(
-    const std::function<void(const DataCentreState &)> &Use) const {
+void DataCentreStateMachine::withState(
+    const std::function<void(const DataCentreState &)> &Callback) const {
   const std::shared_lock Lock(Mutex_);
-  Use(State_);
+  Callback(State_);
 }
 
-void DataCentreMachine::withStateAndIndex(
-    const std::function<void(const DataCentreState &, std::uint64_t)> &Use)
+void DataCentreStateMachine::withStateAndIndex(
+    const std::function<void(const DataCentreState &, std::uint64_t)> &Callback)
     const {
   const std::shared_lock Lock(Mutex_);
-  Use(State_, AppliedIndex_);
+  Callback(State_, AppliedIndex_);
 }
--- a/src/datacentre/Fields.h
+++ b/src/datacentre/Fields.h
@@ -1,4 +1,4 @@
-//===- Fields.h - The field lists of the data centre's types ---*- C++ -*-===//
+//===- Fields.h - Field lists of the data centre's types --------*- C++ -*-===//
 //
 // The order of the fields is the format: it changes only together with
 // SnapshotFormat and the protocol's version.
@@ -81,7 +81,7 @@
 }
 void fields(auto &V, IsA<RequestRecord> auto &X) {
   V(X.Digest_, X.State_, X.Attempt_, X.Entry_, X.EntryIncarnation_, X.Nonce_,
-    X.BegunWallMs_, X.KeptFromMs_, X.Answer_);
+    X.BegunWallMs_, X.RetentionStartMs_, X.Answer_);
 }
 
 template <>
--- a/src/datacentre/JobOutcomes.cpp
+++ b/src/datacentre/JobOutcomeTracker.cpp
@@ -1,7 +1,6 @@
-//===- JobOutcomes.cpp - Which jobs ended or were released
-//-----------------===//
+//===- JobOutcomeTracker.cpp - Tracks ended and released jobs -------------===//
 
-#include "tulipweir/datacentre/JobOutcomes.h"
+#include "tulipweir/datacentre/JobOutcomeTracker.h"
 
 #include <cassert>
 
@@ -23,25 +22,26 @@
   return Result;
 }
 
-void JobOutcomes::note(const Change &Value) {
-  const JobId &Job = Value.Task_.Job_;
-  if (Value.Kind_ == ChangeKind::JobEnded)
+void JobOutcomeTracker::onChange(const Change &AppliedChange) {
+  const JobId &Job = AppliedChange.Task_.Job_;
+  if (AppliedChange.Kind_ == ChangeKind::JobEnded)
     Ended_.insert(Job);
-  if (Value.Kind_ == ChangeKind::JobReleasing)
+  if (AppliedChange.Kind_ == ChangeKind::JobReleasing)
     Releasing_.insert(Job);
-  if (Value.Kind_ != ChangeKind::JobDropped)
+  if (AppliedChange.Kind_ != ChangeKind::JobDropped)
     return;
   Ended_.erase(Job);
   Releasing_.erase(Job);
 }
 
-void JobOutcomes::reset() {
+void JobOutcomeTracker::reset() {
   Ended_.clear();
   Releasing_.clear();
 }
 
-std::vector<JobOutcome> JobOutcomes::listEnded(const DataCentreState &State,
-                                               std::size_t Limit) const {
+std::vector<JobOutcome>
+JobOutcomeTracker::listEnded(const DataCentreState &State,
+                             std::size_t Limit) const {
   std::vector<JobOutcome> Outcomes;
   for (const JobId &Id : Ended_) {
     const JobRecord *Job = State.findJob(Id);
@@ -54,8 +54,8 @@
   return Outcomes;
 }
 
-std::vector<JobId> JobOutcomes::listReleased(const DataCentreState &State,
-                                             std::size_t Limit) const {
+std::vector<JobId> JobOutcomeTracker::listReleased(const DataCentreState &State,
+                                                   std::size_t Limit) const {
   std::vector<JobId> Released;
   for (const JobId &Id : Releasing_) {
     const JobRecord *Job = State.findJob(Id);
--- a/src/datacentre/Leadership.cpp
+++ b/src/datacentre/Leadership.cpp
@@ -1,4 +1,4 @@
-//===- Leadership.cpp - Moments of leadership, and clock drift ------------===//
+//===- Leadership.cpp - Leadership checks and clock drift -----------------===//
 
 #include "tulipweir/datacentre/Leadership.h"
 
@@ -12,11 +12,12 @@
                                                 std::uint32_t DriftPpm) {
   assert(DriftPpm < Million && "a clock that may stand still");
   // The other clock may be slow and ours fast: (1 + d) / (1 - d), rounded up.
-  const std::int64_t Slowest = Million - DriftPpm;
+  const std::int64_t SlowestRate = Million - DriftPpm;
   const std::int64_t Extra = 2 * std::int64_t{DriftPpm};
   // Part by part, as Length in nanoseconds times a million would overflow.
-  const std::int64_t Whole = Length.count() / Slowest;
-  const std::int64_t Rest = Length.count() % Slowest;
-  const std::int64_t More = Whole * Extra + (Rest * Extra) / Slowest + 1;
-  return Length + Duration(More);
+  const std::int64_t Whole = Length.count() / SlowestRate;
+  const std::int64_t Remainder = Length.count() % SlowestRate;
+  const std::int64_t Increase =
+      Whole * Extra + (Remainder * Extra) / SlowestRate + 1;
+  return Length + Duration(Increase);
 }
--- a/src/datacentre/Pack.h
+++ b/src/datacentre/Pack.h
@@ -1,4 +1,4 @@
-//===- Pack.h - Field lists to and from msgpack ----------------*- C++ -*-===//
+//===- Pack.h - Converts field lists to and from msgpack --------*- C++ -*-===//
 //
 // One field list per type serves both directions. Reading is strict: another
 // number of fields, another type or an unknown enumerator throws
@@ -74,7 +74,8 @@
   template <class... Ts> void put(const std::variant<Ts...> &Value) {
     Packer_.pack_array(2);
     put(static_cast<std::uint64_t>(Value.index()));
-    std::visit([this](const auto &Held) { this->put(Held); }, Value);
+    std::visit([this](const auto &Alternative) { this->put(Alternative); },
+               Value);
   }
   template <class T>
   requires requires(Writer &W, const T &X) { fields(W, X); }
@@ -145,10 +146,12 @@
   static void get(const msgpack::object &Object, std::variant<Ts...> &Value) {
     const msgpack::object *Parts = enterArray(Object, 2);
     const auto Index = read<std::uint64_t>(Parts[0]);
-    bool Found = false;
-    std::uint64_t At = 0;
-    ((At++ == Index ? (Value = read<Ts>(Parts[1]), Found = true) : false), ...);
-    if (!Found)
+    bool Matched = false;
+    std::uint64_t Position = 0;
+    ((Position++ == Index ? (Value = read<Ts>(Parts[1]), Matched = true)
+                          : false),
+     ...);
+    if (!Matched)
       throw msgpack::type_error();
   }
   template <class T>
@@ -170,8 +173,9 @@
   template <class T> T next() {
     // An array cannot have more elements than there are bytes, so that a
     // forged size does not reserve memory.
-    const std::size_t Most = Bytes_.size();
-    const msgpack::unpack_limit Limit(Most, Most, Most, Most, Most, 16);
+    const std::size_t MaxSize = Bytes_.size();
+    const msgpack::unpack_limit Limit(MaxSize, MaxSize, MaxSize, MaxSize,
+                                      MaxSize, 16);
     const msgpack::object_handle Handle = msgpack::unpack(
         Bytes_.data(), Bytes_.size(), Offset_, nullptr, nullptr, Limit);
     return Reader::read<T>(Handle.get());
--- a/src/datacentre/RequestRecords.cpp
+++ b/src/datacentre/RequestRecords.cpp
@@ -1,4 +1,4 @@
-//===- RequestRecords.cpp - Non-repeatable requests, once each ------------===//
+//===- RequestRecords.cpp - Records of non-repeatable requests ------------===//
 
 #include "tulipweir/datacentre/RequestRecords.h"
 #include "datacentre/Fields.h"
@@ -11,7 +11,7 @@
 using wire::RequestDisposition;
 
 /// Bounds the work of one command after a long silence.
-static constexpr int MaxRetiredPerCommand = 64;
+static constexpr int MaxExpiredPerCommand = 64;
 
 static wire::BeginRequestReply makeReply(RequestDisposition Disposition,
                                          std::uint64_t Attempt) {
@@ -19,7 +19,7 @@
 }
 
 /// How a request with a record in an ended or running state stands.
-static wire::BeginRequestReply describe(const RequestRecord &Record) {
+static wire::BeginRequestReply describeRecord(const RequestRecord &Record) {
   if (Record.State_ == RecordState::Begun)
     return makeReply(RequestDisposition::Running, Record.Attempt_);
   if (Record.State_ != RecordState::Served || !Record.Answer_)
@@ -51,8 +51,8 @@
 }
 
 /// Whether Request is sent again by the asker that holds or held the record.
-static bool isAskedAgain(const RequestRecord &Record,
-                         const wire::BeginRequest &Request) {
+static bool isRetry(const RequestRecord &Record,
+                    const wire::BeginRequest &Request) {
   return Request.Nonce_ != 0 && Record.Nonce_ == Request.Nonce_ &&
          Record.Entry_ == Request.Entry_ &&
          Record.EntryIncarnation_ == Request.EntryIncarnation_;
@@ -60,7 +60,7 @@
 
 Outcome<wire::BeginRequestReply>
 RequestRecords::begin(const wire::BeginRequest &Request, std::uint64_t WallMs) {
-  advance(WallMs);
+  advanceClock(WallMs);
   std::uint64_t IssuedMs = 0;
   if (Request.Key_.value().starts_with(TicketPrefix)) {
     const auto Time = parseTicketTime(Request.Key_);
@@ -69,8 +69,8 @@
                   "not a ticket that was issued here: " + Request.Key_.value());
     IssuedMs = *Time;
   }
-  const auto Found = Records_.find(Request.Key_);
-  if (Found == Records_.end()) {
+  const auto It = Records_.find(Request.Key_);
+  if (It == Records_.end()) {
     if (IssuedMs != 0 && IssuedMs + Limits_.RetentionMs_ < WallMs_)
       return makeReply(RequestDisposition::Expired, 0);
     if (Records_.size() >= Limits_.MaxRecords_)
@@ -78,17 +78,17 @@
                   "all " + std::to_string(Limits_.MaxRecords_) +
                       " records of non-repeatable requests are in use");
   } else {
-    if (Found->second.Digest_ != Request.Digest_)
-      return makeReply(RequestDisposition::Conflict, Found->second.Attempt_);
-    const bool Again = isAskedAgain(Found->second, Request);
-    if (Again && Found->second.State_ == RecordState::Begun)
-      return makeReply(RequestDisposition::Run, Found->second.Attempt_);
+    if (It->second.Digest_ != Request.Digest_)
+      return makeReply(RequestDisposition::Conflict, It->second.Attempt_);
+    const bool SameAsker = isRetry(It->second, Request);
+    if (SameAsker && It->second.State_ == RecordState::Begun)
+      return makeReply(RequestDisposition::Run, It->second.Attempt_);
     // The asker gave it back: a late copy of its question begins nothing.
-    if (Again && Found->second.State_ == RecordState::Abandoned)
-      return makeReply(RequestDisposition::Unknown, Found->second.Attempt_);
-    if (Found->second.State_ != RecordState::Abandoned)
-      return describe(Found->second);
-    ByKeptFrom_.erase({Found->second.KeptFromMs_, Request.Key_});
+    if (SameAsker && It->second.State_ == RecordState::Abandoned)
+      return makeReply(RequestDisposition::Unknown, It->second.Attempt_);
+    if (It->second.State_ != RecordState::Abandoned)
+      return describeRecord(It->second);
+    ByRetentionStart_.erase({It->second.RetentionStartMs_, Request.Key_});
   }
   RequestRecord &Record = Records_[Request.Key_];
   Record.Digest_ = Request.Digest_;
@@ -100,14 +100,14 @@
   Record.BegunWallMs_ = WallMs_;
   const std::uint64_t DeadlineMs =
       std::min(Request.DeadlineWallMs_, WallMs_ + Limits_.RetentionMs_);
-  Record.KeptFromMs_ = std::max({WallMs_, DeadlineMs, IssuedMs});
+  Record.RetentionStartMs_ = std::max({WallMs_, DeadlineMs, IssuedMs});
   index(Request.Key_, Record);
   return makeReply(RequestDisposition::Run, Record.Attempt_);
 }
 
 bool RequestRecords::finish(const wire::FinishRequest &Request,
                             std::uint64_t WallMs) {
-  advance(WallMs);
+  advanceClock(WallMs);
   RequestRecord *Record = findAttempt(Request.Key_, Request.Attempt_);
   if (!Record || Record->State_ == RecordState::Abandoned)
     return false;
@@ -128,7 +128,7 @@
 
 bool RequestRecords::abandon(const wire::AbandonRequest &Request,
                              std::uint64_t WallMs) {
-  advance(WallMs);
+  advanceClock(WallMs);
   RequestRecord *Record = findAttempt(Request.Key_, Request.Attempt_);
   if (!Record)
     return false;
@@ -143,35 +143,35 @@
 }
 
 void RequestRecords::endEntry(const EntryId &Entry, std::uint64_t Incarnation) {
-  const auto Found = BegunByEntry_.find(Entry);
-  if (Found == BegunByEntry_.end())
+  const auto It = BegunByEntry_.find(Entry);
+  if (It == BegunByEntry_.end())
     return;
-  std::set<RequestKey> &Keys = Found->second;
-  for (auto At = Keys.begin(); At != Keys.end();) {
-    RequestRecord &Record = Records_.at(*At);
+  std::set<RequestKey> &Keys = It->second;
+  for (auto KeyIt = Keys.begin(); KeyIt != Keys.end();) {
+    RequestRecord &Record = Records_.at(*KeyIt);
     const bool Ends =
         Incarnation == 0 || Record.EntryIncarnation_ == Incarnation;
     if (Ends)
       Record.State_ = RecordState::Unknown;
-    At = Ends ? Keys.erase(At) : std::next(At);
+    KeyIt = Ends ? Keys.erase(KeyIt) : std::next(KeyIt);
   }
   if (Keys.empty())
-    BegunByEntry_.erase(Found);
+    BegunByEntry_.erase(It);
 }
 
-void RequestRecords::advance(std::uint64_t WallMs) {
+void RequestRecords::advanceClock(std::uint64_t WallMs) {
   WallMs_ = std::max(WallMs_, WallMs);
-  for (int I = 0; I < MaxRetiredPerCommand && !ByKeptFrom_.empty(); ++I) {
-    const auto Oldest = ByKeptFrom_.begin();
+  for (int I = 0; I < MaxExpiredPerCommand && !ByRetentionStart_.empty(); ++I) {
+    const auto Oldest = ByRetentionStart_.begin();
     if (Oldest->first + Limits_.RetentionMs_ >= WallMs_)
       return;
     const RequestKey Key = Oldest->second;
-    ByKeptFrom_.erase(Oldest);
-    retire(Key);
+    ByRetentionStart_.erase(Oldest);
+    expireRecord(Key);
   }
 }
 
-void RequestRecords::retire(const RequestKey &Key) {
+void RequestRecords::expireRecord(const RequestKey &Key) {
   RequestRecord &Record = Records_.at(Key);
   if (Record.State_ != RecordState::Begun) {
     Records_.erase(Key);
@@ -179,31 +179,31 @@
   }
   unindexBegun(Key, Record);
   Record.State_ = RecordState::Unknown;
-  Record.KeptFromMs_ = WallMs_;
+  Record.RetentionStartMs_ = WallMs_;
   index(Key, Record);
 }
 
 void RequestRecords::index(const RequestKey &Key, const RequestRecord &Record) {
-  ByKeptFrom_.emplace(Record.KeptFromMs_, Key);
+  ByRetentionStart_.emplace(Record.RetentionStartMs_, Key);
   if (Record.State_ == RecordState::Begun)
     BegunByEntry_[Record.Entry_].insert(Key);
 }
 
 void RequestRecords::unindexBegun(const RequestKey &Key,
                                   const RequestRecord &Record) {
-  const auto Found = BegunByEntry_.find(Record.Entry_);
-  assert(Found != BegunByEntry_.end() && "begun record without its index");
-  Found->second.erase(Key);
-  if (Found->second.empty())
-    BegunByEntry_.erase(Found);
+  const auto It = BegunByEntry_.find(Record.Entry_);
+  assert(It != BegunByEntry_.end() && "begun record without its index");
+  It->second.erase(Key);
+  if (It->second.empty())
+    BegunByEntry_.erase(It);
 }
 
 RequestRecord *RequestRecords::findAttempt(const RequestKey &Key,
                                            std::uint64_t Attempt) {
-  const auto Found = Records_.find(Key);
-  if (Found == Records_.end() || Found->second.Attempt_ != Attempt)
+  const auto It = Records_.find(Key);
+  if (It == Records_.end() || It->second.Attempt_ != Attempt)
     return nullptr;
-  return &Found->second;
+  return &It->second;
 }
 
 std::string RequestRecords::encode() const {
@@ -235,8 +235,8 @@
     if (Result.Records_.size() != Count)
       return fail(ErrorCode::Malformed, "records: a key stands twice");
     return Result;
-  } catch (const std::exception &Problem) {
+  } catch (const std::exception &Exception) {
     return fail(ErrorCode::Malformed,
-                std::string("records: ") + Problem.what());
+                std::string("records: ") + Exception.what());
   }
 }
--- a/src/entry/Router.cpp
+++ b/src/entry/Router.cpp
@@ -39,9 +39,9 @@
   fillGates();
 }
 
-// What the leader's account rests on (SlotLedger.h): a reply to a report that
-// named something else than what is held now would raise what is held beyond
-// what is accounted to this entry.
+// What the leader's account rests on (SlotAllocator.h): a reply to a report
+// that named something else than what is held now would raise what is held
+// beyond what is accounted to this entry.
 bool Router::mayAdopt(const wire::EntryReportReply &Reply, TimePoint SentAt,
                       std::uint64_t Named, TimePoint Until) const {
   const TimePoint Now = Clock_.now();
--- a/tests/control/ControlWorld.h
+++ b/tests/control/ControlWorld.h
@@ -82,7 +82,7 @@
   net::Metrics Metrics_;
   FakePeers Peers_;
   ChangeFeed Feed_;
-  datacentre::DataCentreMachine Machine_;
+  datacentre::DataCentreStateMachine Machine_;
   fleet::FleetMachine Fleet_;
   FakeReplica Group_;
   FakeReplica FleetGroup_;
--- a/tests/control/HeartbeatDifferentialTest.cpp
+++ b/tests/control/HeartbeatDifferentialTest.cpp
@@ -10,7 +10,7 @@
 #include "control/AnnouncementDigests.h"
 #include "entry/support/Fakes.h"
 #include "tulipweir/datacentre/DataCentreCodec.h"
-#include "tulipweir/datacentre/ServerLedger.h"
+#include "tulipweir/datacentre/ServerTracker.h"
 #include "tulipweir/entry/AnnouncementBatcher.h"
 #include "tulipweir/wire/Codec.h"
 
@@ -143,8 +143,8 @@
 
   void elect() {
     ++Term_;
-    Ledger_ = std::make_unique<ServerLedger>(ServerLedgerSettings{}, Term_,
-                                             Clock_.now(), State_);
+    Ledger_ = std::make_unique<ServerTracker>(ServerTrackerSettings{}, Term_,
+                                              Clock_.now(), State_);
     Digests_ = std::make_unique<control::AnnouncementDigests>();
   }
   void changeLeader() {
@@ -215,8 +215,8 @@
     std::vector<Change> Changes;
     (void)State_.apply(Value, Term_, ++Index_, &Changes);
     for (const Change &Each : Changes)
-      Ledger_->note(Each);
-    Ledger_->noteDone(Value);
+      Ledger_->onChange(Each);
+    Ledger_->onProposalDone(Value);
   }
   /// In an order of its own, as that within a batch means nothing.
   void applyProposed() {
@@ -245,7 +245,7 @@
     }
   }
   void evict(const TaskId &Task, AttemptNumber Attempt, int How) {
-    AttemptLedger &Attempts = Ledger_->attempts();
+    AttemptTracker &Attempts = Ledger_->attempts();
     if (How == 0)
       Attempts.requestStop(Task, Attempt);
     if (How == 1)
@@ -257,7 +257,7 @@
     for (std::uint32_t Index = 0; Index < 12; ++Index) {
       const TaskId Task{JobId("j"), Index};
       const TaskRecord &Record = *State_.findTask(Task);
-      const TimePoint End = Ledger_->attempts().leases().findEnd(
+      const TimePoint End = Ledger_->attempts().leases().findExpiry(
           Task, Record.Attempt_, Record.Token_);
       Trace_.push_back("lease " +
                        std::to_string(End.time_since_epoch().count()));
@@ -272,7 +272,7 @@
   std::uint64_t Term_ = 0;
   std::uint64_t Index_ = 0;
   int Boots_ = 0;
-  std::unique_ptr<ServerLedger> Ledger_;
+  std::unique_ptr<ServerTracker> Ledger_;
   std::unique_ptr<control::AnnouncementDigests> Digests_;
   std::vector<std::unique_ptr<Relay>> Relays_;
   std::vector<std::unique_ptr<entry::AnnouncementBatcher>> Entries_;
--- a/tests/datacentre/DataCentreMachineTest.cpp
+++ b/tests/datacentre/DataCentreStateMachineTest.cpp
@@ -1,15 +1,15 @@
-//===- DataCentreMachineTest.cpp ------------------------------------------===//
+//===- DataCentreStateMachineTest.cpp -------------------------------------===//
 
-#include "tulipweir/datacentre/DataCentreMachine.h"
+#include "tulipweir/datacentre/DataCentreStateMachine.h"
 #include "tulipweir/datacentre/DataCentreCodec.h"
-#include "tulipweir/datacentre/JobOutcomes.h"
+#include "tulipweir/datacentre/JobOutcomeTracker.h"
 
 #include <gtest/gtest.h>
 
 using namespace tulipweir;
 using namespace tulipweir::datacentre;
 
-class DataCentreMachineTest : public testing::Test {
+class DataCentreStateMachineTest : public testing::Test {
 protected:
   CommandResult apply(const Command &Value) {
     const std::string Bytes = encodeCommand(Value);
@@ -39,18 +39,18 @@
 
   std::vector<std::uint64_t> Fed_;
   int Restored_ = 0;
-  JobOutcomes Tracker_;
-  DataCentreMachine Machine_{RecordLimits{},
-                             [this](const AppliedCommand &Value) {
-                               Fed_.push_back(Value.Index_);
-                               for (const Change &Each : Value.Changes_)
-                                 Tracker_.note(Each);
-                             },
-                             [this] { ++Restored_; }};
+  JobOutcomeTracker Outcomes_;
+  DataCentreStateMachine Machine_{RecordLimits{},
+                                  [this](const AppliedCommand &Value) {
+                                    Fed_.push_back(Value.Index_);
+                                    for (const Change &Applied : Value.Changes_)
+                                      Outcomes_.onChange(Applied);
+                                  },
+                                  [this] { ++Restored_; }};
   std::uint64_t Index_ = 0;
 };
 
-TEST_F(DataCentreMachineTest, FeedsEveryCommandInOrderWithItsToken) {
+TEST_F(DataCentreStateMachineTest, FeedsEveryCommandInOrderWithItsToken) {
   registerServer();
   apply(makeJob("j", 1));
   const CommandResult Placed = place({JobId("j"), 0});
@@ -59,14 +59,15 @@
   EXPECT_EQ(Fed_, (std::vector<std::uint64_t>{1, 2, 3, 4}));
 }
 
-TEST_F(DataCentreMachineTest, BytesThatAreNoCommandAreAResultAndChangeNothing) {
+TEST_F(DataCentreStateMachineTest,
+       BytesThatAreNoCommandAreAResultAndChangeNothing) {
   const std::string Before = Machine_.takeSnapshot();
   const auto Result = decodeResult(Machine_.apply({1, 1, "\xc1"}));
   EXPECT_EQ(Result.value().Error_, "malformed");
   EXPECT_EQ(Machine_.takeSnapshot(), Before);
 }
 
-TEST_F(DataCentreMachineTest, ASnapshotIsRestoredWholeOrNotAtAll) {
+TEST_F(DataCentreStateMachineTest, ASnapshotIsRestoredWholeOrNotAtAll) {
   registerServer();
   apply(makeJob("j", 2));
   const std::string Snapshot = Machine_.takeSnapshot();
@@ -80,7 +81,7 @@
   EXPECT_EQ(Restored_, 1);
 }
 
-TEST_F(DataCentreMachineTest, EndedJobsAreListedUntilTheyAreDropped) {
+TEST_F(DataCentreStateMachineTest, EndedJobsAreListedUntilTheyAreDropped) {
   registerServer();
   apply(makeJob("done", 1));
   apply(makeJob("failed", 2));
@@ -95,7 +96,7 @@
   const auto List = [this] {
     std::vector<JobOutcome> Ended;
     Machine_.withState([&](const DataCentreState &State) {
-      Ended = Tracker_.listEnded(State, 9);
+      Ended = Outcomes_.listEnded(State, 9);
     });
     return Ended;
   };
@@ -106,7 +107,8 @@
   EXPECT_EQ(List().size(), 1u);
 }
 
-TEST_F(DataCentreMachineTest, AReleasedJobGoesOnElsewhereFromItsCheckpoints) {
+TEST_F(DataCentreStateMachineTest,
+       AReleasedJobGoesOnElsewhereFromItsCheckpoints) {
   registerServer();
   apply(makeJob("j", 2));
   place({JobId("j"), 0});
@@ -115,7 +117,7 @@
   const auto List = [this] {
     std::vector<JobId> Released;
     Machine_.withState([&](const DataCentreState &State) {
-      Released = Tracker_.listReleased(State, 9);
+      Released = Outcomes_.listReleased(State, 9);
     });
     return Released;
   };
--- a/tests/datacentre/DataCentreStateTest.cpp
+++ b/tests/datacentre/DataCentreStateTest.cpp
@@ -1,6 +1,6 @@
 //===- DataCentreStateTest.cpp --------------------------------------------===//
 
-#include "datacentre/NaiveDataCentre.h"
+#include "datacentre/ReferenceDataCentre.h"
 
 #include <gtest/gtest.h>
 
@@ -16,16 +16,16 @@
 
   int pick(int Count) { return static_cast<int>(Random_() % Count); }
 
-  Command next(const NaiveDataCentre &World) {
+  Command next(const ReferenceDataCentre &Reference) {
     const auto Server = BackendServerId("s" + std::to_string(pick(3)));
     const auto Boot = BootId("b" + std::to_string(pick(2) + Step_++ / 400));
     const TaskId Task{JobId("j" + std::to_string(pick(4))),
                       static_cast<std::uint32_t>(pick(4))};
     AttemptNumber Latest;
     BootId Current;
-    for (const NaiveTask &T : World.Tasks_)
+    for (const ReferenceTask &T : Reference.Tasks_)
       Latest = T.Id_ == Task ? T.Record_.Attempt_ : Latest;
-    for (const NaiveServer &S : World.Servers_)
+    for (const ReferenceServer &S : Reference.Servers_)
       Current = S.Info_.Server_ == Server ? S.Info_.Boot_ : Current;
     const AttemptNumber Next(Latest.value() + (pick(8) == 0 ? 2 : 1));
     const auto Size =
@@ -71,29 +71,29 @@
   int Step_ = 0;
 };
 
-static bool applyNaive(NaiveDataCentre &Naive, const Command &Value,
-                       FencingToken Token) {
-  return std::visit([&](const auto &C) { return Naive.apply(C, Token); },
+static bool applyToReference(ReferenceDataCentre &Reference,
+                             const Command &Value, FencingToken Token) {
+  return std::visit([&](const auto &C) { return Reference.apply(C, Token); },
                     Value);
 }
 
-static void expectSame(const DataCentreState &State,
-                       const NaiveDataCentre &Naive) {
+static void expectEqual(const DataCentreState &State,
+                        const ReferenceDataCentre &Reference) {
   std::size_t Tasks = 0;
   for (const auto &[Id, Job] : State.jobs())
     Tasks += Job.Tasks_.size();
-  ASSERT_EQ(Tasks, Naive.Tasks_.size());
-  for (const NaiveTask &T : Naive.Tasks_)
+  ASSERT_EQ(Tasks, Reference.Tasks_.size());
+  for (const ReferenceTask &T : Reference.Tasks_)
     ASSERT_EQ(*State.findTask(T.Id_), T.Record_) << T.Id_.toString();
-  ASSERT_EQ(State.servers().size(), Naive.Servers_.size());
-  for (const NaiveServer &S : Naive.Servers_) {
+  ASSERT_EQ(State.servers().size(), Reference.Servers_.size());
+  for (const ReferenceServer &S : Reference.Servers_) {
     const ServerRecord &Record = *State.findServer(S.Info_.Server_);
     ASSERT_EQ(Record.Info_, S.Info_);
-    ASSERT_EQ(Record.Reserved_, Naive.sumOf(S.Info_.Server_));
+    ASSERT_EQ(Record.Reserved_, Reference.sumOf(S.Info_.Server_));
   }
   for (const auto &[Id, Job] : State.jobs())
     ASSERT_EQ(Job.Ended_ + Job.Placed_ +
-                  Naive.countTasks(Id, TaskState::Waiting),
+                  Reference.countTasks(Id, TaskState::Waiting),
               Job.Tasks_.size());
 }
 
@@ -104,7 +104,7 @@
   std::set<BackendServerId> Servers_;
   std::set<JobId> Ended_;
 
-  void note(const Change &C) {
+  void onChange(const Change &C) {
     if (C.Kind_ == ChangeKind::ServerChanged)
       Servers_.insert(C.Server_);
     if (C.Kind_ == ChangeKind::ServerForgotten)
@@ -113,8 +113,8 @@
       Ended_.insert(C.Task_.Job_);
     if (C.Kind_ == ChangeKind::JobDropped) {
       Ended_.erase(C.Task_.Job_);
-      std::erase_if(Tasks_, [&](const auto &Each) {
-        return Each.first.Job_ == C.Task_.Job_;
+      std::erase_if(Tasks_, [&](const auto &Task) {
+        return Task.first.Job_ == C.Task_.Job_;
       });
     }
     if (C.Kind_ == ChangeKind::TaskWaiting ||
@@ -131,45 +131,50 @@
 TEST_P(DataCentreStateSeeds, AgreesWithScanningModelAndSurvivesItsSnapshot) {
   CommandSource Source(GetParam());
   DataCentreState State{RecordLimits{}};
-  NaiveDataCentre Naive;
-  Listener Fed;
-  std::set<std::tuple<TaskId, std::uint64_t, AttemptNumber>> Ran;
+  ReferenceDataCentre Reference;
+  Listener Incremental;
+  std::set<std::tuple<TaskId, std::uint64_t, AttemptNumber>> Placements;
   std::array<int, std::variant_size_v<Command>> Accepted{};
   for (std::uint64_t Index = 1; Index <= 6000; ++Index) {
-    const Command Value = Source.next(Naive);
+    const Command Value = Source.next(Reference);
     const DataCentreState Before = State;
     std::vector<Change> Changes;
     const CommandResult Result = State.apply(Value, 1, Index, &Changes);
-    const bool Took = Result.Error_.empty();
-    ASSERT_EQ(Took, applyNaive(Naive, Value, FencingToken{1, Index}))
+    const bool TookEffect = Result.Error_.empty();
+    ASSERT_EQ(TookEffect,
+              applyToReference(Reference, Value, FencingToken{1, Index}))
         << Result.Message_;
-    Accepted[Value.index()] += Took;
-    if (!Took) {
+    Accepted[Value.index()] += TookEffect;
+    if (!TookEffect) {
       ASSERT_EQ(State, Before) << "a refused command changed something";
       ASSERT_TRUE(Changes.empty());
     }
-    ASSERT_NO_FATAL_FAILURE(expectSame(State, Naive));
-    for (const Change &Each : Changes)
-      Fed.note(Each);
-    if (const auto *Place = std::get_if<PlaceTask>(&Value); Place && Took) {
+    ASSERT_NO_FATAL_FAILURE(expectEqual(State, Reference));
+    for (const Change &Applied : Changes)
+      Incremental.onChange(Applied);
+    if (const auto *Place = std::get_if<PlaceTask>(&Value);
+        Place && TookEffect) {
       const ServerRecord &Server = *State.findServer(Place->Server_);
       ASSERT_TRUE(Server.Reserved_.fitsIn(Server.Info_.Capacity_));
       const auto Assignment = State.findAssignment(Place->Task_.Job_);
-      ASSERT_TRUE(Ran.emplace(Place->Task_, Assignment, Place->Attempt_).second)
+      ASSERT_TRUE(
+          Placements.emplace(Place->Task_, Assignment, Place->Attempt_).second)
           << "an attempt was placed twice";
     }
-    if (const auto *Release = std::get_if<ReleaseJob>(&Value); Release && Took)
+    if (const auto *Release = std::get_if<ReleaseJob>(&Value);
+        Release && TookEffect)
       Source.Progress_ = encodeProgress(*State.findJob(Release->Job_));
     if (Source.pick(50) != 0)
       continue;
-    const auto Back = DataCentreState::decode(State.encode(), RecordLimits{});
-    ASSERT_TRUE(Back.has_value()) << Back.error().Message_;
-    ASSERT_EQ(Back.value(), State);
-    State = Back.value();
+    const auto Decoded =
+        DataCentreState::decode(State.encode(), RecordLimits{});
+    ASSERT_TRUE(Decoded.has_value()) << Decoded.error().Message_;
+    ASSERT_EQ(Decoded.value(), State);
+    State = Decoded.value();
     Listener Rebuilt;
-    for (const Change &Each : State.listChanges())
-      Rebuilt.note(Each);
-    ASSERT_EQ(Rebuilt, Fed);
+    for (const Change &Applied : State.listChanges())
+      Rebuilt.onChange(Applied);
+    ASSERT_EQ(Rebuilt, Incremental);
   }
   // The schedule reached every kind of command but those about records.
   for (const std::size_t Kind : {0, 1, 2, 3, 4, 5, 6, 7, 12})
--- a/tests/datacentre/FakeBackendServer.h
+++ b/tests/datacentre/FakeBackendServer.h
@@ -1,4 +1,4 @@
-//===- FakeBackendServer.h - Runs tasks under leases -----------*- C++ -*-===//
+//===- FakeBackendServer.h - Backend server under lease rules ---*- C++ -*-===//
 //
 // A backend server by the rules of docs/LEASES.md, with a clock that drifts.
 // It takes replies in any order.
@@ -26,8 +26,8 @@
 struct DriftingClock {
   double Rate_ = 1;
   Duration Offset_ = std::chrono::hours(1);
-  TimePoint at(Duration Real) const {
-    return TimePoint(Offset_ + scale(Real, Rate_));
+  TimePoint at(Duration RealTime) const {
+    return TimePoint(Offset_ + scale(RealTime, Rate_));
   }
 };
 
@@ -53,12 +53,12 @@
     ++Boot_;
     Sequence_ = 0;
     Held_.clear();
-    Highest_.clear();
+    HighestToken_.clear();
     SentAt_.clear();
   }
   BootId boot() const { return BootId("b" + std::to_string(Boot_)); }
 
-  wire::Announcement announce(Duration Real) {
+  wire::Announcement announce(Duration RealTime) {
     wire::Announcement A;
     A.Server_ = Id_;
     A.Boot_ = boot();
@@ -66,7 +66,7 @@
     A.Slots_ = A.Connections_ = 8;
     A.Draining_ = Draining_;
     A.Sequence_ = ++Sequence_;
-    SentAt_[Sequence_] = Clock_.at(Real);
+    SentAt_[Sequence_] = Clock_.at(RealTime);
     for (auto &[Task, H] : Held_) {
       A.Attempts_.push_back(H.Report_);
       if (H.Report_.State_ != wire::AttemptState::Running && !H.EndShownBy_)
@@ -76,12 +76,12 @@
   }
 
   void onReply(std::uint64_t Sequence, const wire::AnnouncementReply &Reply,
-               Duration Real) {
+               Duration RealTime) {
     const TimePoint LeaseEnd =
         SentAt_.at(Sequence) + std::chrono::milliseconds(Reply.LeaseTtlMs_);
     for (const wire::TaskCommand &C : Reply.Commands_) {
       if (C.Kind_ == wire::TaskCommandKind::Start)
-        start(C, LeaseEnd, Real);
+        start(C, LeaseEnd, RealTime);
       if (C.Kind_ == wire::TaskCommandKind::Stop)
         stop(C, Sequence);
       const auto H = Held_.find(C.Task_);
@@ -99,9 +99,9 @@
   }
 
   /// Stops what has no lease any more, as late as is allowed.
-  void tick(Duration Real) {
+  void tick(Duration RealTime) {
     for (auto &[Task, H] : Held_)
-      if (isRunning(H) && Clock_.at(Real) >= H.LeaseEnd_ + StopDelay_)
+      if (isRunning(H) && Clock_.at(RealTime) >= H.LeaseEnd_ + StopDelay_)
         H.Report_.State_ = wire::AttemptState::Stopped;
   }
   static bool isRunning(const Held &H) {
@@ -109,12 +109,13 @@
   }
 
 private:
-  void start(const wire::TaskCommand &C, TimePoint LeaseEnd, Duration Real) {
+  void start(const wire::TaskCommand &C, TimePoint LeaseEnd,
+             Duration RealTime) {
     // A token is run once, a lower one never; a start that comes after its
     // lease is over is ignored.
-    if (Highest_[C.Task_] >= C.Token_ || Clock_.at(Real) >= LeaseEnd)
+    if (HighestToken_[C.Task_] >= C.Token_ || Clock_.at(RealTime) >= LeaseEnd)
       return;
-    Highest_[C.Task_] = C.Token_;
+    HighestToken_[C.Task_] = C.Token_;
     Held H;
     H.Report_.Task_ = C.Task_;
     H.Report_.Attempt_ = C.Attempt_;
@@ -131,9 +132,9 @@
     } else if (Same) {
       if (H->second.EndShownBy_ && Sequence >= H->second.EndShownBy_)
         Held_.erase(H);
-    } else if (H == Held_.end() && Highest_[C.Task_] < C.Token_) {
+    } else if (H == Held_.end() && HighestToken_[C.Task_] < C.Token_) {
       // Unknown: its start may still be under way and is refused from now on.
-      Highest_[C.Task_] = C.Token_;
+      HighestToken_[C.Task_] = C.Token_;
       Held Stopped;
       Stopped.Report_.Task_ = C.Task_;
       Stopped.Report_.Attempt_ = C.Attempt_;
@@ -143,7 +144,7 @@
     }
   }
 
-  std::map<TaskId, FencingToken> Highest_;
+  std::map<TaskId, FencingToken> HighestToken_;
   std::map<std::uint64_t, TimePoint> SentAt_;
 };
 
--- /dev/null
+++ b/tests/datacentre/LeaseManagerTest.cpp
@@ -0,0 +1,64 @@
+//===- LeaseManagerTest.cpp -----------------------------------------------===//
+
+#include "tulipweir/datacentre/LeaseManager.h"
+#include "datacentre/FakeBackendServer.h"
+
+#include <gtest/gtest.h>
+
+#include <random>
+
+using namespace tulipweir;
+using namespace tulipweir::datacentre;
+using std::chrono::milliseconds;
+
+static const TaskId Task{JobId("j"), 0};
+static const AttemptNumber First(1);
+
+TEST(LeaseManagerTest, NeverEndsBeforeTheBackendServerForAnyDriftWithinBound) {
+  std::mt19937 Random(1);
+  const LeaseSettings Settings{milliseconds(3000), 50'000, milliseconds(200)};
+  std::uniform_real_distribution<double> Rate(0.95, 1.05);
+  Duration SmallestMargin = std::chrono::hours(1);
+  for (int I = 0; I < 2000; ++I) {
+    // Every other pair of clocks is at the ends of the bound.
+    const DriftingClock Server{I % 2 ? Rate(Random) : 0.95};
+    const DriftingClock Leader{I % 2 ? Rate(Random) : 1.05};
+    const Duration Sent = milliseconds(Random() % 100'000);
+    const Duration Answered = Sent + milliseconds(Random() % 50);
+    LeaseManager Manager(Settings, FencingToken{1, 0}, Leader.at(Sent));
+    ASSERT_TRUE(Manager.renew(Task, First, {Leader.at(Answered), true}));
+    const TimePoint Expiry =
+        Manager.findExpiry(Task, First, FencingToken{1, 1});
+    // The server stops as late as it may, by its own clock.
+    const Duration MaxRunTime = Settings.Ttl_ + Settings.StopGrace_;
+    const Duration RealStop = Sent + scale(MaxRunTime, 1 / Server.Rate_);
+    ASSERT_GE(Expiry + Duration(2), Leader.at(RealStop));
+    SmallestMargin = std::min(SmallestMargin, Expiry - Leader.at(RealStop));
+  }
+  // The bound is used up, not passed by.
+  EXPECT_LT(SmallestMargin, milliseconds(1));
+}
+
+TEST(LeaseManagerTest, LeasesOfEarlierLeadersEndAFullTtlAfterTheElection) {
+  const TimePoint Elected{std::chrono::hours(1)};
+  const LeaseSettings Settings;
+  const FencingToken LastPlaced{5, 7};
+  const LeaseManager Manager(Settings, LastPlaced, Elected);
+  const FencingToken Earlier{4, 1};
+  const FencingToken Later{5, 8};
+  EXPECT_FALSE(Manager.hasExpired(Task, First, LastPlaced, Elected))
+      << "another keeper of this term may have granted it";
+  EXPECT_FALSE(
+      Manager.hasExpired(Task, First, Earlier, Elected + Settings.Ttl_));
+  EXPECT_TRUE(Manager.hasExpired(Task, First, Earlier,
+                                 Elected + Settings.getMaxRunTime()));
+  EXPECT_TRUE(Manager.hasExpired(Task, First, Later, Elected))
+      << "never granted, and no earlier leader can have seen it";
+}
+
+TEST(LeaseManagerTest, GrantsNothingWithoutLeadership) {
+  const TimePoint Now{std::chrono::hours(1)};
+  LeaseManager Manager(LeaseSettings{}, FencingToken{}, Now);
+  EXPECT_FALSE(Manager.renew(Task, First, {Now, false}));
+  EXPECT_TRUE(Manager.hasExpired(Task, First, FencingToken{1, 1}, Now));
+}
--- a/tests/datacentre/LeaseMatrixTest.cpp
+++ b/tests/datacentre/LeaseMatrixTest.cpp
@@ -1,6 +1,6 @@
 //===- LeaseMatrixTest.cpp ------------------------------------------------===//
 
-#include "datacentre/LeaseWorld.h"
+#include "datacentre/LeaseSimulation.h"
 
 #include <gtest/gtest.h>
 
@@ -13,18 +13,18 @@
 }
 
 /// Every combination of the six faults.
-class LeaseMatrix : public testing::TestWithParam<unsigned> {};
+class LeaseFaultMatrix : public testing::TestWithParam<unsigned> {};
 
-TEST_P(LeaseMatrix, NoTaskRunsTwiceAndNoServerIsOverfull) {
+TEST_P(LeaseFaultMatrix, NoTaskRunsTwiceAndNoServerIsOverfull) {
   int Starts = 0;
   for (unsigned Seed = 0; Seed < 12; ++Seed) {
-    LeaseWorld World(makeFaults(GetParam()), GetParam() * 100 + Seed);
-    ASSERT_EQ(World.run(std::chrono::seconds(8)), "") << "seed " << Seed;
-    Starts += World.Starts_;
-    ASSERT_EQ(World.Changes_ > 3, makeFaults(GetParam()).LeaderChanges_);
+    LeaseSimulation Simulation(makeFaults(GetParam()), GetParam() * 100 + Seed);
+    ASSERT_EQ(Simulation.run(std::chrono::seconds(8)), "") << "seed " << Seed;
+    Starts += Simulation.Starts_;
+    ASSERT_EQ(Simulation.Changes_ > 3, makeFaults(GetParam()).LeaderChanges_);
   }
   EXPECT_GT(Starts, 100);
   RecordProperty("starts", Starts);
 }
 
-INSTANTIATE_TEST_SUITE_P(Faults, LeaseMatrix, testing::Range(0u, 64u));
+INSTANTIATE_TEST_SUITE_P(Faults, LeaseFaultMatrix, testing::Range(0u, 64u));
--- a/tests/datacentre/LeaseWorld.h
+++ b/tests/datacentre/LeaseSimulation.h
@@ -1,4 +1,4 @@
-//===- LeaseWorld.h - Leaders, servers and a bad network -------*- C++ -*-===//
+//===- LeaseSimulation.h - Simulates task leases under faults ---*- C++ -*-===//
 //
 // One seeded schedule: leaders with ledgers over one committed log, fake
 // backend servers, and messages that are delayed, repeated and lost. The log
@@ -8,11 +8,11 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_TESTS_DATACENTRE_LEASEWORLD_H
-#define TULIPWEIR_TESTS_DATACENTRE_LEASEWORLD_H
+#ifndef TULIPWEIR_TESTS_DATACENTRE_LEASESIMULATION_H
+#define TULIPWEIR_TESTS_DATACENTRE_LEASESIMULATION_H
 
 #include "datacentre/FakeBackendServer.h"
-#include "tulipweir/datacentre/ServerLedger.h"
+#include "tulipweir/datacentre/ServerTracker.h"
 
 #include <deque>
 #include <functional>
@@ -25,15 +25,15 @@
 struct LeaseFaults {
   bool LeaderChanges_ = false;
   bool FrozenLeader_ = false; ///< Answers of a leader come very late.
-  bool CutServers_ = false;
+  bool PartitionServers_ = false;
   bool Drift_ = false;
   bool Disorder_ = false; ///< Delayed, repeated, reordered, lost.
   bool Reboots_ = false;
 };
 
-class LeaseWorld {
+class LeaseSimulation {
 public:
-  LeaseWorld(const LeaseFaults &Faults, unsigned Seed);
+  LeaseSimulation(const LeaseFaults &Faults, unsigned Seed);
 
   /// Runs for Length; returns what broke first, or nothing.
   std::string run(Duration Length);
@@ -49,9 +49,9 @@
     Duration LeadsUntil_{};
     DataCentreState State_{RecordLimits{}};
     std::size_t Applied_ = 0;
-    std::unique_ptr<ServerLedger> Ledger_;
+    std::unique_ptr<ServerTracker> Tracker_;
     std::deque<std::pair<Duration, Command>> Pending_;
-    std::set<std::pair<TaskId, FencingToken>> Shown_; ///< By servers.
+    std::set<std::pair<TaskId, FencingToken>> Reported_; ///< By servers.
   };
   struct LogEntry {
     std::uint64_t Term_;
@@ -65,11 +65,11 @@
   int pick(int Count) { return static_cast<int>(Random_() % Count); }
   DriftingClock makeClock();
   void elect();
-  void catchUp(Leader &Of, int Most);
-  void commit(Leader &By);
-  void propose(Leader &By, const Command &Value);
-  void schedule(Leader &By);
-  void scheduleTask(Leader &By, const TaskId &Id, const TaskRecord &Task);
+  void applyLog(Leader &Replica, int Most);
+  void commit(Leader &Proposer);
+  void propose(Leader &Proposer, const Command &Value);
+  void schedule(Leader &Proposer);
+  void scheduleTask(Leader &Proposer, const TaskId &Id, const TaskRecord &Task);
   void announce(std::size_t Server);
   void onAnnouncement(Leader &At, const wire::Announcement &Value,
                       std::size_t Server);
@@ -81,19 +81,19 @@
 
   const LeaseFaults Faults_;
   std::mt19937 Random_;
-  Duration Real_{};
-  ServerLedgerSettings Settings_;
+  Duration RealTime_{};
+  ServerTrackerSettings Settings_;
   std::vector<FakeBackendServer> Servers_;
-  std::vector<Duration> CutUntil_;
-  std::vector<Duration> StuckUntil_; ///< To the leader before the latest.
+  std::vector<Duration> PartitionedUntil_;
+  std::vector<Duration> OldLeaderUntil_; ///< To the leader before the latest.
   std::vector<std::unique_ptr<Leader>> Leaders_;
   std::vector<LogEntry> Log_;
   std::vector<Message> Messages_;
   Duration NextElection_{};
   int NextJob_ = 0;
-  std::string Problem_;
+  std::string Violation_;
 };
 
 } // namespace tulipweir::datacentre
 
-#endif // TULIPWEIR_TESTS_DATACENTRE_LEASEWORLD_H
+#endif // TULIPWEIR_TESTS_DATACENTRE_LEASESIMULATION_H
--- a/tests/datacentre/NaiveDataCentre.h
+++ b/tests/datacentre/ReferenceDataCentre.h
@@ -1,62 +1,62 @@
-//===- NaiveDataCentre.h - The rules once more, by scanning ----*- C++ -*-===//
+//===- ReferenceDataCentre.h - Reference model of the state -----*- C++ -*-===//
 //
 // Keeps flat lists and scans them all for every command. Written from the
 // comments of Commands.h, for the differential test.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_TESTS_DATACENTRE_NAIVEDATACENTRE_H
-#define TULIPWEIR_TESTS_DATACENTRE_NAIVEDATACENTRE_H
+#ifndef TULIPWEIR_TESTS_DATACENTRE_REFERENCEDATACENTRE_H
+#define TULIPWEIR_TESTS_DATACENTRE_REFERENCEDATACENTRE_H
 
 #include "tulipweir/datacentre/DataCentreCodec.h"
 #include "tulipweir/datacentre/DataCentreState.h"
 
 namespace tulipweir::datacentre {
 
-struct NaiveTask {
+struct ReferenceTask {
   TaskId Id_;
   TaskRecord Record_;
 };
-struct NaiveJob {
+struct ReferenceJob {
   JobSpec Spec_;
   std::uint64_t Assignment_ = 0;
   bool Cancelling_ = false;
   bool Releasing_ = false;
   bool Dropped_ = false;
 };
-struct NaiveServer {
+struct ReferenceServer {
   RegisterServer Info_;
 };
 
-class NaiveDataCentre {
+class ReferenceDataCentre {
 public:
-  std::vector<NaiveServer> Servers_;
-  std::vector<NaiveJob> Jobs_;
-  std::vector<NaiveTask> Tasks_;
+  std::vector<ReferenceServer> Servers_;
+  std::vector<ReferenceJob> Jobs_;
+  std::vector<ReferenceTask> Tasks_;
 
   Resources sumOf(const BackendServerId &Server) const {
     Resources Sum;
-    for (const NaiveTask &T : Tasks_)
+    for (const ReferenceTask &T : Tasks_)
       if (T.Record_.State_ == TaskState::Placed && T.Record_.Server_ == Server)
         Sum = Sum + T.Record_.Reservation_;
     return Sum;
   }
   int countTasks(const JobId &Job, TaskState State) const {
     int Count = 0;
-    for (const NaiveTask &T : Tasks_)
+    for (const ReferenceTask &T : Tasks_)
       Count += T.Id_.Job_ == Job && T.Record_.State_ == State;
     return Count;
   }
 
   /// Whether the command took effect.
   bool apply(const RegisterServer &C, FencingToken) {
-    NaiveServer *S = find(C.Server_);
+    ReferenceServer *S = find(C.Server_);
     if (!S) {
       Servers_.push_back({C});
       return true;
     }
     if (S->Info_.Boot_ != C.Boot_) {
-      for (NaiveTask &T : Tasks_)
+      for (ReferenceTask &T : Tasks_)
         if (T.Record_.State_ == TaskState::Placed &&
             T.Record_.Server_ == C.Server_)
           end(T, {T.Id_, T.Record_.Attempt_, AttemptEnd::Lost, "",
@@ -68,30 +68,30 @@
   bool apply(const ForgetServer &C, FencingToken) {
     if (!find(C.Server_))
       return false;
-    for (const NaiveTask &T : Tasks_)
+    for (const ReferenceTask &T : Tasks_)
       if (T.Record_.State_ == TaskState::Placed &&
           T.Record_.Server_ == C.Server_)
         return false;
-    std::erase_if(Servers_, [&](const NaiveServer &S) {
+    std::erase_if(Servers_, [&](const ReferenceServer &S) {
       return S.Info_.Server_ == C.Server_;
     });
     return true;
   }
   bool apply(const AdoptJob &C, FencingToken) {
-    NaiveJob *J = find(C.Spec_.Job_);
+    ReferenceJob *J = find(C.Spec_.Job_);
     if (C.Assignment_ == 0)
       return false;
     if (J && (C.Assignment_ <= J->Assignment_ ||
               countTasks(C.Spec_.Job_, TaskState::Placed) > 0))
       return false;
-    std::erase_if(Jobs_, [&](const NaiveJob &Each) {
-      return Each.Spec_.Job_ == C.Spec_.Job_;
+    std::erase_if(Jobs_, [&](const ReferenceJob &Other) {
+      return Other.Spec_.Job_ == C.Spec_.Job_;
     });
     forgetTasks(C.Spec_.Job_);
     Jobs_.push_back({C.Spec_, C.Assignment_});
     const auto Progress = decodeProgress(C.Progress_, C.Spec_.Tasks_).value();
     for (std::uint32_t I = 0; I < C.Spec_.Tasks_; ++I) {
-      NaiveTask T{{C.Spec_.Job_, I}, {}};
+      ReferenceTask T{{C.Spec_.Job_, I}, {}};
       if (!Progress.empty()) {
         T.Record_.Attempt_ = Progress[I].Attempt_;
         T.Record_.Failures_ = Progress[I].Failures_;
@@ -105,11 +105,11 @@
     return true;
   }
   bool apply(const PlaceTask &C, FencingToken Token) {
-    NaiveTask *T = find(C.Task_);
-    const NaiveServer *S = find(C.Server_);
+    ReferenceTask *T = find(C.Task_);
+    const ReferenceServer *S = find(C.Server_);
     if (!T || !S || S->Info_.Boot_ != C.Boot_ || S->Info_.Draining_)
       return false;
-    const NaiveJob *J = find(C.Task_.Job_);
+    const ReferenceJob *J = find(C.Task_.Job_);
     if (J->Cancelling_ || J->Releasing_ ||
         T->Record_.State_ != TaskState::Waiting ||
         C.Attempt_.value() != T->Record_.Attempt_.value() + 1)
@@ -126,26 +126,26 @@
     return true;
   }
   bool apply(const ChangeReservation &C, FencingToken) {
-    NaiveTask *T = find(C.Task_);
+    ReferenceTask *T = find(C.Task_);
     if (!isPlaced(T, C.Attempt_) || !C.Reservation_.isValid())
       return false;
     const Resources Before = sumOf(T->Record_.Server_);
     const Resources Old = T->Record_.Reservation_;
     T->Record_.Reservation_ = C.Reservation_;
     const Resources After = sumOf(T->Record_.Server_);
-    const Resources Room = find(T->Record_.Server_)->Info_.Capacity_;
-    const bool Bad = (After.MilliCpus_ > Before.MilliCpus_ &&
-                      After.MilliCpus_ > Room.MilliCpus_) ||
-                     (After.MemoryMib_ > Before.MemoryMib_ &&
-                      After.MemoryMib_ > Room.MemoryMib_) ||
-                     (After.Accelerators_ > Before.Accelerators_ &&
-                      After.Accelerators_ > Room.Accelerators_);
-    if (Bad)
+    const Resources Capacity = find(T->Record_.Server_)->Info_.Capacity_;
+    const bool Overfull = (After.MilliCpus_ > Before.MilliCpus_ &&
+                           After.MilliCpus_ > Capacity.MilliCpus_) ||
+                          (After.MemoryMib_ > Before.MemoryMib_ &&
+                           After.MemoryMib_ > Capacity.MemoryMib_) ||
+                          (After.Accelerators_ > Before.Accelerators_ &&
+                           After.Accelerators_ > Capacity.Accelerators_);
+    if (Overfull)
       T->Record_.Reservation_ = Old;
-    return !Bad;
+    return !Overfull;
   }
   bool apply(const EndAttempt &C, FencingToken) {
-    NaiveTask *T = find(C.Task_);
+    ReferenceTask *T = find(C.Task_);
     if (!isPlaced(T, C.Attempt_))
       return false;
     if (C.End_ == AttemptEnd::Cancelled && !find(C.Task_.Job_)->Cancelling_)
@@ -154,17 +154,17 @@
     return true;
   }
   bool apply(const CancelJob &C, FencingToken) {
-    NaiveJob *J = find(C.Job_);
+    ReferenceJob *J = find(C.Job_);
     if (!J || J->Dropped_ || J->Cancelling_ || hasEnded(C.Job_))
       return false;
     J->Cancelling_ = true;
-    for (NaiveTask &T : Tasks_)
+    for (ReferenceTask &T : Tasks_)
       if (T.Id_.Job_ == C.Job_ && T.Record_.State_ == TaskState::Waiting)
         T.Record_.State_ = TaskState::Cancelled;
     return true;
   }
   bool apply(const DropJob &C, FencingToken) {
-    NaiveJob *J = find(C.Job_);
+    ReferenceJob *J = find(C.Job_);
     if (!J || J->Dropped_)
       return false;
     const bool Placed = countTasks(C.Job_, TaskState::Placed) > 0;
@@ -175,7 +175,7 @@
     return true;
   }
   bool apply(const ReleaseJob &C, FencingToken) {
-    NaiveJob *J = find(C.Job_);
+    ReferenceJob *J = find(C.Job_);
     if (!J || J->Dropped_ || J->Releasing_ || J->Assignment_ != C.Assignment_)
       return false;
     J->Releasing_ = true;
@@ -184,25 +184,25 @@
   template <class T> bool apply(const T &, FencingToken) { return false; }
 
 private:
-  NaiveServer *find(const BackendServerId &Id) {
-    for (NaiveServer &S : Servers_)
+  ReferenceServer *find(const BackendServerId &Id) {
+    for (ReferenceServer &S : Servers_)
       if (S.Info_.Server_ == Id)
         return &S;
     return nullptr;
   }
-  NaiveJob *find(const JobId &Id) {
-    for (NaiveJob &J : Jobs_)
+  ReferenceJob *find(const JobId &Id) {
+    for (ReferenceJob &J : Jobs_)
       if (J.Spec_.Job_ == Id)
         return &J;
     return nullptr;
   }
-  NaiveTask *find(const TaskId &Id) {
-    for (NaiveTask &T : Tasks_)
+  ReferenceTask *find(const TaskId &Id) {
+    for (ReferenceTask &T : Tasks_)
       if (T.Id_ == Id)
         return &T;
     return nullptr;
   }
-  static bool isPlaced(const NaiveTask *T, AttemptNumber Attempt) {
+  static bool isPlaced(const ReferenceTask *T, AttemptNumber Attempt) {
     return T && T->Record_.State_ == TaskState::Placed &&
            T->Record_.Attempt_ == Attempt;
   }
@@ -213,10 +213,10 @@
   }
   void forgetTasks(const JobId &Job) {
     std::erase_if(Tasks_,
-                  [&](const NaiveTask &T) { return T.Id_.Job_ == Job; });
+                  [&](const ReferenceTask &T) { return T.Id_.Job_ == Job; });
   }
-  void end(NaiveTask &T, const EndAttempt &C) {
-    const NaiveJob &J = *find(T.Id_.Job_);
+  void end(ReferenceTask &T, const EndAttempt &C) {
+    const ReferenceJob &J = *find(T.Id_.Job_);
     TaskRecord &R = T.Record_;
     R.Server_ = BackendServerId();
     R.Boot_ = BootId();
@@ -240,4 +240,4 @@
 
 } // namespace tulipweir::datacentre
 
-#endif // TULIPWEIR_TESTS_DATACENTRE_NAIVEDATACENTRE_H
+#endif // TULIPWEIR_TESTS_DATACENTRE_REFERENCEDATACENTRE_H
--- a/tests/datacentre/RequestRecordsTest.cpp
+++ b/tests/datacentre/RequestRecordsTest.cpp
@@ -15,7 +15,7 @@
 static constexpr RecordLimits SmallLimits{1000, 15, 8};
 
 /// The rules once more over a flat list.
-class NaiveRecords {
+class ReferenceRecords {
 public:
   struct Entry {
     RequestKey Key_;
@@ -24,19 +24,19 @@
   std::vector<Entry> List_;
   std::uint64_t Wall_ = 0;
 
-  void advance(std::uint64_t Wall) {
+  void advanceClock(std::uint64_t Wall) {
     Wall_ = std::max(Wall_, Wall);
     for (Entry &E : List_)
-      if (E.Record_.State_ == RecordState::Begun && isPast(E)) {
+      if (E.Record_.State_ == RecordState::Begun && isExpired(E)) {
         E.Record_.State_ = RecordState::Unknown;
-        E.Record_.KeptFromMs_ = Wall_;
+        E.Record_.RetentionStartMs_ = Wall_;
       }
-    std::erase_if(List_, [this](const Entry &E) { return isPast(E); });
+    std::erase_if(List_, [this](const Entry &E) { return isExpired(E); });
   }
   /// Nothing: refused.
   std::optional<wire::BeginRequestReply> begin(const wire::BeginRequest &R,
                                                std::uint64_t Wall) {
-    advance(Wall);
+    advanceClock(Wall);
     const bool IsTicket = R.Key_.value().starts_with(TicketPrefix);
     const std::uint64_t Issued = parseTicketTime(R.Key_).value_or(0);
     if (IsTicket && Issued > Wall_ + 1000)
@@ -60,7 +60,7 @@
           RequestDisposition::Unknown, E->Record_.Attempt_, {}};
     const std::uint64_t Attempt = E ? E->Record_.Attempt_ + 1 : 1;
     std::erase_if(List_,
-                  [&](const Entry &Each) { return Each.Key_ == R.Key_; });
+                  [&](const Entry &Other) { return Other.Key_ == R.Key_; });
     const std::uint64_t Deadline = std::min(R.DeadlineWallMs_, Wall_ + 1000);
     List_.push_back({R.Key_,
                      {R.Digest_,
@@ -75,7 +75,7 @@
     return wire::BeginRequestReply{RequestDisposition::Run, Attempt, {}};
   }
   bool finish(const wire::FinishRequest &R, std::uint64_t Wall) {
-    advance(Wall);
+    advanceClock(Wall);
     Entry *E = find(R.Key_);
     if (!E || E->Record_.Attempt_ != R.Attempt_ ||
         E->Record_.State_ == RecordState::Abandoned)
@@ -90,7 +90,7 @@
     return true;
   }
   bool abandon(const wire::AbandonRequest &R, std::uint64_t Wall) {
-    advance(Wall);
+    advanceClock(Wall);
     Entry *E = find(R.Key_);
     if (!E || E->Record_.Attempt_ != R.Attempt_)
       return false;
@@ -106,8 +106,8 @@
   }
 
 private:
-  bool isPast(const Entry &E) const {
-    return E.Record_.KeptFromMs_ + 1000 < Wall_;
+  bool isExpired(const Entry &E) const {
+    return E.Record_.RetentionStartMs_ + 1000 < Wall_;
   }
   Entry *find(const RequestKey &Key) {
     for (Entry &E : List_)
@@ -125,16 +125,16 @@
     return static_cast<int>(Random() % Count);
   };
   RequestRecords Records(SmallLimits);
-  NaiveRecords Naive;
+  ReferenceRecords Reference;
   std::uint64_t Wall = 10'000;
   std::vector<RequestKey> Keys;
   std::map<RequestKey, int> Runs;
-  std::map<RequestDisposition, int> Seen;
+  std::map<RequestDisposition, int> Dispositions;
   int Refused = 0;
   for (int Step = 0; Step < 8000; ++Step) {
     Wall += Pick(40) == 0 ? Pick(1500) : Pick(12);
     // A proposer's clock may be behind.
-    const std::uint64_t Told = Wall - Pick(30);
+    const std::uint64_t ProposerTime = Wall - Pick(30);
     if (Keys.size() < 60 || Pick(6) == 0)
       Keys.push_back(Pick(3) == 0
                          ? RequestKey("own" + std::to_string(Pick(30)))
@@ -144,9 +144,9 @@
     const RequestKey Key =
         Keys[Keys.size() - 1 -
              Random() % std::min<std::size_t>(Keys.size(), 60)];
-    const auto Found = Records.records().find(Key);
+    const auto It = Records.records().find(Key);
     const std::uint64_t Attempt =
-        (Found == Records.records().end() ? 0 : Found->second.Attempt_) -
+        (It == Records.records().end() ? 0 : It->second.Attempt_) -
         (Pick(8) == 0);
     const EntryId Entry("e" + std::to_string(Pick(3)));
     const std::uint64_t Incarnation = 1 + Pick(2);
@@ -155,24 +155,25 @@
       Answer = wire::StoredAnswer{200, "", std::string(Pick(12), 'x')};
     switch (Pick(8)) {
     case 0: {
-      const std::uint64_t Which = Incarnation * Pick(2);
-      Records.endEntry(Entry, Which);
-      Naive.endEntry(Entry, Which);
+      const std::uint64_t EndedIncarnation = Incarnation * Pick(2);
+      Records.endEntry(Entry, EndedIncarnation);
+      Reference.endEntry(Entry, EndedIncarnation);
       break;
     }
     case 1:
     case 2: {
       const wire::FinishRequest Finish{Key, Attempt, Answer};
-      ASSERT_EQ(Records.finish(Finish, Told), Naive.finish(Finish, Told));
+      ASSERT_EQ(Records.finish(Finish, ProposerTime),
+                Reference.finish(Finish, ProposerTime));
       break;
     }
     case 3: {
       const wire::AbandonRequest Abandon{Key, Attempt};
-      const bool Was = Found != Records.records().end() &&
-                       Found->second.State_ == RecordState::Begun;
-      const bool Took = Records.abandon(Abandon, Told);
-      ASSERT_EQ(Took, Naive.abandon(Abandon, Told));
-      Runs[Key] -= Took && Was;
+      const bool WasBegun = It != Records.records().end() &&
+                            It->second.State_ == RecordState::Begun;
+      const bool Accepted = Records.abandon(Abandon, ProposerTime);
+      ASSERT_EQ(Accepted, Reference.abandon(Abandon, ProposerTime));
+      Runs[Key] -= Accepted && WasBegun;
       break;
     }
     default: {
@@ -181,31 +182,31 @@
                                      Entry,
                                      Incarnation,
                                      ServiceId("s"),
-                                     Told + Pick(400)};
-      const auto Reply = Records.begin(Begin, Told);
-      const auto Expected = Naive.begin(Begin, Told);
+                                     ProposerTime + Pick(400)};
+      const auto Reply = Records.begin(Begin, ProposerTime);
+      const auto Expected = Reference.begin(Begin, ProposerTime);
       ASSERT_EQ(Reply.has_value(), Expected.has_value());
       Refused += !Expected;
       if (!Expected)
         break;
       ASSERT_EQ(Reply.value(), *Expected) << Key.value();
-      ++Seen[Expected->Disposition_];
+      ++Dispositions[Expected->Disposition_];
       Runs[Key] += Expected->Disposition_ == RequestDisposition::Run;
       const bool IsTicket = Key.value().starts_with(TicketPrefix);
       ASSERT_TRUE(!IsTicket || Runs[Key] <= 1) << Key.value() << " ran twice";
     }
     }
-    ASSERT_EQ(Records.records().size(), Naive.List_.size());
-    for (const auto &E : Naive.List_)
+    ASSERT_EQ(Records.records().size(), Reference.List_.size());
+    for (const auto &E : Reference.List_)
       ASSERT_EQ(Records.records().at(E.Key_), E.Record_) << E.Key_.value();
     if (Pick(40) != 0)
       continue;
-    const auto Back = RequestRecords::decode(Records.encode(), SmallLimits);
-    ASSERT_TRUE(Back.has_value());
-    ASSERT_EQ(Back.value(), Records);
-    Records = Back.value();
+    const auto Decoded = RequestRecords::decode(Records.encode(), SmallLimits);
+    ASSERT_TRUE(Decoded.has_value());
+    ASSERT_EQ(Decoded.value(), Records);
+    Records = Decoded.value();
   }
-  EXPECT_EQ(Seen.size(), 6u) << "a disposition was never reached";
+  EXPECT_EQ(Dispositions.size(), 6u) << "a disposition was never reached";
   EXPECT_GT(Refused, 0);
 }
 
@@ -213,10 +214,10 @@
 
 TEST(RequestRecordsTest, ReadsOnlyWellFormedTickets) {
   EXPECT_EQ(parseTicketTime(RequestKey("ticket:a.b.12.r")), 12u);
-  for (const char *Bad :
+  for (const char *Malformed :
        {"a.12.r", "ticket:12.r", "ticket:a.x.r", "ticket:a..r", "ticket:a.12.",
         "ticket:a.-1.r", "ticket:"})
-    EXPECT_FALSE(parseTicketTime(RequestKey(Bad))) << Bad;
+    EXPECT_FALSE(parseTicketTime(RequestKey(Malformed))) << Malformed;
 }
 
 TEST(RequestRecordsTest, MalformedTicketsAreRefused) {
--- a/tests/datacentre/ServerLedgerTest.cpp
+++ b/tests/datacentre/ServerTrackerTest.cpp
@@ -1,6 +1,6 @@
-//===- ServerLedgerTest.cpp -----------------------------------------------===//
+//===- ServerTrackerTest.cpp ----------------------------------------------===//
 
-#include "tulipweir/datacentre/ServerLedger.h"
+#include "tulipweir/datacentre/ServerTracker.h"
 
 #include <gtest/gtest.h>
 
@@ -10,9 +10,9 @@
 using wire::AttemptState;
 using wire::TaskCommandKind;
 
-class ServerLedgerTest : public testing::Test {
+class ServerTrackerTest : public testing::Test {
 protected:
-  ServerLedgerTest() {
+  ServerTrackerTest() {
     apply(AdoptJob{{Task_.Job_, TeamId("t"), JobClassId("c"), 1, 2, Resources{},
                     "payload", 9},
                    1,
@@ -22,9 +22,9 @@
   CommandResult apply(const Command &Value) {
     std::vector<Change> Changes;
     CommandResult Result = State_.apply(Value, 1, ++Index_, &Changes);
-    for (const Change &Each : Changes)
-      Ledger_.note(Each);
-    Ledger_.noteDone(Value);
+    for (const Change &Applied : Changes)
+      Tracker_.onChange(Applied);
+    Tracker_.onProposalDone(Value);
     return Result;
   }
   /// Announces, and applies what is proposed if Apply.
@@ -33,11 +33,11 @@
     return resend(Apply);
   }
   AnnouncementResult resend(bool Apply = true) {
-    auto Result = Ledger_.onAnnouncement(Announcement_, State_, {Now_, true});
+    auto Result = Tracker_.onAnnouncement(Announcement_, State_, {Now_, true});
     EXPECT_TRUE(Result.has_value());
     if (Apply)
-      for (const Command &Each : Result.value().Proposals_)
-        apply(Each);
+      for (const Command &Proposal : Result.value().Proposals_)
+        apply(Proposal);
     return std::move(Result).value();
   }
   void place(std::uint64_t Attempt = 1) {
@@ -47,32 +47,33 @@
     ASSERT_EQ(Result.Error_, "") << Result.Message_;
     Token_ = Result.Token_;
   }
-  void show(AttemptState How, const std::string &Checkpoint = "") {
+  void reportAttempt(AttemptState State, const std::string &Checkpoint = "") {
     Announcement_.Attempts_ = {{Task_, State_.findTask(Task_)->Attempt_, Token_,
-                                How, Checkpoint, "", Resources{}, 0, 0}};
+                                State, Checkpoint, "", Resources{}, 0, 0}};
   }
   /// Registered, placed, started and shown as running.
   void startRunning() {
     announce();
     place();
     ASSERT_EQ(announce().Reply_.Commands_.size(), 1u);
-    show(AttemptState::Running);
+    reportAttempt(AttemptState::Running);
     ASSERT_EQ(announce().Reply_.Renewals_.size(), 1u);
   }
-  static std::vector<TaskCommandKind> kinds(const AnnouncementResult &Result) {
+  static std::vector<TaskCommandKind>
+  listKinds(const AnnouncementResult &Result) {
     std::vector<TaskCommandKind> Kinds;
-    for (const wire::TaskCommand &Each : Result.Reply_.Commands_)
-      Kinds.push_back(Each.Kind_);
+    for (const wire::TaskCommand &Command : Result.Reply_.Commands_)
+      Kinds.push_back(Command.Kind_);
     return Kinds;
   }
   using Kinds = std::vector<TaskCommandKind>;
 
   const TaskId Task_{JobId("j"), 0};
-  const ServerLedgerSettings Settings_;
+  const ServerTrackerSettings Settings_;
   DataCentreState State_{RecordLimits{}};
   std::uint64_t Index_ = 0;
   TimePoint Now_{std::chrono::hours(1)};
-  ServerLedger Ledger_{Settings_, 1, Now_, State_};
+  ServerTracker Tracker_{Settings_, 1, Now_, State_};
   FencingToken Token_;
   wire::Announcement Announcement_{BackendServerId("s"),
                                    BootId("b"),
@@ -89,7 +90,7 @@
                                    {}};
 };
 
-TEST_F(ServerLedgerTest, RegistersOnceAndAgainOnlyWhenChanged) {
+TEST_F(ServerTrackerTest, RegistersOnceAndAgainOnlyWhenChanged) {
   EXPECT_EQ(announce(false).Proposals_.size(), 1u);
   EXPECT_EQ(announce(false).Proposals_.size(), 0u);
   Announcement_.Slots_ = 16;
@@ -97,151 +98,151 @@
   EXPECT_EQ(announce().Proposals_.size(), 0u);
 }
 
-TEST_F(ServerLedgerTest, RepeatsAStartUntilItIsShownAndThenRenews) {
+TEST_F(ServerTrackerTest, RepeatsAStartUntilItIsShownAndThenRenews) {
   announce();
   place();
   for (int I = 0; I < 2; ++I) {
     const AnnouncementResult Result = announce();
-    ASSERT_EQ(kinds(Result), Kinds{TaskCommandKind::Start});
+    ASSERT_EQ(listKinds(Result), Kinds{TaskCommandKind::Start});
     EXPECT_EQ(Result.Reply_.Commands_[0].Token_, Token_);
     EXPECT_EQ(Result.Reply_.Commands_[0].Payload_, "payload");
   }
-  show(AttemptState::Running);
-  EXPECT_EQ(kinds(announce()), Kinds{});
+  reportAttempt(AttemptState::Running);
+  EXPECT_EQ(listKinds(announce()), Kinds{});
 }
 
-TEST_F(ServerLedgerTest, WithoutLeadershipNothingIsStartedOrRenewed) {
+TEST_F(ServerTrackerTest, WithoutLeadershipNothingIsStartedOrRenewed) {
   announce();
   place();
   ++Announcement_.Sequence_;
   const auto Result =
-      Ledger_.onAnnouncement(Announcement_, State_, {Now_, false});
+      Tracker_.onAnnouncement(Announcement_, State_, {Now_, false});
   ASSERT_FALSE(Result.has_value());
   EXPECT_EQ(Result.error().Code_, ErrorCode::NotLeader);
 }
 
-TEST_F(ServerLedgerTest, StaleAndRepeatedAnnouncementsChangeNothing) {
+TEST_F(ServerTrackerTest, StaleAndRepeatedAnnouncementsChangeNothing) {
   startRunning();
   Announcement_.Attempts_.clear();
   for (int Back : {0, 1}) {
     Announcement_.Sequence_ -= Back;
     const AnnouncementResult Result = resend();
-    EXPECT_FALSE(Result.Fresh_);
+    EXPECT_FALSE(Result.IsNewest_);
     EXPECT_TRUE(Result.Reply_.Commands_.empty());
     EXPECT_TRUE(Result.Proposals_.empty());
   }
 }
 
-TEST_F(ServerLedgerTest, ProposesAReportedEndOnceUntilItIsDone) {
+TEST_F(ServerTrackerTest, ProposesAReportedEndOnceUntilItIsDone) {
   startRunning();
-  show(AttemptState::Checkpointed, "here");
+  reportAttempt(AttemptState::Checkpointed, "here");
   const AnnouncementResult First = announce(false);
   ASSERT_EQ(First.Proposals_.size(), 1u);
   EXPECT_TRUE(announce(false).Proposals_.empty());
-  Ledger_.noteDone(First.Proposals_[0]); // Lost on the way.
+  Tracker_.onProposalDone(First.Proposals_[0]); // Lost on the way.
   ASSERT_EQ(announce().Proposals_.size(), 1u);
   const TaskRecord &Record = *State_.findTask(Task_);
   EXPECT_EQ(Record.State_, TaskState::Waiting);
   EXPECT_EQ(Record.Checkpoint_, "here");
   EXPECT_EQ(Record.Evictions_, 1u);
   // Its server may forget it now.
-  EXPECT_EQ(kinds(announce()), Kinds{TaskCommandKind::Stop});
+  EXPECT_EQ(listKinds(announce()), Kinds{TaskCommandKind::Stop});
 }
 
-TEST_F(ServerLedgerTest, ResumesFromTheCheckpointThatWasShownLast) {
+TEST_F(ServerTrackerTest, ResumesFromTheCheckpointThatWasShownLast) {
   startRunning();
-  show(AttemptState::Running, "latest");
+  reportAttempt(AttemptState::Running, "latest");
   announce();
   Now_ += std::chrono::seconds(10);
-  for (const Command &Each : Ledger_.onTick(State_, Now_))
-    apply(Each);
+  for (const Command &Proposal : Tracker_.onTick(State_, Now_))
+    apply(Proposal);
   EXPECT_EQ(State_.findTask(Task_)->Losses_, 1u);
   Announcement_.Attempts_.clear();
   announce();
   place(2);
   const AnnouncementResult Result = announce();
-  ASSERT_EQ(kinds(Result), Kinds{TaskCommandKind::Start});
+  ASSERT_EQ(listKinds(Result), Kinds{TaskCommandKind::Start});
   EXPECT_EQ(Result.Reply_.Commands_[0].Checkpoint_, "latest");
 }
 
-TEST_F(ServerLedgerTest, AsksForCheckpointsAndRepeatsThrottling) {
+TEST_F(ServerTrackerTest, AsksForCheckpointsAndRepeatsThrottling) {
   startRunning();
   const AttemptNumber First(1);
-  Ledger_.attempts().setThrottle(Task_, First, 40);
-  EXPECT_EQ(kinds(announce()), Kinds{TaskCommandKind::Throttle});
+  Tracker_.attempts().setThrottle(Task_, First, 40);
+  EXPECT_EQ(listKinds(announce()), Kinds{TaskCommandKind::Throttle});
   EXPECT_EQ(announce().Reply_.Commands_[0].ThrottlePercent_, 40u);
-  Ledger_.attempts().setThrottle(Task_, First, 100);
+  Tracker_.attempts().setThrottle(Task_, First, 100);
   EXPECT_EQ(announce().Reply_.Commands_[0].ThrottlePercent_, 100u);
   for (int I = 0; I < 10; ++I)
     announce();
-  EXPECT_EQ(kinds(announce()), Kinds{});
-  Ledger_.attempts().requestCheckpoint(Task_, First);
+  EXPECT_EQ(listKinds(announce()), Kinds{});
+  Tracker_.attempts().requestCheckpoint(Task_, First);
   const AnnouncementResult Result = announce();
-  EXPECT_EQ(kinds(Result), Kinds{TaskCommandKind::Checkpoint});
+  EXPECT_EQ(listKinds(Result), Kinds{TaskCommandKind::Checkpoint});
   EXPECT_EQ(Result.Reply_.Renewals_.size(), 1u);
 }
 
-TEST_F(ServerLedgerTest, StopsACancelledJobAndEndsItOnTheReport) {
+TEST_F(ServerTrackerTest, StopsACancelledJobAndEndsItOnTheReport) {
   startRunning();
   apply(CancelJob{Task_.Job_});
   const AnnouncementResult Result = announce();
-  EXPECT_EQ(kinds(Result), Kinds{TaskCommandKind::Stop});
+  EXPECT_EQ(listKinds(Result), Kinds{TaskCommandKind::Stop});
   EXPECT_TRUE(Result.Reply_.Renewals_.empty());
-  show(AttemptState::Stopped);
+  reportAttempt(AttemptState::Stopped);
   announce();
   EXPECT_EQ(State_.findTask(Task_)->State_, TaskState::Cancelled);
 }
 
-TEST_F(ServerLedgerTest, ALeavingServerStartsNothingAndIsNotRoutable) {
+TEST_F(ServerTrackerTest, ALeavingServerStartsNothingAndIsNotRoutable) {
   announce();
   place();
   EXPECT_TRUE(
-      Ledger_.isRoutable(*State_.findServer(Announcement_.Server_), Now_));
+      Tracker_.isRoutable(*State_.findServer(Announcement_.Server_), Now_));
   Announcement_.Draining_ = true;
   const AnnouncementResult Result = announce(false);
-  EXPECT_TRUE(kinds(Result).empty());
+  EXPECT_TRUE(listKinds(Result).empty());
   EXPECT_FALSE(
-      Ledger_.isRoutable(*State_.findServer(Announcement_.Server_), Now_))
+      Tracker_.isRoutable(*State_.findServer(Announcement_.Server_), Now_))
       << "at once, not only when it is committed";
-  for (const Command &Each : Result.Proposals_)
-    apply(Each);
+  for (const Command &Proposal : Result.Proposals_)
+    apply(Proposal);
   EXPECT_EQ(State_.findTask(Task_)->State_, TaskState::Waiting);
 }
 
-TEST_F(ServerLedgerTest, SilenceTakesAServerOutOfRoutingWithinTwoSeconds) {
+TEST_F(ServerTrackerTest, SilenceTakesAServerOutOfRoutingWithinTwoSeconds) {
   announce();
   const ServerRecord &Server = *State_.findServer(Announcement_.Server_);
   const Duration EntryReport = milliseconds(500);
   Now_ += std::chrono::seconds(2) - EntryReport;
-  EXPECT_FALSE(Ledger_.isRoutable(Server, Now_));
+  EXPECT_FALSE(Tracker_.isRoutable(Server, Now_));
   announce();
-  EXPECT_TRUE(Ledger_.isRoutable(Server, Now_));
+  EXPECT_TRUE(Tracker_.isRoutable(Server, Now_));
 }
 
-TEST_F(ServerLedgerTest, SilentServersWithoutAttemptsAreForgotten) {
+TEST_F(ServerTrackerTest, SilentServersWithoutAttemptsAreForgotten) {
   announce();
   Now_ += Settings_.ForgetAfter_;
-  const auto Proposals = Ledger_.onTick(State_, Now_);
+  const auto Proposals = Tracker_.onTick(State_, Now_);
   ASSERT_EQ(Proposals.size(), 1u);
-  EXPECT_TRUE(Ledger_.onTick(State_, Now_).empty()) << "proposed once";
+  EXPECT_TRUE(Tracker_.onTick(State_, Now_).empty()) << "proposed once";
   apply(Proposals[0]);
   EXPECT_TRUE(State_.servers().empty());
 }
 
-TEST_F(ServerLedgerTest, AnotherBootWaitsForSilenceAndForLeases) {
+TEST_F(ServerTrackerTest, AnotherBootWaitsForSilenceAndForLeases) {
   startRunning();
   Announcement_.Attempts_.clear();
   Announcement_.Boot_ = BootId("b2");
   Announcement_.Sequence_ = 0;
-  EXPECT_FALSE(announce(false).Fresh_) << "the other one was heard just now";
+  EXPECT_FALSE(announce(false).IsNewest_) << "the other one was heard just now";
   Now_ += Settings_.SilentAfter_;
   EXPECT_TRUE(announce(false).Proposals_.empty()) << "its lease still runs";
-  Now_ += Settings_.Leases_.longestRun();
+  Now_ += Settings_.Leases_.getMaxRunTime();
   EXPECT_EQ(announce().Proposals_.size(), 1u);
   EXPECT_EQ(State_.findTask(Task_)->Losses_, 1u);
 }
 
-TEST_F(ServerLedgerTest, ABootIsNotServedWhileAnotherIsBeingRegistered) {
+TEST_F(ServerTrackerTest, ABootIsNotServedWhileAnotherIsBeingRegistered) {
   announce();
   place(); // Never started, so nothing of it can run.
   const wire::Announcement Old = Announcement_;
@@ -251,13 +252,14 @@
   ASSERT_EQ(announce(false).Proposals_.size(), 1u);
   Now_ += Settings_.SilentAfter_;
   Announcement_ = Old;
-  EXPECT_TRUE(kinds(announce(false)).empty()) << "started, then ended as lost";
+  EXPECT_TRUE(listKinds(announce(false)).empty())
+      << "started, then ended as lost";
 }
 
-TEST_F(ServerLedgerTest, AnotherLedgerOfTheSameTermWaitsForLeasesOfTheFirst) {
+TEST_F(ServerTrackerTest, AnotherLedgerOfTheSameTermWaitsForLeasesOfTheFirst) {
   startRunning();
-  ServerLedger Next(Settings_, 1, Now_, State_);
+  ServerTracker Next(Settings_, 1, Now_, State_);
   EXPECT_TRUE(Next.onTick(State_, Now_ + Settings_.SilentAfter_).empty());
-  EXPECT_EQ(Next.onTick(State_, Now_ + Settings_.Leases_.longestRun()).size(),
-            1u);
+  EXPECT_EQ(
+      Next.onTick(State_, Now_ + Settings_.Leases_.getMaxRunTime()).size(), 1u);
 }
--- a/tests/datacentre/SlotWorld.h
+++ b/tests/datacentre/SlotSimulation.h
@@ -1,15 +1,15 @@
-//===- SlotWorld.h - Entries, leaders and a bad network --------*- C++ -*-===//
+//===- SlotSimulation.h - Simulates slot grants under faults ----*- C++ -*-===//
 //
 // One seeded schedule of entries that send requests under granted slots. The
-// entries keep the rules of SlotLedger.h.
+// entries keep the rules of SlotAllocator.h.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_TESTS_DATACENTRE_SLOTWORLD_H
-#define TULIPWEIR_TESTS_DATACENTRE_SLOTWORLD_H
+#ifndef TULIPWEIR_TESTS_DATACENTRE_SLOTSIMULATION_H
+#define TULIPWEIR_TESTS_DATACENTRE_SLOTSIMULATION_H
 
 #include "datacentre/FakeBackendServer.h"
-#include "tulipweir/datacentre/SlotLedger.h"
+#include "tulipweir/datacentre/SlotAllocator.h"
 
 #include <functional>
 #include <memory>
@@ -25,9 +25,9 @@
   bool Disorder_ = false;
 };
 
-class SlotWorld {
+class SlotSimulation {
 public:
-  SlotWorld(const SlotFaults &Faults, unsigned Seed);
+  SlotSimulation(const SlotFaults &Faults, unsigned Seed);
   std::string run(Duration Length);
 
   int Sent_ = 0;
@@ -36,7 +36,7 @@
   int FullSteps_ = 0; ///< Steps in which every slot of a server was granted.
 
 private:
-  struct Sending {
+  struct ActiveRequest {
     std::size_t Server_;
     Duration Until_;
   };
@@ -46,18 +46,18 @@
     DriftingClock Clock_;
     bool Stopping_ = false;
     std::uint64_t Version_ = 0;
-    std::uint64_t Highest_ = 0; ///< Ever taken.
+    std::uint64_t HighestVersion_ = 0; ///< Ever taken.
     TimePoint GrantEnd_;
     std::vector<SlotAmount> Granted_;
     std::vector<std::size_t> Order_; ///< Of the table, for brief reports.
     std::uint64_t KnownVersion_ = 0; ///< Of the last reply.
-    std::vector<Sending> Sending_;
-    Duration StuckUntil_{};
+    std::vector<ActiveRequest> ActiveRequests_;
+    Duration OldLeaderUntil_{};
   };
   struct Leader {
     DriftingClock Clock_;
     Duration LeadsUntil_{};
-    std::unique_ptr<SlotLedger> Ledger_;
+    std::unique_ptr<SlotAllocator> Allocator_;
   };
   struct Message {
     Duration Due_;
@@ -69,24 +69,24 @@
   std::shared_ptr<Entry> makeEntry(int Number);
   void elect();
   void send(std::function<void()> Deliver, bool FromLeader);
-  void makeBrief(const Entry &From, wire::EntryReport &Report);
+  void makeBriefReport(const Entry &From, wire::EntryReport &Report);
   void report(const std::shared_ptr<Entry> &From);
   void onReport(Leader &At, const wire::EntryReport &Report,
                 const std::shared_ptr<Entry> &From, TimePoint SentAt);
   void onReply(Entry &To, const wire::EntryReportReply &Reply,
-               std::uint64_t HeldThen, TimePoint SentAt);
+               std::uint64_t VersionAtSend, TimePoint SentAt);
   void stepEntry(std::size_t Number);
-  std::uint32_t countSending(const Entry &Of, std::size_t Server) const;
-  void measure();
+  std::uint32_t countActiveRequests(const Entry &Of, std::size_t Server) const;
+  void sendUsageSample();
   std::string check();
 
   const SlotFaults Faults_;
   std::mt19937 Random_;
-  Duration Real_{};
+  Duration RealTime_{};
   SlotSettings Settings_;
   std::vector<SlotServer> Servers_;
   std::vector<std::shared_ptr<Entry>> Entries_;
-  std::vector<Sending> Orphans_; ///< Of dead entries.
+  std::vector<ActiveRequest> Orphans_; ///< Of dead entries.
   std::vector<std::unique_ptr<Leader>> Leaders_;
   std::vector<Message> Messages_;
   Duration NextElection_{};
@@ -95,4 +95,4 @@
 
 } // namespace tulipweir::datacentre
 
-#endif // TULIPWEIR_TESTS_DATACENTRE_SLOTWORLD_H
+#endif // TULIPWEIR_TESTS_DATACENTRE_SLOTSIMULATION_H
