--- a/bench/datacentre/AnnouncementBench.cpp
+++ b/bench/datacentre/AnnouncementBench.cpp
@@ -8,7 +8,8 @@
 using namespace tulipweir;
 using namespace tulipweir::datacentre;
 
-/// A server with that many running attempts announces once per iteration.
+/// A server with the given number of running attempts sends one announcement
+/// per iteration.
 static void announce(benchmark::State &Run) {
   const auto Tasks = static_cast<std::uint32_t>(Run.range(0));
   DataCentreState State{RecordLimits{}};
--- a/bench/datacentre/ApplyBench.cpp
+++ b/bench/datacentre/ApplyBench.cpp
@@ -1,7 +1,7 @@
 //===- ApplyBench.cpp - Cost of commands and snapshots --------------------===//
 //
-// Commands against a state of the target's size: 300 servers and 13,000 tasks
-// in one data centre, and up to 1,000,000 records.
+// Runs commands against a state of the target size: 300 servers and 13,000
+// tasks in one data centre, and up to 1,000,000 request records.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,7 @@
   return BackendServerId("server-" + std::to_string(Number % Servers));
 }
 
-/// Tasks are placed evenly, TasksPerJob to a job.
+/// Places the tasks evenly on the servers, TasksPerJob to a job.
 static DataCentreState makeState(std::uint32_t Tasks) {
   DataCentreState State{RecordLimits{}};
   std::uint64_t Index = 0;
@@ -57,7 +57,7 @@
   return State;
 }
 
-/// One eviction and the placement that resumes it, per iteration.
+/// Evicts one task and places its next attempt per iteration.
 static void evictAndPlace(benchmark::State &Run) {
   const auto Tasks = static_cast<std::uint32_t>(Run.range(0));
   DataCentreState State = makeState(Tasks);
@@ -97,7 +97,7 @@
 }
 BENCHMARK(codeCommand);
 
-/// Bytes that the allocator has handed out.
+/// Returns the bytes that the allocator has handed out.
 static double heapBytes() { return static_cast<double>(mallinfo2().uordblks); }
 
 static wire::BeginRequest makeBegin(std::uint64_t Number) {
@@ -111,7 +111,8 @@
   return Request;
 }
 
-/// Begin and Finish with an answer of 200 bytes, with that many records held.
+/// Begins and finishes one request with a 200-byte answer per iteration, while
+/// the given number of records is held.
 static void beginAndFinish(benchmark::State &Run) {
   constexpr std::uint64_t Wall = 1'700'000'000'000;
   RequestRecords Records{RecordLimits{24ULL * 3600 * 1000, 10'000'000, 65536}};
--- a/bench/datacentre/SlotBench.cpp
+++ b/bench/datacentre/SlotBench.cpp
@@ -14,11 +14,11 @@
 
 static constexpr int Entries = 9;
 
-/// How much of the wanted work finds no slot at its entry, in percent, when 48
-/// servers of 8 slots are wanted to 70% on average, and the first entry wants
-/// Skew times as much as each other one. What an entry wants at a moment is
-/// Poisson distributed around its average. Second: the share of moments at
-/// which an entry picks among fewer than 8 servers.
+/// Measures a sharing rule with 48 servers of 8 slots at 70% average load,
+/// where the first entry has Skew times the demand of each other entry and the
+/// requests of an entry are Poisson distributed. withoutSlotPercent is the
+/// percentage of requests that find no slot at their entry; leastServersReached
+/// is the smallest number of servers at which any entry has slots.
 static void share(benchmark::State &Run, ShareRule Rule) {
   const auto Skew = static_cast<double>(Run.range(0));
   const std::vector<std::uint32_t> Slots(48, 8);
@@ -54,7 +54,8 @@
 BENCHMARK_CAPTURE(share, byDemand, &shareByDemand)->Arg(1)->Arg(2)->Arg(4);
 BENCHMARK_CAPTURE(share, bySubset, &shareBySubset)->Arg(1)->Arg(2)->Arg(4);
 
-/// One entry's report while nothing changes, with that many servers.
+/// One entry reports per iteration while nothing changes, with the given number
+/// of servers.
 static void report(benchmark::State &Run) {
   TimePoint Now{std::chrono::hours(1)};
   SlotAllocator Allocator{SlotSettings{}, 1, Now, {}};
--- a/include/tulipweir/datacentre/AttemptTracker.h
+++ b/include/tulipweir/datacentre/AttemptTracker.h
@@ -1,17 +1,19 @@
 //===- AttemptTracker.h - Tracks placed task attempts -----------*- C++ -*-===//
 //
-// What the leader knows of each placed attempt beyond the log: whether its
-// backend server showed it, what it was commanded, that its end was proposed.
-// Compares inventories with the state, and answers with commands, renewals
-// and proposals. One object per leadership.
+// Holds the leader's volatile state of each placed attempt: whether its
+// backend server reported it, which commands it was sent and whether its end
+// was proposed. Compares the inventories of backend servers with the
+// replicated state and answers with commands, lease renewals and proposals.
+// One object exists per leadership.
 //
-// Rules that hold throughout:
-// - A start goes out only for an attempt that the applied state holds as
-//   placed there, and only together with a lease granted at that moment.
-// - Once the end of an attempt was proposed it is neither started nor renewed
-//   again by this leader; a later one has applied that proposal or will never.
-// - An attempt that its server showed and then no longer holds is not started
-//   again; it ends as lost when its lease has run out.
+// Invariants:
+// - The leader starts an attempt only if the applied state places it on that
+//   server, and grants its lease in the same reply.
+// - After the leader proposed the end of an attempt, it neither starts the
+//   attempt nor renews its lease. A later leader has either applied that
+//   proposal or never will.
+// - The leader does not restart an attempt that its server reported once and no
+//   longer holds. The attempt ends as lost when its lease has expired.
 //
 //===----------------------------------------------------------------------===//
 
@@ -29,53 +31,57 @@
 
 namespace tulipweir::datacentre {
 
-/// What an announcement is answered with, and what it calls for.
+/// The reply to an announcement and the proposals that follow from it.
 struct AnnouncementResult {
   wire::AnnouncementReply Reply_;
-  /// To be proposed; onProposalDone is to be called for each once it was
-  /// applied, refused or lost.
+  /// Commands to propose. The caller calls onProposalDone for each of them once
+  /// it was applied, refused or lost.
   std::vector<Command> Proposals_;
-  /// Whether it was the newest of its boot; only then its measurements count.
+  /// Whether the announcement is the newest of its boot. Measurements of other
+  /// announcements are ignored.
   bool IsNewest_ = false;
 };
 
-/// Not thread-safe: the leader's strand owns it.
+/// Not thread-safe: only the leader's strand uses it.
 class AttemptTracker {
 public:
-  /// As LeaseManager.
+  /// The parameters are those of LeaseManager.
   AttemptTracker(const LeaseSettings &Settings, const FencingToken &LastPlaced,
                  TimePoint ElectedAt);
 
   // Commands.
 
-  /// Compares a fresh inventory of the server's registered boot with State.
+  /// Compares the newest inventory of the server's registered boot with State
+  /// and adds commands, renewals and proposals to Result.
   void reconcile(const wire::Announcement &Inventory,
                  const ServerRecord &Server, const DataCentreState &State,
                  const LeadershipCheck &Check, AnnouncementResult &Result);
 
-  /// Proposes the end, as lost, of the attempts of a silent server whose
-  /// leases have all run out.
+  /// Proposes to end as lost those attempts of a silent server whose leases
+  /// have expired.
   void proposeLostAttempts(const ServerRecord &Server,
                            const DataCentreState &State, TimePoint Now,
                            std::vector<Command> &Proposals);
 
-  /// An eviction: the attempt is to write a checkpoint and stop.
+  /// Evicts the attempt: it writes a checkpoint and stops.
   void requestCheckpoint(const TaskId &Task, AttemptNumber Attempt);
-  /// An eviction without a fresh checkpoint, at once.
+  /// Evicts the attempt at once, without a new checkpoint.
   void requestStop(const TaskId &Task, AttemptNumber Attempt);
-  /// 100 lifts the throttling.
+  /// Throttles the attempt to Percent of its full speed; 100 removes the
+  /// throttle.
   void setThrottle(const TaskId &Task, AttemptNumber Attempt,
                    std::uint32_t Percent);
 
-  /// A proposal of this ledger was applied, refused or lost. If the state
-  /// still lacks its effect it is proposed again.
+  /// Called when a proposal of this object was applied, refused or lost. If the
+  /// state still lacks its effect, the object proposes it again.
   void onProposalDone(const EndAttempt &Proposal);
-  /// To be told of every change that is applied.
+  /// Called for every applied change.
   void onChange(const Change &AppliedChange);
 
   // Queries.
 
-  /// Whether no attempt that is placed on the server can still run.
+  /// Returns whether the leases of all attempts placed on the server have
+  /// expired.
   bool haveLeasesExpired(const ServerRecord &Server,
                          const DataCentreState &State, TimePoint Now) const;
   const LeaseManager &leases() const { return Leases_; }
@@ -87,17 +93,16 @@
   struct AttemptStatus {
     AttemptNumber Attempt_;
     Intent Intent_ = Intent::Run;
-    bool Reported_ = false;              ///< Its server showed it.
-    std::uint64_t ReportedSequence_ = 0; ///< The sequence that showed it last.
-    std::uint32_t Throttle_ = 100;       ///< Percent.
-    std::uint32_t UnthrottleRepeatsLeft_ =
-        0;                   ///< Replies still to say that it is 100.
-    std::string Checkpoint_; ///< The latest one shown.
-    std::optional<EndAttempt> ProposedEnd_; ///< Proposed.
+    bool Reported_ = false;                   ///< Its server reported it.
+    std::uint64_t ReportedSequence_ = 0;      ///< Last announcement with it.
+    std::uint32_t Throttle_ = 100;            ///< Percent.
+    std::uint32_t UnthrottleRepeatsLeft_ = 0; ///< Replies that repeat 100%.
+    std::string Checkpoint_;                  ///< The latest one reported.
+    std::optional<EndAttempt> ProposedEnd_;   ///< Already proposed.
     bool EndProposalInFlight_ = false;
   };
 
-  /// What an attempt's handling needs of the call at hand.
+  /// The announcement, state and result of the current call to reconcile.
   struct Context {
     const wire::Announcement &Inventory_;
     const DataCentreState &State_;
--- a/include/tulipweir/datacentre/Changes.h
+++ b/include/tulipweir/datacentre/Changes.h
@@ -1,8 +1,8 @@
 //===- Changes.h - Effects of applied commands ------------------*- C++ -*-===//
 //
-// A command can change more than it names: a new boot ends attempts, a
-// cancellation ends waiting tasks. Changes name every effect, so that a
-// listener (the planner, the job tracker) need not compare states.
+// A command can change more than it names: a new boot ends attempts, and a
+// cancellation ends waiting tasks. A Change describes one effect, so that
+// listeners such as the planner and the job tracker need not compare states.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,18 +18,18 @@
 namespace tulipweir::datacentre {
 
 enum class ChangeKind : std::uint8_t {
-  ServerChanged,      ///< Server_ registered, or its details changed.
-  ServerForgotten,    ///< Server_.
-  JobAdopted,         ///< Task_.Job_; its waiting tasks follow.
+  ServerChanged,      ///< Server_ was registered or changed.
+  ServerForgotten,    ///< Server_ was removed.
+  JobAdopted,         ///< Task_.Job_; TaskWaiting follows.
   JobCancelling,      ///< Task_.Job_.
-  JobReleasing,       ///< Task_.Job_; its waiting tasks are not placed.
-  JobEnded,           ///< Task_.Job_: every task of it ended.
+  JobReleasing,       ///< Task_.Job_ places no more tasks.
+  JobEnded,           ///< All tasks of Task_.Job_ ended.
   JobDropped,         ///< Task_.Job_.
-  TaskWaiting,        ///< Task_ may be placed; the next attempt is Attempt_.
-  TaskPlaced,         ///< Attempt_ on Server_ with Reservation_.
-  ReservationChanged, ///< Attempt_ on Server_ to Reservation_.
-  AttemptEnded,       ///< Attempt_ on Server_, for the reason End_.
-  TaskEnded,          ///< Task_ is finished, failed or cancelled for good.
+  TaskWaiting,        ///< Attempt_ of Task_ is the next one.
+  TaskPlaced,         ///< Attempt_ holds Reservation_.
+  ReservationChanged, ///< Attempt_ now holds Reservation_.
+  AttemptEnded,       ///< Attempt_ ended with End_.
+  TaskEnded,          ///< Task_ will not run again.
 };
 
 struct Change {
--- a/include/tulipweir/datacentre/Commands.h
+++ b/include/tulipweir/datacentre/Commands.h
@@ -1,7 +1,7 @@
 //===- Commands.h - Entries of a data centre's log --------------*- C++ -*-===//
 //
-// The commands that a data centre's replicas apply, and their results. Encoded
-// by encodeCommand/decodeCommand of DataCentreCodec.h.
+// Defines the commands that the replicas of a data centre apply, and their
+// results. encodeCommand and decodeCommand in DataCentreCodec.h convert them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,23 +20,25 @@
 
 namespace tulipweir::datacentre {
 
-/// A batch job as an operator submits it. All its tasks are alike.
+/// A batch job as an operator submits it. All its tasks have the same
+/// specification.
 struct JobSpec {
   JobId Job_;
   TeamId Team_;
   JobClassId Class_;
   std::uint32_t Priority_ = 0;
   std::uint32_t Tasks_ = 1;
-  Resources Declared_;            ///< Of each task.
-  std::string Payload_;           ///< What a task runs; opaque to us.
-  std::uint32_t MaxAttempts_ = 5; ///< Failed attempts of one task before
-                                  ///< the job counts as failed.
+  Resources Declared_;  ///< Resources of each task.
+  std::string Payload_; ///< Opaque to the scheduler.
+  std::uint32_t MaxAttempts_ =
+      5; ///< The job fails when one task has this many failed attempts.
   bool operator==(const JobSpec &) const = default;
 };
 
-/// A backend server's first announcement of a boot, or a changed one. A new
-/// boot ends every attempt of the earlier boot as lost, so it is proposed only
-/// when none of them can still run (ServerTracker).
+/// Registers a backend server's first announcement of a boot or a changed
+/// announcement. A new boot ends every attempt of the previous boot as lost, so
+/// ServerTracker proposes it only when the leases of those attempts have
+/// expired.
 struct RegisterServer {
   BackendServerId Server_;
   BootId Boot_;
@@ -50,27 +52,28 @@
   bool operator==(const RegisterServer &) const = default;
 };
 
-/// Forgets a server that has no attempt left.
+/// Removes a server that has no attempt placed on it.
 struct ForgetServer {
   BackendServerId Server_;
   bool operator==(const ForgetServer &) const = default;
 };
 
-/// Takes over a job that the fleet assigned here. Assignment_ is from 1 and
-/// rises with each assignment of the same job; one that is not higher than the
-/// latest adopted here is refused, also after the job was dropped.
+/// Adopts a job that the fleet assigned to this data centre. Assignment_ starts
+/// at 1 and increases with each assignment of the same job. An assignment that
+/// is not higher than the latest one adopted here is refused, even after the
+/// job was dropped.
 struct AdoptJob {
   JobSpec Spec_;
   std::uint64_t Assignment_ = 0;
-  /// What the data centre that released it passed on (encodeProgress); empty:
-  /// every task starts afresh.
+  /// Progress encoded by the data centre that released the job
+  /// (encodeProgress). If it is empty, every task starts from the beginning.
   std::string Progress_;
   bool operator==(const AdoptJob &) const = default;
 };
 
-/// Places the next attempt of a waiting task. Refused when it would overfill
-/// the server in any dimension, the task is not waiting, the attempt is not
-/// the next one, or the server is draining, unknown or of another boot.
+/// Places the next attempt of a waiting task. Refused if the server's capacity
+/// would be exceeded in any dimension, the task is not waiting, the attempt is
+/// not the next one, or the server is draining, unknown or of another boot.
 struct PlaceTask {
   TaskId Task_;
   AttemptNumber Attempt_;
@@ -80,8 +83,8 @@
   bool operator==(const PlaceTask &) const = default;
 };
 
-/// Changes what is set aside for a running attempt; refused if it would grow
-/// in a dimension that is then overfull.
+/// Changes the reservation of a running attempt. Refused if it grows in a
+/// dimension whose capacity would then be exceeded.
 struct ChangeReservation {
   TaskId Task_;
   AttemptNumber Attempt_;
@@ -92,36 +95,37 @@
 enum class AttemptEnd : std::uint8_t {
   Finished,
   Failed,
-  Lost,    ///< Its lease ran out, or its VM restarted.
-  Evicted, ///< Checkpoint_ holds where to resume; the task waits again.
+  Lost,    ///< The lease expired, or the VM restarted.
+  Evicted, ///< The task waits and resumes from Checkpoint_.
   Cancelled,
 };
 
-/// Ends a placed attempt and frees what it held. Applied once per attempt.
+/// Ends a placed attempt and frees its reservation. Applied once per attempt.
 struct EndAttempt {
   TaskId Task_;
   AttemptNumber Attempt_;
   AttemptEnd End_ = AttemptEnd::Finished;
-  std::string Checkpoint_; ///< Kept if not empty; resumes from there.
+  std::string Checkpoint_; ///< Replaces the task's one unless empty.
   std::string Message_;
   bool operator==(const EndAttempt &) const = default;
 };
 
-/// Stops a job: waiting tasks end at once, running ones are to be stopped.
+/// Cancels a job: its waiting tasks end at once and its running tasks are
+/// stopped.
 struct CancelJob {
   JobId Job_;
   bool operator==(const CancelJob &) const = default;
 };
 
-/// Drops a job whose tasks all ended, once the fleet has recorded its end; or
-/// a released one without placed tasks, once the fleet has recorded that.
+/// Removes a job after the fleet has recorded that all its tasks ended, or that
+/// it was released and has no placed tasks left.
 struct DropJob {
   JobId Job_;
   bool operator==(const DropJob &) const = default;
 };
 
-/// The three commands about a non-repeatable request. WallMs_ is the
-/// proposer's time; retention counts from the highest one applied.
+/// Commands for a non-repeatable request. WallMs_ is the proposer's wall clock
+/// time; the retention period counts from the highest value applied so far.
 struct BeginRecord {
   wire::BeginRequest Request_;
   std::uint64_t WallMs_ = 0;
@@ -137,16 +141,16 @@
   std::uint64_t WallMs_ = 0;
   bool operator==(const AbandonRecord &) const = default;
 };
-/// An entry process is gone (its reports ended, or it came back with another
-/// incarnation): what it had begun and not finished becomes unknown.
+/// Ends an entry process that stopped reporting or came back with another
+/// incarnation. The requests that it began and did not finish become unknown.
 struct EndEntry {
   EntryId Entry_;
   std::uint64_t Incarnation_ = 0;
   bool operator==(const EndEntry &) const = default;
 };
 
-/// Prepares a job for another data centre: no further task of it is placed
-/// here; its running attempts are to be checkpointed and stopped.
+/// Releases a job for another data centre: no further task of it is placed
+/// here, and its running attempts write a checkpoint and stop.
 struct ReleaseJob {
   JobId Job_;
   std::uint64_t Assignment_ = 0;
@@ -158,21 +162,22 @@
                  ChangeReservation, EndAttempt, CancelJob, DropJob, BeginRecord,
                  FinishRecord, AbandonRecord, EndEntry, ReleaseJob>;
 
-/// How one task of a released job stood, for whoever adopts the job next.
+/// Progress of one task of a released job, for the data centre that adopts the
+/// job next.
 struct TaskProgress {
   bool Finished_ = false;
   bool Failed_ = false;
-  AttemptNumber Attempt_; ///< The latest one; numbering goes on from it.
+  AttemptNumber Attempt_; ///< The next attempt follows it.
   std::uint32_t Failures_ = 0;
   std::string Checkpoint_;
   bool operator==(const TaskProgress &) const = default;
 };
 
-/// What applying a command answered. Error_ empty: it took effect.
+/// Result of applying a command. The command took effect if Error_ is empty.
 struct CommandResult {
   std::string Error_;             ///< Stable name of an ErrorCode, or empty.
-  std::string Message_;           ///< For people, with figures.
-  FencingToken Token_;            ///< PlaceTask: the placement's token.
+  std::string Message_;           ///< For operators.
+  FencingToken Token_;            ///< Fencing token; PlaceTask only.
   wire::BeginRequestReply Begin_; ///< BeginRecord only.
   bool operator==(const CommandResult &) const = default;
 };
--- a/include/tulipweir/datacentre/DataCentreCodec.h
+++ b/include/tulipweir/datacentre/DataCentreCodec.h
@@ -1,7 +1,8 @@
 //===- DataCentreCodec.h - Encodes commands and results ---------*- C++ -*-===//
 //
-// msgpack encodings of what goes into a data centre's log and comes out of it.
-// Decoding never trusts its input: bytes that do not fit give Malformed.
+// Converts the commands, results, job specifications and progress in a data
+// centre's log to and from msgpack. Decoding does not trust its input: invalid
+// bytes fail with Malformed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,16 +25,16 @@
 std::string encodeResult(const CommandResult &Value);
 Outcome<CommandResult> decodeResult(std::string_view Bytes);
 
-/// A job's specification as the fleet log keeps it (opaque there).
+/// Encodes a job specification for the fleet log, which treats it as opaque.
 std::string encodeJobSpec(const JobSpec &Value);
 Outcome<JobSpec> decodeJobSpec(std::string_view Bytes);
 
-/// What another data centre needs to go on with a released job: of each task
-/// whether it ended, its latest attempt and its checkpoint. Goes into
+/// Encodes what another data centre needs to continue a released job: whether
+/// each task ended, its latest attempt and its checkpoint. The result becomes
 /// AdoptJob::Progress_ there.
 std::string encodeProgress(const JobRecord &Job);
-/// Empty bytes give an empty list. Fails with Malformed, also when the number
-/// of tasks is not TaskCount.
+/// Returns an empty list for empty bytes. Fails with Malformed if the bytes are
+/// invalid or the number of tasks is not TaskCount.
 Outcome<std::vector<TaskProgress>> decodeProgress(std::string_view Bytes,
                                                   std::size_t TaskCount);
 
--- a/include/tulipweir/datacentre/DataCentreState.h
+++ b/include/tulipweir/datacentre/DataCentreState.h
@@ -1,7 +1,8 @@
 //===- DataCentreState.h - Replicated state of a data centre ----*- C++ -*-===//
 //
-// Servers, jobs, tasks, placements and records of non-repeatable requests of
-// one data centre. Deterministic; no clock, lock or socket inside.
+// Holds the servers, jobs, tasks, placements and records of non-repeatable
+// requests of one data centre. It is deterministic and uses no clock, lock or
+// socket.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,22 +23,22 @@
 
 enum class TaskState : std::uint8_t {
   Waiting,
-  Placed, ///< On Server_ under Attempt_; holds Reservation_.
+  Placed, ///< Runs as Attempt_ on Server_.
   Finished,
-  Failed, ///< MaxAttempts_ attempts failed.
+  Failed, ///< After MaxAttempts_ failed attempts.
   Cancelled,
 };
 
 struct TaskRecord {
   TaskState State_ = TaskState::Waiting;
-  AttemptNumber Attempt_; ///< The latest one; 0 before the first.
+  AttemptNumber Attempt_; ///< The latest one; 0 if none.
   FencingToken Token_;
   BackendServerId Server_;
   BootId Boot_;
   Resources Reservation_;
   std::string Checkpoint_;
-  std::string Message_;        ///< Of the latest end.
-  std::uint32_t Failures_ = 0; ///< Attempts that ended as failed.
+  std::string Message_;        ///< From the latest attempt end.
+  std::uint32_t Failures_ = 0; ///< Failed attempts.
   std::uint32_t Evictions_ = 0;
   std::uint32_t Losses_ = 0;
   bool operator==(const TaskRecord &) const = default;
@@ -47,10 +48,10 @@
   JobSpec Spec_;
   std::uint64_t Assignment_ = 0;
   bool Cancelling_ = false;
-  bool Releasing_ = false; ///< Nothing of it is placed here any more.
+  bool Releasing_ = false; ///< Its tasks are no longer placed.
   std::vector<TaskRecord> Tasks_;
-  std::uint32_t Ended_ = 0;  ///< Tasks that are finished, failed or cancelled.
-  std::uint32_t Placed_ = 0; ///< Tasks that hold a place.
+  std::uint32_t Ended_ = 0;  ///< Finished, failed or cancelled tasks.
+  std::uint32_t Placed_ = 0; ///< Tasks that are placed.
   bool operator==(const JobRecord &) const = default;
 };
 
@@ -61,18 +62,18 @@
   bool operator==(const ServerRecord &) const = default;
 };
 
-/// Not thread-safe; DataCentreStateMachine adds the lock. Work per command is
-/// logarithmic, except that a new boot, a cancellation and an adoption touch
-/// the tasks that they concern.
+/// Not thread-safe; DataCentreStateMachine adds the lock. A command takes
+/// logarithmic time, except that a new boot, a cancellation and an adoption
+/// also visit each task that they affect.
 class DataCentreState {
 public:
   explicit DataCentreState(const RecordLimits &Limits) : Records_(Limits) {}
 
   // Commands.
 
-  /// Applies one command. Term and Index are its place in the log. A refused
-  /// command changes nothing but the records' time. What changed is appended
-  /// to Changes if that is given, in the order in which it happened.
+  /// Applies one command. Term and Index are its position in the log. A refused
+  /// command changes nothing except the time of the request records. Appends
+  /// every change to Changes, if given, in the order in which it happened.
   CommandResult apply(const Command &Value, std::uint64_t Term,
                       std::uint64_t Index,
                       std::vector<Change> *Changes = nullptr);
@@ -88,15 +89,16 @@
   const JobRecord *findJob(const JobId &Job) const;
   const ServerRecord *findServer(const BackendServerId &Server) const;
 
-  /// The highest assignment under which the job was adopted here, 0 if it is
-  /// not remembered.
+  /// Returns the highest assignment under which the job was adopted here, or 0
+  /// if none is remembered.
   std::uint64_t findAssignment(const JobId &Job) const;
 
-  /// Changes that lead from an empty state to this one, as a listener needs
-  /// them to rebuild what it derives: servers, then jobs with their tasks.
+  /// Returns the changes that lead from an empty state to this one, so that a
+  /// listener can rebuild its derived state: servers first, then jobs with
+  /// their tasks.
   std::vector<Change> listChanges() const;
 
-  /// The whole state as msgpack, and back.
+  /// Converts the whole state to and from msgpack.
   std::string encode() const;
   static Outcome<DataCentreState> decode(std::string_view Bytes,
                                          const RecordLimits &Limits);
@@ -108,8 +110,9 @@
 
   std::map<BackendServerId, ServerRecord> Servers_;
   std::map<JobId, JobRecord> Jobs_;
-  /// Assignments of dropped jobs, oldest drop first; a bounded number. A
-  /// leader whose fleet replica lags must not adopt a dropped job again.
+  /// Assignments of the most recently dropped jobs. DropOrder_ lists them
+  /// oldest first and bounds their number. They keep a leader whose fleet
+  /// replica lags from adopting a dropped job again.
   std::map<JobId, std::uint64_t> DroppedAssignments_;
   std::deque<JobId> DropOrder_;
   RequestRecords Records_;
--- a/include/tulipweir/datacentre/DataCentreStateMachine.h
+++ b/include/tulipweir/datacentre/DataCentreStateMachine.h
@@ -1,7 +1,7 @@
 //===- DataCentreStateMachine.h - Data centre state machine -----*- C++ -*-===//
 //
-// Puts DataCentreState behind replication::StateMachine, with a lock of its
-// own, queries for other threads and a feed of what was applied.
+// Implements replication::StateMachine on top of DataCentreState. Adds a lock,
+// queries for other threads and notifications of applied commands.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,7 @@
 
 namespace tulipweir::datacentre {
 
-/// One committed command with its effects.
+/// A committed command with its result and effects.
 struct AppliedCommand {
   std::uint64_t Term_ = 0;
   std::uint64_t Index_ = 0;
@@ -29,12 +29,14 @@
 /// Thread-safe. apply and restoreSnapshot are called by one thread at a time.
 class DataCentreStateMachine final : public replication::StateMachine {
 public:
-  /// Told of each applied command, in the log's order, on the applying thread
-  /// and without the lock held: it may call withState, but the state may then
-  /// be ahead of it on other threads. It must not block.
+  /// Called for each applied command in log order, on the applying thread and
+  /// without the lock. The listener may call withState, but the state that
+  /// other threads see may already be ahead of this command. The listener must
+  /// not block.
   using AppliedListener = std::function<void(const AppliedCommand &)>;
-  /// Told that the state was replaced by a snapshot; whatever was derived from
-  /// earlier changes must be rebuilt from withStateAndIndex + listChanges.
+  /// Called after a snapshot replaced the state. Listeners must rebuild
+  /// everything that they derived from earlier changes, with withStateAndIndex
+  /// and listChanges.
   using RestoredListener = std::function<void()>;
 
   /// Either listener may be empty.
@@ -51,14 +53,15 @@
 
   std::string takeSnapshot() const override;
 
-  /// Calls Use with the state, which stays as it is during the call. Use must
-  /// be short and must not call this machine.
+  /// Calls Callback with the state, which does not change during the call.
+  /// Callback must be short and must not call this object.
   void
   withState(const std::function<void(const DataCentreState &)> &Callback) const;
 
-  /// The same with the index of the last command applied: a listener that
-  /// rebuilds itself ignores fed commands up to that index. After a restore
-  /// the index is 0 until the next command, as snapshots do not carry it.
+  /// Like withState, and also passes the index of the last applied command. A
+  /// listener that rebuilds its derived state ignores notifications up to that
+  /// index. After a restore the index is 0 until the next command, because
+  /// snapshots do not contain it.
   void withStateAndIndex(
       const std::function<void(const DataCentreState &, std::uint64_t)>
           &Callback) const;
--- a/include/tulipweir/datacentre/JobOutcomeTracker.h
+++ b/include/tulipweir/datacentre/JobOutcomeTracker.h
@@ -1,6 +1,7 @@
 //===- JobOutcomeTracker.h - Tracks ended and released jobs -----*- C++ -*-===//
 //
-// Derived from the feed of changes: what the fleet has yet to be told.
+// Derives from the applied changes which jobs have ended or were released and
+// are not yet recorded by the fleet.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,17 +18,17 @@
 
 enum class JobEnd : std::uint8_t { Finished, Failed, Cancelled };
 
-/// How a job ended, or with what it is handed back.
+/// The final outcome of a job.
 struct JobOutcome {
   JobId Job_;
   std::uint64_t Assignment_ = 0;
   JobEnd End_ = JobEnd::Finished;
-  std::string Message_; ///< Of a failed task; empty otherwise.
+  std::string Message_; ///< Message of a failed task, else empty.
   bool operator==(const JobOutcome &) const = default;
 };
 
-/// Failed if any task failed, else cancelled if any was, else finished. The
-/// job must have ended.
+/// Returns Failed if any task failed, otherwise Cancelled if any task was
+/// cancelled, otherwise Finished. All tasks of the job must have ended.
 JobOutcome summarizeJob(const JobRecord &Job);
 
 /// Not thread-safe.
@@ -35,20 +36,21 @@
 public:
   // Commands.
 
-  /// To be told of every change that is applied, and of listChanges() after a
+  /// Called for every applied change, and for each of listChanges() after a
   /// reset.
   void onChange(const Change &AppliedChange);
-  /// Forgets everything, before a rebuild.
+  /// Clears the tracked jobs before a rebuild.
   void reset();
 
   // Queries.
 
-  /// Jobs that ended and are not dropped yet: EndJob is to be told to the
-  /// fleet, then DropJob proposed here. At most Limit.
+  /// Returns at most Limit jobs that ended and are not dropped yet. The caller
+  /// sends EndJob to the fleet and then proposes DropJob here.
   std::vector<JobOutcome> listEnded(const DataCentreState &State,
                                     std::size_t Limit) const;
-  /// Jobs that are released and hold no place: ReleaseJob with encodeProgress
-  /// is to be told to the fleet, then DropJob proposed here. At most Limit.
+  /// Returns at most Limit released jobs without placed tasks. The caller sends
+  /// ReleaseJob with encodeProgress to the fleet and then proposes DropJob
+  /// here.
   std::vector<JobId> listReleased(const DataCentreState &State,
                                   std::size_t Limit) const;
 
--- a/include/tulipweir/datacentre/Leadership.h
+++ b/include/tulipweir/datacentre/Leadership.h
@@ -1,6 +1,6 @@
 //===- Leadership.h - Leadership checks and clock drift ---------*- C++ -*-===//
 //
-// What everything that a leader promises for a time has in common.
+// Shared by the leader's time-limited grants: task leases and slot grants.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,19 +13,19 @@
 
 namespace tulipweir::datacentre {
 
-/// A reading of the clock, taken after the message at hand was received, and
-/// whether at that reading no other leader could exist
-/// (Replica::findLeaseTerm(Now_), of the term at hand). What is promised from
-/// such a moment on was promised before the next election, however long the
-/// process is frozen afterwards: the other side counts from before Now_, the
-/// next leader from after it.
+/// A clock reading taken after the current message was received, and whether no
+/// other leader could exist at that time (Replica::findLeaseTerm(Now_) returned
+/// the current term). A grant that starts at Now_ was made before the next
+/// election, even if the process is frozen afterwards: the grantee counts from
+/// before Now_ and the next leader from after it.
 struct LeadershipCheck {
   TimePoint Now_;
   bool IsLeader_ = false;
 };
 
-/// Returns how long a promise of Length by another clock may last at most by
-/// this one, the rates of both being off by at most DriftPpm millionths.
+/// Returns the longest time on this clock that a grant of Length can last on
+/// another clock, if the rate of each clock is off by at most DriftPpm
+/// millionths.
 Duration stretchForDrift(Duration Length, std::uint32_t DriftPpm);
 
 } // namespace tulipweir::datacentre
--- a/include/tulipweir/datacentre/LeaseManager.h
+++ b/include/tulipweir/datacentre/LeaseManager.h
@@ -1,14 +1,16 @@
 //===- LeaseManager.h - Expiry of task leases at the leader -----*- C++ -*-===//
 //
-// The leader's volatile account of task leases. One object per leadership:
-// made anew after each election, once everything committed before it was
-// applied, and thrown away when leadership is lost. It may also be made anew
-// within a term: it then trusts nothing of its predecessor.
+// Holds the leader's volatile state of task leases. One object exists per
+// leadership: it is created after an election once everything committed before
+// it is applied, and destroyed when leadership is lost. A new object may also
+// replace it within a term, and then assumes nothing about the leases that the
+// previous one granted.
 //
-// A backend server counts a lease from when it SENT the announcement, by its
-// own clock; the leader counts it from when it answers, by its own clock, and
-// adds what two drifting clocks and a slow stop can make of it. So the
-// leader's end is never before the real one. docs/LEASES.md has the argument.
+// A backend server counts a lease from the time at which it SENT the
+// announcement, by its own clock. The leader counts from the time of its
+// reply, by its own clock, and adds the maximum clock drift and the time to
+// stop a task. The expiry at the leader is therefore never before the real
+// one. docs/LEASES.md has the proof.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,50 +27,52 @@
 
 namespace tulipweir::datacentre {
 
-/// Settings that every control of a data centre must share: a new leader
-/// judges the leases of earlier ones by its own.
+/// Settings that all control processes of a data centre must share, because a
+/// new leader computes the expiry of earlier leases from its own settings.
 struct LeaseSettings {
   Duration Ttl_ = std::chrono::seconds(3);
-  /// How far any clock's rate may be off, in millionths. 1000 is ten times
-  /// what a common crystal does.
+  /// Maximum error of any clock's rate, in millionths. 1000 is ten times the
+  /// error of a common crystal.
   std::uint32_t DriftPpm_ = 1000;
-  /// How long a backend server may take to stop a task whose lease ran out.
+  /// The longest time that a backend server takes to stop a task whose lease
+  /// expired.
   Duration StopGrace_ = std::chrono::milliseconds(200);
   bool operator==(const LeaseSettings &) const = default;
 
-  /// Returns how long after the answer an attempt may run at most.
+  /// Returns the longest time that an attempt can run after the reply that
+  /// granted its lease.
   Duration getMaxRunTime() const {
     return stretchForDrift(Ttl_ + StopGrace_, DriftPpm_);
   }
 };
 
-/// Not thread-safe: the leader's strand owns it.
+/// Not thread-safe: only the leader's strand uses it.
 class LeaseManager {
 public:
-  /// LastPlaced is the highest token of a placement that another keeper may
-  /// have granted a lease for; ElectedAt a moment after the election.
+  /// LastPlaced is the highest token of a placement that another LeaseManager
+  /// may have granted a lease for. ElectedAt is a time after the election.
   LeaseManager(const LeaseSettings &Settings, const FencingToken &LastPlaced,
                TimePoint ElectedAt);
 
   // Commands.
 
-  /// Grants or renews the lease of an attempt, for the answer to a message
-  /// received before Moment. False, and nothing granted, if another leader
+  /// Grants or renews the lease of an attempt, in the reply to a message
+  /// received before Check. Returns false and grants nothing if another leader
   /// could exist by then.
   [[nodiscard]] bool renew(const TaskId &Task, AttemptNumber Attempt,
                            const LeadershipCheck &Check);
 
-  /// Forgets an attempt that ended.
+  /// Removes the lease of an attempt that ended.
   void forget(const TaskId &Task, AttemptNumber Attempt);
 
   // Queries.
 
-  /// Until when the attempt may run at most, whoever renewed it. Token is that
-  /// of its placement.
+  /// Returns the time after which the attempt cannot run, including leases of
+  /// earlier leaders. Token is the fencing token of its placement.
   TimePoint findExpiry(const TaskId &Task, AttemptNumber Attempt,
                        const FencingToken &Token) const;
 
-  /// Whether no lease of the attempt can still run.
+  /// Returns whether every lease of the attempt has expired.
   bool hasExpired(const TaskId &Task, AttemptNumber Attempt,
                   const FencingToken &Token, TimePoint Now) const {
     return Now >= findExpiry(Task, Attempt, Token);
--- a/include/tulipweir/datacentre/RequestRecords.h
+++ b/include/tulipweir/datacentre/RequestRecords.h
@@ -1,12 +1,14 @@
 //===- RequestRecords.h - Records of non-repeatable requests ----*- C++ -*-===//
 //
-// The records that make a non-repeatable request run at most once. Part of the
-// data centre's state; bounded by retention and by count.
+// Keeps the records that let a non-repeatable request run at most once. They
+// are part of the data centre's replicated state and bounded by retention and
+// count.
 //
-// A key that starts with TicketPrefix is a ticket of ours:
+// A key that starts with TicketPrefix is a ticket issued by a data centre:
 // "ticket:<data centre>.<wall ms of its issue>.<random>". It is refused as
-// Expired once its record may be gone. Any other key is the caller's own and
-// may run again once its record was dropped, which is after the retention.
+// Expired once its record may have been removed. Any other key is chosen by
+// the caller and may run again after its record was removed, which happens
+// after the retention period.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,14 +30,14 @@
 
 inline constexpr std::string_view TicketPrefix = "ticket:";
 
-/// The wall time at which the ticket in Key was issued; nullopt if the key is
-/// not a well-formed ticket.
+/// Returns the wall clock time at which the ticket in Key was issued, or
+/// nullopt if the key is not a well-formed ticket.
 std::optional<std::uint64_t> parseTicketTime(const RequestKey &Key);
 
 struct RecordLimits {
   std::uint64_t RetentionMs_ = 24ULL * 3600 * 1000;
-  /// Beyond this many records, new ones are refused as Unavailable: dropping
-  /// an old one early could let a request run twice.
+  /// Further records are refused as Unavailable, because removing an old record
+  /// early could let its request run twice.
   std::uint64_t MaxRecords_ = 1'000'000;
   std::uint64_t MaxAnswerBytes_ = 65'536;
   bool operator==(const RecordLimits &) const = default;
@@ -49,32 +51,35 @@
   std::uint64_t Attempt_ = 0;
   EntryId Entry_;
   std::uint64_t EntryIncarnation_ = 0;
-  std::uint64_t Nonce_ = 0; ///< Of the asker that was told Run last.
+  std::uint64_t Nonce_ = 0; ///< Nonce of the caller last told Run.
   std::uint64_t BegunWallMs_ = 0;
-  /// Retention counts from here: the latest of begin, deadline and issue.
+  /// Start of the retention period: the latest of begin, deadline and ticket
+  /// issue.
   std::uint64_t RetentionStartMs_ = 0;
   std::optional<wire::StoredAnswer> Answer_;
   bool operator==(const RequestRecord &) const = default;
 };
 
-/// Deterministic; the time is the highest WallMs applied so far. A record that
-/// is still begun when its retention ends becomes Unknown and is kept for one
-/// more retention; only ended ones are dropped, a bounded number per command.
+/// Deterministic: the current time is the highest WallMs applied so far. A
+/// record that is still begun at the end of its retention becomes Unknown and
+/// is kept for another retention period. Only ended records are removed, a
+/// bounded number per command.
 class RequestRecords {
 public:
   explicit RequestRecords(const RecordLimits &Limits) : Limits_(Limits) {}
 
   // Commands.
 
-  /// Fails with Unavailable when full; otherwise says how the request stands.
-  /// A ticket that is malformed fails with InvalidArgument.
+  /// Returns how the request is to be handled. Fails with Unavailable when the
+  /// records are full, and with InvalidArgument for a malformed ticket.
   Outcome<wire::BeginRequestReply> begin(const wire::BeginRequest &Request,
                                          std::uint64_t WallMs);
-  /// True if it was recorded now or stands recorded the same already. An
-  /// answer over MaxAnswerBytes_ is not kept; a resend is then told Unknown.
+  /// Returns true if the outcome was recorded now or is already recorded. An
+  /// answer over MaxAnswerBytes_ is not kept, and a retry is then told Unknown.
   bool finish(const wire::FinishRequest &Request, std::uint64_t WallMs);
   bool abandon(const wire::AbandonRequest &Request, std::uint64_t WallMs);
-  /// Turns what that process had begun into Unknown. Incarnation 0: all.
+  /// Marks all requests that the entry process began as Unknown. Incarnation 0
+  /// stands for every incarnation.
   void endEntry(const EntryId &Entry, std::uint64_t Incarnation);
 
   // Queries.
@@ -82,7 +87,7 @@
   const std::map<RequestKey, RequestRecord> &records() const {
     return Records_;
   }
-  /// The keys of begun records, by the entry that holds them.
+  /// Returns the keys of begun records by entry.
   const std::map<EntryId, std::set<RequestKey>> &begunByEntry() const {
     return BegunByEntry_;
   }
--- a/include/tulipweir/datacentre/ServerTracker.h
+++ b/include/tulipweir/datacentre/ServerTracker.h
@@ -1,8 +1,9 @@
 //===- ServerTracker.h - Tracks backend servers by heartbeat ----*- C++ -*-===//
 //
-// The leader's volatile account of backend servers: boots, the newest
-// announcement, silence, leaving. One object per leadership: made after the
-// election, once everything committed before it was applied.
+// Holds the leader's volatile state of backend servers: their boots, newest
+// announcements, missed heartbeats and draining. One object exists per
+// leadership; it is created after the election once everything committed
+// before it is applied.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,40 +22,41 @@
 struct ServerTrackerSettings {
   LeaseSettings Leases_;
   Duration Heartbeat_ = std::chrono::milliseconds(500);
-  /// Without an announcement for so long a server is out of routing. With an
-  /// entry's report interval on top this stays within 2 s.
+  /// A server without an announcement for this time is removed from routing.
+  /// Together with an entry's report interval this takes at most 2 s.
   Duration SilentAfter_ = std::chrono::milliseconds(1500);
-  /// Without an announcement for so long, and without attempts, a server is
-  /// forgotten.
+  /// A server without attempts is forgotten after this time without an
+  /// announcement.
   Duration ForgetAfter_ = std::chrono::minutes(10);
   bool operator==(const ServerTrackerSettings &) const = default;
 };
 
-/// Not thread-safe: the leader's strand owns it.
+/// Not thread-safe: only the leader's strand uses it.
 class ServerTracker {
 public:
-  /// State is the one with everything applied that was committed before this
-  /// leader's term. Every server in it counts as heard at ElectedAt.
+  /// State must have everything applied that was committed before this leader's
+  /// term. Every server in it counts as heard at ElectedAt.
   ServerTracker(const ServerTrackerSettings &Settings, std::uint64_t Term,
                 TimePoint ElectedAt, const DataCentreState &State);
 
   // Commands.
 
-  /// Takes in an announcement. Fails with NotLeader when another leader could
-  /// exist. A boot other than the one heard until now is listened to once that
-  /// one is silent, and registered once the leases of its attempts have run
-  /// out: boots have no order, and the other one may be the dead one.
+  /// Processes an announcement. Fails with NotLeader if another leader could
+  /// exist. Boots have no order, so an announcement of another boot may be a
+  /// delayed one of a dead boot. Another boot is therefore accepted only once
+  /// the current one is silent, and registered only once the leases of its
+  /// attempts have expired.
   Outcome<AnnouncementResult>
   onAnnouncement(const wire::Announcement &Announcement,
                  const DataCentreState &State, const LeadershipCheck &Check);
 
-  /// Returns proposals about servers that are silent at Now. Its work is
-  /// proportional to those.
+  /// Returns proposals for servers that are silent at Now, in time proportional
+  /// to their number.
   std::vector<Command> onTick(const DataCentreState &State, TimePoint Now);
 
-  /// A proposal of this ledger was applied, refused or lost.
+  /// Called when a proposal of this object was applied, refused or lost.
   void onProposalDone(const Command &Proposal);
-  /// To be told of every change that is applied.
+  /// Called for every applied change.
   void onChange(const Change &AppliedChange);
 
   AttemptTracker &attempts() { return Attempts_; }
@@ -62,19 +64,21 @@
   // Queries.
 
   const AttemptTracker &attempts() const { return Attempts_; }
-  /// Whether entries may send the server new requests: heard lately, of the
-  /// boot that is registered, and not leaving.
+  /// Returns whether entries may send new requests to the server: it sent a
+  /// recent announcement of the registered boot and is not draining.
   bool isRoutable(const ServerRecord &Server, TimePoint Now) const;
-  /// Whether its newest announcement says that it is leaving.
+  /// Returns whether the newest announcement of the server says that it is
+  /// draining.
   bool isDraining(const BackendServerId &Server) const;
-  /// When it was heard last; the epoch if never.
+  /// Returns the time of the last accepted announcement, or the epoch if there
+  /// is none.
   TimePoint findLastHeardAt(const BackendServerId &Server) const;
 
 private:
   struct ServerStatus {
     BootId Boot_;
     std::uint64_t Sequence_ = 0;
-    bool Announced_ = false; ///< Since this leader was elected.
+    bool Announced_ = false; ///< Since the election.
     bool Draining_ = false;
     TimePoint LastHeardAt_;
     std::optional<RegisterServer> ProposedRegistration_; ///< In flight.
@@ -97,7 +101,7 @@
   const ServerTrackerSettings Settings_;
   AttemptTracker Attempts_;
   std::map<BackendServerId, ServerStatus> Statuses_;
-  /// The same servers, longest silent first.
+  /// The servers in Statuses_, longest silent first.
   std::set<std::pair<TimePoint, BackendServerId>> ByLastHeard_;
 };
 
--- a/include/tulipweir/datacentre/SlotAllocator.h
+++ b/include/tulipweir/datacentre/SlotAllocator.h
@@ -1,27 +1,28 @@
 //===- SlotAllocator.h - Grants server slots to entries ---------*- C++ -*-===//
 //
-// The leader's volatile account of slots and connections of backend servers:
-// which entry process may use how many, until when. One object per leadership.
-// A share grows only by what is accounted to nobody, and what an entry really
-// uses is never above its account, so that all together never use more slots
-// than a server has.
+// Holds the leader's volatile state of slot grants: how many slots and
+// connections of each backend server an entry process may use, and until when.
+// One object exists per leadership. The allocation of an entry process grows
+// only by unallocated slots, and its real use never exceeds its allocation, so
+// all entries together never use more slots than a server has.
 //
-// What this rests on at the entry (docs/LEASES.md has the argument):
-// - It takes a table only if the version that it holds is still the one that
-//   it named in the report (RoutesHeld_) which the table answers, the grant has
-//   not run out already, and the table's version is not below one that it ever
-//   took. Otherwise the reply changes and renews nothing.
+// The entry must keep these rules (docs/LEASES.md has the proof):
+// - It accepts a table only if it still holds the version that it named in the
+//   answered report (RoutesHeld_), its grant has not expired, and the table's
+//   version is not below any version that it accepted before. Any other reply
+//   changes and renews nothing.
 // - A reply without a table renews only the version that it names.
-// - A grant runs from when the report was SENT, by the entry's clock. When it
-//   runs out the entry holds version 0 and no slots.
+// - A grant counts from the time at which the report was SENT, by the entry's
+//   clock. When the grant expires, the entry holds version 0 and no slots.
 // - No request is sent with a deadline beyond MaxRequest_, and none runs past
 //   its deadline.
-// - While the last reply was of the version that it holds, its reports may
-//   leave out servers that it has nothing in flight to, or be brief. A brief
-//   one of a table that is not the latest of this ledger changes nothing, and
-//   is answered with SendFull_, which renews nothing either.
-// - InFlight_ counts each request that was sent and not answered or timed out.
-// - After its first report with Stopping_ it sends nothing new.
+// - While the last reply named the version that the entry holds, its reports
+//   may omit servers without requests in flight, or be brief. A brief report of
+//   a table that is not the latest of this object changes nothing; the answer
+//   is SendFull_, which renews nothing either.
+// - InFlight_ counts each request that was sent and neither answered nor timed
+//   out.
+// - After its first report with Stopping_ the entry sends no new requests.
 //
 //===----------------------------------------------------------------------===//
 
@@ -46,18 +47,18 @@
 
 namespace tulipweir::datacentre {
 
-/// Settings that every control of a data centre must share.
+/// Settings that all control processes of a data centre must share.
 struct SlotSettings {
   Duration GrantTtl_ = std::chrono::seconds(3);
-  /// The longest time from sending a request until its deadline.
+  /// The longest time from sending a request to its deadline.
   Duration MaxRequest_ = std::chrono::seconds(30);
   std::uint32_t DriftPpm_ = 1000;
-  /// Shares follow the demand at most this often.
+  /// The shortest time between two rebalancings due to demand.
   Duration RebalanceInterval_ = std::chrono::seconds(2);
   ShareRule Share_ = &shareByDemand;
 };
 
-/// A backend server as it is shared.
+/// A backend server whose slots are shared.
 struct SlotServer {
   BackendServerId Server_;
   BootId Boot_;
@@ -65,28 +66,29 @@
   std::vector<ServiceId> Services_;
   std::uint32_t Slots_ = 0;
   std::uint32_t Connections_ = 0;
-  bool Routable_ = true;  ///< False: entries forget it.
-  bool Draining_ = false; ///< True: entries keep it, without slots.
+  bool Routable_ = true;  ///< If false, not in the table.
+  bool Draining_ = false; ///< If true, listed without slots.
   bool operator==(const SlotServer &) const = default;
 };
 
-/// One entry process, for the dump.
+/// One entry process, as shown in the dump.
 struct EntryView {
   EntryId Entry_;
   std::uint64_t Incarnation_ = 0;
   std::string Address_;
-  BundleVersion Held_; ///< The bundle that it last reported.
-  bool Live_ = false;  ///< Its grant has not run out.
+  BundleVersion Held_; ///< The last bundle reported.
+  bool Live_ = false;  ///< Its grant has not expired.
   bool Stopping_ = false;
   std::uint64_t RoutesVersion_ = 0;
   double InFlight_ = 0; ///< Smoothed.
 };
 
-/// Not thread-safe: the leader's strand owns it.
+/// Not thread-safe: only the leader's strand uses it.
 class SlotAllocator {
 public:
-  /// Known are the servers that earlier leaders may have shared: all of the
-  /// state with everything applied that was committed before this term.
+  /// Known contains the servers that earlier leaders may have shared: all
+  /// servers of the state with everything applied that was committed before
+  /// this term.
   SlotAllocator(const SlotSettings &Settings, std::uint64_t Term,
                 TimePoint ElectedAt, const std::vector<SlotServer> &Known);
 
@@ -94,35 +96,37 @@
 
   /// Adds or changes a server.
   void upsertServer(const SlotServer &Server);
-  /// The server is forgotten; what is granted of it is still accounted for.
+  /// Removes a server. Its slots that are still granted stay allocated.
   void removeServer(const BackendServerId &Server);
 
-  /// Takes in an entry's report and renews its grants. The bundle part of the
-  /// reply is left to the caller. Fails with NotLeader when another leader
-  /// could exist.
+  /// Processes an entry's report and renews its grants. The caller fills in the
+  /// bundle part of the reply. Fails with NotLeader if another leader could
+  /// exist.
   Outcome<wire::EntryReportReply> onReport(const wire::EntryReport &Report,
                                            const LeadershipCheck &Check);
 
-  /// The server was seen with at most BusySlots requests running at SampledAt,
-  /// by this process's clock. Frees what is accounted to grants that had run
-  /// out before then, beyond those: such requests only become fewer. A measure
-  /// over a period counts from the period's begin.
+  /// Applies a measurement: the server ran at most BusySlots requests at
+  /// SampledAt, by this process's clock. Frees the slots beyond BusySlots that
+  /// are allocated to grants which expired before SampledAt, because the
+  /// requests of such grants only become fewer. The time of a measurement over
+  /// a period is the start of the period.
   void applyUsageSample(const BackendServerId &Id, std::uint32_t BusySlots,
                         TimePoint SampledAt);
 
-  /// Frees what entries held whose grants, and all requests that were sent
-  /// under them, have run out by Now. Also part of onReport.
+  /// Frees the allocations of entries whose grants, and all requests sent under
+  /// them, have expired by Now. onReport calls this too.
   void expire(TimePoint Now);
 
   // Queries.
 
-  /// What is accounted to all entry processes together, and to those of
-  /// earlier leaders that are not known yet: after an election for a while
-  /// more than there is.
+  /// Returns the amount allocated to all entry processes, including those of
+  /// earlier leaders that are not known yet. For a while after an election it
+  /// may exceed the server's capacity.
   SlotAmount findAllocated(const BackendServerId &Server) const;
   std::vector<EntryView> listEntries(TimePoint Now) const;
-  /// Processes that began non-repeatable requests and whose reports ended: to
-  /// be proposed, so that callers are told Unknown.
+  /// Returns a command for each entry process that began non-repeatable
+  /// requests and whose reports ended. The caller proposes them so that clients
+  /// are told Unknown.
   std::vector<EndEntry> findExpiredEntries(const RequestRecords &Records,
                                            TimePoint Now) const;
   const SlotSettings &settings() const { return Settings_; }
@@ -133,34 +137,33 @@
   struct Server {
     SlotServer Info_;
     bool Removed_ = false;
-    SlotAmount
-        EarlierGrants_;       ///< What earlier leaders may have granted unseen.
-    SlotAmount AllocatedSum_; ///< Of all holders.
-    SlotAmount
-        Unavailable_; ///< At the latest rebalancing: see findUnavailable.
+    SlotAmount EarlierGrants_; ///< May be granted by earlier leaders.
+    SlotAmount AllocatedSum_;  ///< Total of all holders.
+    SlotAmount Unavailable_;   ///< See findUnavailable; set by rebalancing.
     std::size_t Group_ = 0;
   };
   struct Share {
-    SlotAmount Allocated_; ///< The most that it may use now.
+    SlotAmount Allocated_; ///< Upper bound of its current use.
     SlotAmount Offered_;   ///< In the latest table.
     SlotAmount Reported_;  ///< In its latest report.
-    SlotAmount Target_;    ///< What rebalancing would give it.
-    SlotAmount Replaced_;  ///< Earlier grants given up with the first table.
+    SlotAmount Target_;    ///< Result of the latest rebalancing.
+    SlotAmount Replaced_;  ///< Earlier grants that the first table replaces.
     std::uint32_t InFlight_ = 0; ///< In its latest report.
   };
   struct Holder {
     std::string Address_;
     BundleVersion Bundle_;
     bool Stopping_ = false;
-    bool Confirmed_ = false; ///< It showed a version of this leader's.
+    bool Confirmed_ = false; ///< It reported a table of this leader.
     std::uint64_t TableVersion_ = 0;
-    std::vector<wire::Route> Table_; ///< The latest one offered.
-    TimePoint GrantEnd_;             ///< When it may send nothing more.
-    TimePoint ReleaseAt_;      ///< When nothing that it sent can still run.
-    bool InRebalance_ = false; ///< Part of the latest rebalancing.
-    std::map<std::size_t, Share> Shares_;  ///< By server's position.
-    std::vector<double> Demand_;           ///< By group; smoothed.
-    std::vector<double> RebalancedDemand_; ///< At the latest rebalancing.
+    std::vector<wire::Route> Table_; ///< The latest table offered.
+    TimePoint GrantEnd_;             ///< After this it sends nothing.
+    TimePoint ReleaseAt_;            ///< After this none of its requests run.
+    bool InRebalance_ = false;       ///< Took part in the latest rebalancing.
+    std::map<std::size_t, Share> Shares_; ///< By index into Servers_.
+    std::vector<double> Demand_;          ///< By group; smoothed.
+    std::vector<double>
+        RebalancedDemand_; ///< Demand_ at the latest rebalancing.
   };
 
   void setAllocated(Share &EntryShare, Server &Backend,
@@ -186,19 +189,22 @@
   bool isLive(const Holder &Entry, TimePoint Now) const {
     return Now < Entry.GrantEnd_;
   }
-  /// Whether it is one of those that share the slots.
+  /// Returns whether the entry takes part in the sharing of slots.
   bool isActive(const Holder &Entry, TimePoint Now) const {
     return isLive(Entry, Now) && !Entry.Stopping_;
   }
 
   const SlotSettings Settings_;
-  const TimePoint EarlierGrantsEnd_; ///< When earlier leaders' grants are over.
-  const TimePoint EarlierRequestsEnd_; ///< And all requests sent under them.
+  const TimePoint
+      EarlierGrantsEnd_; ///< Expiry of the grants of earlier leaders.
+  const TimePoint
+      EarlierRequestsEnd_; ///< Expiry of the requests sent under them.
   std::uint64_t NextVersion_;
   const std::uint64_t FirstVersion_;
   std::vector<Server> Servers_;
   std::map<BackendServerId, std::size_t> Positions_;
-  /// Servers of the same services are shared together.
+  /// Servers with the same services form a group whose slots are shared
+  /// together.
   std::map<std::vector<ServiceId>, std::size_t> Groups_;
   std::map<HolderKey, Holder> Holders_;
   bool RebalanceRequired_ = true;
--- a/include/tulipweir/datacentre/SlotAmount.h
+++ b/include/tulipweir/datacentre/SlotAmount.h
@@ -1,6 +1,6 @@
 //===- SlotAmount.h - Slots and connections of one server -------*- C++ -*-===//
 //
-// Every request needs one of each.
+// Each request occupies one slot and one connection.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,12 +19,12 @@
 
   auto operator<=>(const SlotAmount &) const = default;
 
-  /// The larger amount of each.
+  /// Returns the larger of the two amounts in each dimension.
   SlotAmount maxWith(const SlotAmount &Other) const {
     return {std::max(Slots_, Other.Slots_),
             std::max(Connections_, Other.Connections_)};
   }
-  /// The smaller amount of each.
+  /// Returns the smaller of the two amounts in each dimension.
   SlotAmount minWith(const SlotAmount &Other) const {
     return {std::min(Slots_, Other.Slots_),
             std::min(Connections_, Other.Connections_)};
@@ -32,7 +32,7 @@
   SlotAmount plus(const SlotAmount &Other) const {
     return {Slots_ + Other.Slots_, Connections_ + Other.Connections_};
   }
-  /// The difference of each, 0 where Other is larger.
+  /// Returns the difference in each dimension, or 0 where Other is larger.
   SlotAmount minusOrZero(const SlotAmount &Other) const {
     const SlotAmount Common = minWith(Other);
     return {Slots_ - Common.Slots_, Connections_ - Common.Connections_};
--- a/include/tulipweir/datacentre/SlotShares.h
+++ b/include/tulipweir/datacentre/SlotShares.h
@@ -1,7 +1,7 @@
 //===- SlotShares.h - Rules for sharing slots among entries -----*- C++ -*-===//
 //
-// The ways in which the slots of alike servers can be shared. docs/LEASES.md
-// says what was weighed; bench/datacentre measures them against each other.
+// Rules for sharing the slots of servers with the same services.
+// docs/LEASES.md explains the choice, and bench/datacentre compares the rules.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,24 +13,25 @@
 
 namespace tulipweir::datacentre {
 
-/// Slots by [server][entry]. Each server's row sums to at most its slots.
+/// Slots by [server][entry]. The sum of a server's row is at most its slots.
 using ShareTable = std::vector<std::vector<std::uint32_t>>;
 
-/// A way to share: Slots holds each server's slots, Demand how many requests
-/// each entry has in flight at all of them.
+/// A sharing rule. Slots holds the slots of each server, Demand the number of
+/// requests that each entry has in flight at all of them.
 using ShareRule = ShareTable (*)(const std::vector<std::uint32_t> &Slots,
                                  const std::vector<double> &Demand);
 
-/// The same for every entry, the odd slots dealt in turn.
+/// Gives every entry the same number of slots and distributes the remainder in
+/// turn.
 ShareTable shareEvenly(const std::vector<std::uint32_t> &Slots,
                        const std::vector<double> &Demand);
 
-/// Each entry gets its demand and the same part of what is left over, and
-/// never less than a small minimum. Without demand this is the even share.
+/// Gives each entry its demand and an equal part of the remaining slots, but at
+/// least a small minimum. Without demand this is the even share.
 ShareTable shareByDemand(const std::vector<std::uint32_t> &Slots,
                          const std::vector<double> &Demand);
 
-/// Each server is shared by a few entries only, in turn. Kept for comparison.
+/// Shares each server among a few entries only, in turn. Kept for comparison.
 ShareTable shareBySubset(const std::vector<std::uint32_t> &Slots,
                          const std::vector<double> &Demand);
 
--- a/src/datacentre/AttemptTracker.cpp
+++ b/src/datacentre/AttemptTracker.cpp
@@ -13,8 +13,9 @@
 using wire::TaskCommand;
 using wire::TaskCommandKind;
 
-/// A lifted throttle is not shown by inventories, so it is said more often
-/// than answers are usually lost in a row.
+/// Number of replies that repeat the removal of a throttle. Inventories do not
+/// report throttles, so the command is repeated more often than replies are
+/// usually lost in a row.
 static constexpr std::uint32_t UnthrottleRepeats = 5;
 
 static TaskCommand makeCommand(TaskCommandKind Kind, const TaskId &Task,
@@ -35,7 +36,7 @@
          Task->Server_ == Inventory.Server_ && Task->Boot_ == Inventory.Boot_;
 }
 
-/// How an attempt that was to stop, or stopped by itself, ended.
+/// Returns how an attempt ended that stopped by command or by itself.
 static AttemptEnd classifyStop(const JobRecord &Job, bool StopRequested) {
   if (Job.Cancelling_)
     return AttemptEnd::Cancelled;
@@ -64,7 +65,8 @@
                                const DataCentreState &State,
                                const LeadershipCheck &Check,
                                AnnouncementResult &Result) {
-  assert(Server.Info_.Boot_ == Inventory.Boot_ && "of another boot");
+  assert(Server.Info_.Boot_ == Inventory.Boot_ &&
+         "the inventory must be of the registered boot");
   const Context Ctx{Inventory, State, Check, Result};
   for (const AttemptReport &Report : Inventory.Attempts_)
     onReport(Report, Ctx);
@@ -79,7 +81,8 @@
 void AttemptTracker::onReport(const AttemptReport &Report, const Context &Ctx) {
   const TaskRecord *Task = Ctx.State_.findTask(Report.Task_);
   if (!isCurrent(Report, Task, Ctx.Inventory_)) {
-    // Of a running one: it has no place. Of an ended one: it may be forgotten.
+    // A running attempt without a placement must stop. An ended one may be
+    // forgotten by its server.
     Ctx.Result_.Reply_.Commands_.push_back(makeCommand(
         TaskCommandKind::Stop, Report.Task_, Report.Attempt_, Report.Token_));
     return;
@@ -104,7 +107,8 @@
   };
   if (Status.ProposedEnd_ || Job.Cancelling_ ||
       Status.Intent_ == Intent::Stop) {
-    // Without a renewal it ends with its lease even if no command arrives.
+    // Without a renewal the attempt stops when its lease expires, even if no
+    // command arrives.
     Commands.push_back(Make(TaskCommandKind::Stop));
     if (Status.ProposedEnd_)
       proposeEnd(Status, *Status.ProposedEnd_, Ctx.Result_.Proposals_);
@@ -157,7 +161,8 @@
     start(Id, Task, Job.Spec_, Ctx);
     return;
   }
-  // A start may still be under way to it; only the lease's end is certain.
+  // A start command may still be in flight, so only an expired lease proves
+  // that the attempt does not run.
   if (!Leases_.hasExpired(Id, Task.Attempt_, Task.Token_, Ctx.Check_.Now_)) {
     Ctx.Result_.Reply_.Commands_.push_back(
         makeCommand(TaskCommandKind::Stop, Id, Task.Attempt_, Task.Token_));
--- a/src/datacentre/ChangeRecorder.h
+++ b/src/datacentre/ChangeRecorder.h
@@ -1,6 +1,7 @@
 //===- ChangeRecorder.h - Records the effects of commands -------*- C++ -*-===//
 //
-// Makes the Changes of single effects and appends them to a list, if any.
+// Creates the Change of each effect of a command and appends it to a list, if
+// there is one.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,17 +17,17 @@
 
 class ChangeRecorder {
 public:
-  /// Changes may be null: then nothing is written down.
+  /// Changes may be null; then nothing is recorded.
   explicit ChangeRecorder(std::vector<Change> *Changes) : Changes_(Changes) {}
 
   void recordServer(ChangeKind Kind, const BackendServerId &Server);
   void recordJob(ChangeKind Kind, const JobId &Job);
-  /// The task is waiting now, or ended for good.
+  /// Records that the task waits for its next attempt or has ended.
   void recordTask(const TaskId &Task, const TaskRecord &Record);
-  /// The task's place, or its reservation there, is new.
+  /// Records a new placement of the task or a new reservation of it.
   void recordPlacement(ChangeKind Kind, const TaskId &Task,
                        const TaskRecord &Record);
-  /// The placed attempt that Record still shows ended.
+  /// Records the end of an attempt. Record still holds its placement.
   void recordAttemptEnd(const TaskId &Task, const TaskRecord &Record,
                         AttemptEnd End);
 
--- a/src/datacentre/CommandApplier.cpp
+++ b/src/datacentre/CommandApplier.cpp
@@ -11,7 +11,7 @@
 
 static constexpr std::uint32_t MaxTasksPerJob = 100'000;
 static constexpr std::size_t MaxDroppedJobs = 65'536;
-/// Keeps sums of amounts far from overflow.
+/// Prevents overflow of sums.
 static constexpr std::int64_t MaxResourceAmount = 1LL << 50;
 
 static CommandResult makeRefusal(ErrorCode Code, std::string Message) {
@@ -37,12 +37,12 @@
   return State != TaskState::Waiting && State != TaskState::Placed;
 }
 
-/// Whether replacing Before by After, of which Reserved is the sum with
-/// Before, grows a dimension beyond Capacity.
+/// Returns whether replacing Before with After raises a dimension of Reserved,
+/// which includes Before, above Capacity.
 static bool exceedsCapacity(const Resources &Reserved, const Resources &Before,
                             const Resources &After, const Resources &Capacity) {
   const Resources Sum = Reserved - Before + After;
-  // Where nothing grows the sum may stay over a capacity that was lowered.
+  // A dimension that does not grow may stay above a capacity that was lowered.
   return !Sum.fitsIn(Capacity.maxWith(Reserved));
 }
 
@@ -110,7 +110,7 @@
   if (LatestAssignment != 0 && LatestAssignment == Cmd.Assignment_)
     return makeRefusal(ErrorCode::AlreadyExists,
                        "assignment " + std::to_string(LatestAssignment) +
-                           " of " + Spec.Job_.value() + " was adopted before");
+                           " of " + Spec.Job_.value() + " was already adopted");
   if (LatestAssignment >= Cmd.Assignment_)
     return makeRefusal(ErrorCode::StaleToken,
                        "assignment " + std::to_string(Cmd.Assignment_) +
@@ -167,22 +167,24 @@
   if (Task->State_ != TaskState::Waiting)
     return Cmd.Task_.toString() + " is not waiting";
   if (Server->Info_.Draining_)
-    return Cmd.Server_.value() + " is leaving";
+    return Cmd.Server_.value() + " is draining";
   Code = ErrorCode::StaleToken;
   if (Cmd.Attempt_.value() != Task->Attempt_.value() + 1)
     return "the next attempt of " + Cmd.Task_.toString() + " is " +
            std::to_string(Task->Attempt_.value() + 1);
   if (Server->Info_.Boot_ != Cmd.Boot_)
-    return Cmd.Server_.value() + " is of boot " + Server->Info_.Boot_.value();
+    return Cmd.Server_.value() + " is registered with boot " +
+           Server->Info_.Boot_.value();
   Code = ErrorCode::InvalidArgument;
   if (!isWithinLimits(Cmd.Reservation_))
     return "reservation out of range: " + describe(Cmd.Reservation_);
   Code = ErrorCode::Overfull;
-  // Unlike a changed reservation this must fit even where nothing grows.
+  // Unlike a changed reservation, a new one must fit in every dimension.
   const Resources Sum = Server->Reserved_ + Cmd.Reservation_;
   if (!Sum.fitsIn(Server->Info_.Capacity_))
-    return Cmd.Server_.value() + " holds " + describe(Server->Reserved_) +
-           " of " + describe(Server->Info_.Capacity_) + "; no room for " +
+    return Cmd.Server_.value() + " has reserved " +
+           describe(Server->Reserved_) + " of " +
+           describe(Server->Info_.Capacity_) + "; no room for " +
            describe(Cmd.Reservation_);
   return "";
 }
@@ -252,7 +254,7 @@
 CommandResult CommandApplier::apply(const EndAttempt &Cmd) {
   CommandResult Refusal;
   TaskRecord *const Task =
-      findPlacedTask(Cmd.Task_, Cmd.Attempt_, "ended before", Refusal);
+      findPlacedTask(Cmd.Task_, Cmd.Attempt_, "has already ended", Refusal);
   if (!Task)
     return Refusal;
   if (Cmd.End_ == AttemptEnd::Cancelled &&
@@ -293,7 +295,7 @@
   setTaskState(Cmd.Task_, Task, Next);
 }
 
-/// From Waiting or Placed to any state but Placed.
+/// Changes the state from Waiting or Placed to any state except Placed.
 void CommandApplier::setTaskState(const TaskId &Id, TaskRecord &Task,
                                   TaskState State) {
   JobRecord &Job = *findJob(Id.Job_);
@@ -312,7 +314,8 @@
     return makeRefusal(ErrorCode::NotFound, "no job " + Cmd.Job_.value());
   if (Job->Cancelling_ || Job->Ended_ == Job->Tasks_.size())
     return makeRefusal(ErrorCode::AlreadyExists,
-                       "job " + Cmd.Job_.value() + " was cancelled or ended");
+                       "job " + Cmd.Job_.value() +
+                           " was already cancelled or has ended");
   Job->Cancelling_ = true;
   Recorder_.recordJob(ChangeKind::JobCancelling, Cmd.Job_);
   for (std::uint32_t I = 0; I < Job->Tasks_.size(); ++I)
@@ -328,10 +331,11 @@
   if (Job->Assignment_ != Cmd.Assignment_)
     return makeRefusal(ErrorCode::StaleToken,
                        "assignment " + std::to_string(Job->Assignment_) +
-                           " of " + Cmd.Job_.value() + " stands here");
+                           " of " + Cmd.Job_.value() + " is the current one");
   if (Job->Releasing_)
     return makeRefusal(ErrorCode::AlreadyExists,
-                       "job " + Cmd.Job_.value() + " is being released");
+                       "job " + Cmd.Job_.value() +
+                           " is already being released");
   Job->Releasing_ = true;
   Recorder_.recordJob(ChangeKind::JobReleasing, Cmd.Job_);
   return {};
@@ -378,13 +382,15 @@
 CommandResult CommandApplier::apply(const FinishRecord &Cmd) {
   if (State_.Records_.finish(Cmd.Request_, Cmd.WallMs_))
     return {};
-  return makeRefusal(ErrorCode::Conflict, "another attempt or outcome stands");
+  return makeRefusal(ErrorCode::Conflict,
+                     "another attempt or outcome is already recorded");
 }
 
 CommandResult CommandApplier::apply(const AbandonRecord &Cmd) {
   if (State_.Records_.abandon(Cmd.Request_, Cmd.WallMs_))
     return {};
-  return makeRefusal(ErrorCode::Conflict, "another attempt or outcome stands");
+  return makeRefusal(ErrorCode::Conflict,
+                     "another attempt or outcome is already recorded");
 }
 
 CommandResult CommandApplier::apply(const EndEntry &Cmd) {
--- a/src/datacentre/CommandApplier.h
+++ b/src/datacentre/CommandApplier.h
@@ -1,7 +1,7 @@
 //===- CommandApplier.h - Applies one command to the state ------*- C++ -*-===//
 //
-// One member function per command; each checks first and changes then, so that
-// a refused command changes nothing.
+// Has one member function per command. Each checks all conditions before it
+// changes anything, so that a refused command changes nothing.
 //
 //===----------------------------------------------------------------------===//
 
@@ -37,8 +37,9 @@
 private:
   JobRecord *findJob(const JobId &Job);
   TaskRecord *findTask(const TaskId &Task);
-  /// The task while just this attempt of it is placed; else nullptr with the
-  /// Refusal, which says Otherwise of the attempt.
+  /// Returns the task if exactly this attempt of it is placed. Otherwise
+  /// returns nullptr and sets Refusal, with Reason as the text about the
+  /// attempt.
   TaskRecord *findPlacedTask(const TaskId &Id, const AttemptNumber &Attempt,
                              const char *Reason, CommandResult &Refusal);
   std::string findPlacementProblem(const PlaceTask &Cmd, ErrorCode &Code);
--- a/src/datacentre/DataCentreState.cpp
+++ b/src/datacentre/DataCentreState.cpp
@@ -9,12 +9,12 @@
 using namespace tulipweir;
 using namespace tulipweir::datacentre;
 
-/// Rises with every change of the snapshot's format.
+/// Version of the snapshot format. Increase it with every change of the format.
 static constexpr std::uint64_t SnapshotFormat = 1;
 
 namespace tulipweir::datacentre {
 
-/// What of a job cannot be rebuilt from its tasks.
+/// The part of a job that cannot be rebuilt from its tasks, and the tasks.
 struct JobSnapshot {
   JobSpec Spec_;
   std::uint64_t Assignment_ = 0;
@@ -45,8 +45,8 @@
 
 } // namespace tulipweir::datacentre
 
-/// Puts the job's placed tasks onto their servers and counts the ended ones.
-/// False if a place does not exist.
+/// Restores the counters of the job and the placements on its servers from its
+/// tasks. Returns false if a task is placed on an unknown server.
 static bool linkTasks(JobRecord &Job,
                       std::map<BackendServerId, ServerRecord> &Servers) {
   for (std::uint32_t I = 0; I < Job.Tasks_.size(); ++I) {
@@ -165,7 +165,8 @@
       Job.Releasing_ = Decoded.Releasing_;
       Job.Tasks_ = std::move(Decoded.Tasks_);
       if (!linkTasks(Job, Result.Servers_))
-        return fail(ErrorCode::Malformed, "a task is placed nowhere");
+        return fail(ErrorCode::Malformed,
+                    "a task is placed on an unknown backend server");
     }
     for (std::uint64_t I = 0; I < Header.Dropped_; ++I) {
       auto Decoded = In.next<DroppedJobSnapshot>();
--- a/src/datacentre/DataCentreStateMachine.cpp
+++ b/src/datacentre/DataCentreStateMachine.cpp
@@ -19,7 +19,8 @@
 DataCentreStateMachine::apply(const replication::CommittedEntry &Entry) {
   const Outcome<Command> Value = decodeCommand(Entry.Command_);
   if (!Value) {
-    // The same on every replica, so it is a result and no failure.
+    // Every replica refuses these bytes alike, so this is a result rather than
+    // a failure of the replica.
     CommandResult Refusal;
     Refusal.Error_ = std::string(getErrorName(Value.error().Code_));
     Refusal.Message_ = Value.error().Message_;
--- a/src/datacentre/Fields.h
+++ b/src/datacentre/Fields.h
@@ -1,7 +1,7 @@
 //===- Fields.h - Field lists of the data centre's types --------*- C++ -*-===//
 //
-// The order of the fields is the format: it changes only together with
-// SnapshotFormat and the protocol's version.
+// The order of the fields is the stored format. It changes only together with
+// SnapshotFormat and the protocol version.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/datacentre/JobOutcomeTracker.cpp
+++ b/src/datacentre/JobOutcomeTracker.cpp
@@ -8,7 +8,8 @@
 using namespace tulipweir::datacentre;
 
 JobOutcome tulipweir::datacentre::summarizeJob(const JobRecord &Job) {
-  assert(Job.Ended_ == Job.Tasks_.size() && "a job that has not ended");
+  assert(Job.Ended_ == Job.Tasks_.size() &&
+         "all tasks of the job must have ended");
   JobOutcome Result{Job.Spec_.Job_, Job.Assignment_, JobEnd::Finished, ""};
   for (const TaskRecord &Task : Job.Tasks_) {
     if (Task.State_ == TaskState::Failed) {
@@ -47,7 +48,7 @@
     const JobRecord *Job = State.findJob(Id);
     if (Outcomes.size() == Limit)
       break;
-    // The feed may be behind the state.
+    // The changes applied to this object may lag behind the state.
     if (Job && Job->Ended_ == Job->Tasks_.size())
       Outcomes.push_back(summarizeJob(*Job));
   }
--- a/src/datacentre/Leadership.cpp
+++ b/src/datacentre/Leadership.cpp
@@ -10,11 +10,13 @@
 
 Duration tulipweir::datacentre::stretchForDrift(Duration Length,
                                                 std::uint32_t DriftPpm) {
-  assert(DriftPpm < Million && "a clock that may stand still");
-  // The other clock may be slow and ours fast: (1 + d) / (1 - d), rounded up.
+  assert(DriftPpm < Million && "the drift must be below one million ppm");
+  // The other clock may be slow while this one is fast, so the factor is (1 +
+  // d) / (1 - d), rounded up.
   const std::int64_t SlowestRate = Million - DriftPpm;
   const std::int64_t Extra = 2 * std::int64_t{DriftPpm};
-  // Part by part, as Length in nanoseconds times a million would overflow.
+  // Computes the quotient and remainder separately, because Length in
+  // nanoseconds times a million would overflow.
   const std::int64_t Whole = Length.count() / SlowestRate;
   const std::int64_t Remainder = Length.count() % SlowestRate;
   const std::int64_t Increase =
--- a/src/datacentre/LeaseManager.cpp
+++ b/src/datacentre/LeaseManager.cpp
@@ -28,7 +28,7 @@
 
 TimePoint LeaseManager::findExpiry(const TaskId &Task, AttemptNumber Attempt,
                                    const FencingToken &Token) const {
-  // A later placement was never seen by another keeper.
+  // No other LeaseManager can have granted a lease for a later placement.
   TimePoint Expiry =
       Token <= LastPlaced_ ? EarlierLeasesEnd_ : TimePoint::min();
   const auto It = Leases_.find(Task);
--- a/src/datacentre/Pack.h
+++ b/src/datacentre/Pack.h
@@ -1,8 +1,8 @@
 //===- Pack.h - Converts field lists to and from msgpack --------*- C++ -*-===//
 //
-// One field list per type serves both directions. Reading is strict: another
-// number of fields, another type or an unknown enumerator throws
-// msgpack::type_error, which the public codecs turn into an Outcome.
+// One field list per type serves both directions. Reading is strict: a
+// different number of fields, a different type or an unknown enumerator throws
+// msgpack::type_error, which the public codecs convert to an Outcome.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,7 +28,7 @@
 template <class T, class U>
 concept IsA = std::same_as<std::remove_const_t<T>, U>;
 
-/// The number of enumerators of an enum whose values are 0, 1, 2...
+/// The number of enumerators of an enum whose values are 0, 1, 2 and so on.
 template <class T> inline constexpr std::uint64_t EnumCount = 0;
 
 /// Appends values to a string as msgpack objects.
@@ -164,15 +164,14 @@
   const msgpack::object &Object_;
 };
 
-/// Reads the objects that follow each other in some bytes. Throws msgpack's
-/// exceptions.
+/// Reads consecutive msgpack objects from a buffer. Throws msgpack exceptions.
 class Stream {
 public:
   explicit Stream(std::string_view Bytes) : Bytes_(Bytes) {}
 
   template <class T> T next() {
-    // An array cannot have more elements than there are bytes, so that a
-    // forged size does not reserve memory.
+    // An array cannot have more elements than there are bytes. This limit keeps
+    // a forged size from reserving memory.
     const std::size_t MaxSize = Bytes_.size();
     const msgpack::unpack_limit Limit(MaxSize, MaxSize, MaxSize, MaxSize,
                                       MaxSize, 16);
--- a/src/datacentre/RequestRecords.cpp
+++ b/src/datacentre/RequestRecords.cpp
@@ -10,7 +10,7 @@
 using namespace tulipweir::datacentre;
 using wire::RequestDisposition;
 
-/// Bounds the work of one command after a long silence.
+/// Bounds the work of the first command after a long idle time.
 static constexpr int MaxExpiredPerCommand = 64;
 
 static wire::BeginRequestReply makeReply(RequestDisposition Disposition,
@@ -18,7 +18,7 @@
   return wire::BeginRequestReply{Disposition, Attempt, std::nullopt};
 }
 
-/// How a request with a record in an ended or running state stands.
+/// Returns the reply to a request whose record is begun, served or unknown.
 static wire::BeginRequestReply describeRecord(const RequestRecord &Record) {
   if (Record.State_ == RecordState::Begun)
     return makeReply(RequestDisposition::Running, Record.Attempt_);
@@ -50,7 +50,8 @@
   return Time;
 }
 
-/// Whether Request is sent again by the asker that holds or held the record.
+/// Returns whether Request is a retry by the same caller that the record
+/// belongs to.
 static bool isRetry(const RequestRecord &Record,
                     const wire::BeginRequest &Request) {
   return Request.Nonce_ != 0 && Record.Nonce_ == Request.Nonce_ &&
@@ -65,8 +66,10 @@
   if (Request.Key_.value().starts_with(TicketPrefix)) {
     const auto Time = parseTicketTime(Request.Key_);
     if (!Time || *Time > WallMs_ + Limits_.RetentionMs_)
-      return fail(ErrorCode::InvalidArgument,
-                  "not a ticket that was issued here: " + Request.Key_.value());
+      return fail(
+          ErrorCode::InvalidArgument,
+          "malformed ticket, or its issue time is too far in the future: " +
+              Request.Key_.value());
     IssuedMs = *Time;
   }
   const auto It = Records_.find(Request.Key_);
@@ -80,11 +83,12 @@
   } else {
     if (It->second.Digest_ != Request.Digest_)
       return makeReply(RequestDisposition::Conflict, It->second.Attempt_);
-    const bool SameAsker = isRetry(It->second, Request);
-    if (SameAsker && It->second.State_ == RecordState::Begun)
+    const bool SameCaller = isRetry(It->second, Request);
+    if (SameCaller && It->second.State_ == RecordState::Begun)
       return makeReply(RequestDisposition::Run, It->second.Attempt_);
-    // The asker gave it back: a late copy of its question begins nothing.
-    if (SameAsker && It->second.State_ == RecordState::Abandoned)
+    // The caller abandoned this attempt, so a delayed copy of its request must
+    // not begin a new one.
+    if (SameCaller && It->second.State_ == RecordState::Abandoned)
       return makeReply(RequestDisposition::Unknown, It->second.Attempt_);
     if (It->second.State_ != RecordState::Abandoned)
       return describeRecord(It->second);
@@ -134,7 +138,8 @@
     return false;
   if (Record->State_ == RecordState::Abandoned)
     return true;
-  // An Unknown one stays so: some of its bytes may have been sent.
+  // An Unknown record stays unchanged, because part of its request may have
+  // been sent.
   if (Record->State_ != RecordState::Begun)
     return false;
   unindexBegun(Request.Key_, *Record);
@@ -192,7 +197,7 @@
 void RequestRecords::unindexBegun(const RequestKey &Key,
                                   const RequestRecord &Record) {
   const auto It = BegunByEntry_.find(Record.Entry_);
-  assert(It != BegunByEntry_.end() && "begun record without its index");
+  assert(It != BegunByEntry_.end() && "a begun record must be indexed");
   It->second.erase(Key);
   if (It->second.empty())
     BegunByEntry_.erase(It);
@@ -233,7 +238,7 @@
     }
     In.expectEnd();
     if (Result.Records_.size() != Count)
-      return fail(ErrorCode::Malformed, "records: a key stands twice");
+      return fail(ErrorCode::Malformed, "records: duplicate request key");
     return Result;
   } catch (const std::exception &Exception) {
     return fail(ErrorCode::Malformed,
--- a/src/datacentre/ServerTracker.cpp
+++ b/src/datacentre/ServerTracker.cpp
@@ -17,12 +17,13 @@
       Announcement.Server_,  Announcement.Boot_,        Announcement.Rack_,
       Announcement.Address_, Announcement.Capacity_,    Announcement.Services_,
       Announcement.Slots_,   Announcement.Connections_, Announcement.Draining_};
-  // Another order of the same services is no change.
+  // Sorts the services, so that a different order does not count as a change.
   std::sort(Result.Services_.begin(), Result.Services_.end());
   return Result;
 }
 
-/// Nothing is placed on a boot that is not registered.
+/// Stops all reported attempts: nothing is placed on a boot that is not
+/// registered.
 static void stopAll(const wire::Announcement &Announcement,
                     wire::AnnouncementReply &Reply) {
   for (const wire::AttemptReport &Report : Announcement.Attempts_) {
@@ -35,7 +36,7 @@
   }
 }
 
-/// The highest token of a placement that is not of this leadership.
+/// Returns the highest token of a placement made before this leadership.
 static FencingToken findLastPlaced(const DataCentreState &State,
                                    std::uint64_t Term) {
   FencingToken Last{Term, 0};
@@ -70,8 +71,8 @@
   return Status;
 }
 
-/// False if another boot was heard lately. Boots have no order, so that a
-/// delayed announcement of an earlier one looks like a new one.
+/// Returns false if another boot sent a recent announcement. Boots have no
+/// order, so a delayed announcement of an earlier boot looks like a new one.
 bool ServerTracker::acceptBoot(ServerStatus &Status, const BootId &Boot,
                                TimePoint Now) const {
   if (Status.Boot_ == Boot)
@@ -116,7 +117,8 @@
   if (Record && Record->Info_.Boot_ != Announcement.Boot_ &&
       !Attempts_.haveLeasesExpired(*Record, State, Check.Now_))
     return Result;
-  // Once another boot may be registered, attempts of this one are not renewed.
+  // While the registration of another boot is pending, the attempts of this
+  // boot are not renewed.
   if (Status.ProposedRegistration_ &&
       Status.ProposedRegistration_->Boot_ != Announcement.Boot_)
     return Result;
--- a/src/datacentre/SlotAllocator.cpp
+++ b/src/datacentre/SlotAllocator.cpp
@@ -13,12 +13,13 @@
 
 /// Weight of the newest report in the smoothed demand.
 static constexpr double DemandSmoothing = 0.3;
-/// Shares stay while no demand moved by more than this many requests and this
-/// part of itself: a new table costs more than it brings.
+/// The shares are not rebalanced unless some demand changed by more than this
+/// many requests and by more than this fraction of itself, because a new table
+/// costs more than a smaller change gains.
 static constexpr double MinDemandChange = 2;
 static constexpr double MinRelativeDemandChange = 0.25;
-/// From this part of its share on an entry counts as wanting more: so many
-/// times what it uses.
+/// An entry that uses at least this fraction of its share is assumed to want
+/// this multiple of its current use.
 static constexpr double FullShareThreshold = 0.8;
 static constexpr double FullShareDemandFactor = 1.5;
 static constexpr int TermShift = 32;
@@ -27,13 +28,14 @@
   return {Server.Slots_, Server.Connections_};
 }
 
-/// Each request needs a slot and a connection.
+/// Returns the number of requests that fit; each needs a slot and a connection.
 static std::uint32_t countUsableSlots(const SlotAmount &Room) {
   return std::min(Room.Slots_, Room.Connections_);
 }
 
-/// Above all versions of earlier terms, and of earlier ledgers of this term in
-/// this process: they made less than one a millisecond.
+/// Returns a table version above all versions of earlier terms, and of earlier
+/// allocators of this term in this process: those create less than one version
+/// per millisecond.
 static std::uint64_t findFirstVersion(std::uint64_t Term, TimePoint ElectedAt) {
   const auto SinceEpoch = std::chrono::duration_cast<std::chrono::milliseconds>(
       ElectedAt.time_since_epoch());
@@ -80,8 +82,8 @@
   const auto It = Positions_.find(Id);
   if (It == Positions_.end())
     return;
-  // Its position stays: what was granted of it is still accounted for, and the
-  // shares of the others do not move.
+  // The server keeps its index, because granted slots stay allocated and the
+  // shares of the other servers keep their indices.
   Servers_[It->second].Removed_ = true;
 }
 
@@ -109,7 +111,7 @@
   Holder &Entry = It->second;
   Entry.Address_ = Report.Address_;
   Entry.Bundle_ = Report.Held_;
-  // Sticky: an earlier report may arrive after it.
+  // Never reset, because an earlier report may arrive later.
   Entry.Stopping_ |= Report.Stopping_;
   readReportedGrants(Entry, Report);
   applyConfirmedTable(Entry, Report.RoutesHeld_);
@@ -138,14 +140,16 @@
   return Reply;
 }
 
-/// Whether the report is of the latest table that this ledger made for it.
+/// Returns whether the entry holds the latest table that this allocator made
+/// for it.
 bool SlotAllocator::holdsLatestTable(const wire::EntryReport &Report) const {
   const auto It = Holders_.find({Report.Entry_, Report.Incarnation_});
   return It != Holders_.end() && It->second.TableVersion_ != 0 &&
          It->second.TableVersion_ == Report.RoutesHeld_;
 }
 
-/// Reads what is in flight by the latest table, which the entry holds.
+/// Reads the requests in flight, listed in the order of the latest table, which
+/// the entry holds.
 void SlotAllocator::readBriefReport(Holder &Entry, std::string_view InFlight) {
   for (const wire::Route &Route : Entry.Table_) {
     const std::optional<std::uint64_t> Count = wire::takeNumber(InFlight);
@@ -159,7 +163,7 @@
 
 void SlotAllocator::readReportedGrants(Holder &Entry,
                                        const wire::EntryReport &Report) {
-  // What it holds of the latest table is known without being shown.
+  // A report of the latest table need not list its grants.
   const bool Latest =
       Entry.TableVersion_ != 0 && Report.RoutesHeld_ == Entry.TableVersion_;
   for (auto &[Position, EntryShare] : Entry.Shares_) {
@@ -173,7 +177,8 @@
     if (It == Positions_.end())
       continue;
     Share &EntryShare = Entry.Shares_[It->second];
-    // An entry may still have requests in flight to an earlier boot.
+    // An entry may still have requests in flight to an earlier boot, so amounts
+    // add up.
     if (!Latest)
       EntryShare.Reported_ =
           EntryShare.Reported_.plus({Grant.Slots_, Grant.Connections_});
@@ -181,10 +186,11 @@
   }
 }
 
-/// Lowers the account of an entry that shows the latest table: it will not go
-/// back to an earlier one, and what runs beyond the table is in flight. Its
-/// first table also tells what it held of earlier leaders until it took it: a
-/// report alone does not, as it may be stale.
+/// Lowers the allocation of an entry that reports the latest table: it will not
+/// return to an earlier table, and its use beyond the table is in flight. The
+/// first confirmed table also shows which grants of earlier leaders the entry
+/// held until it accepted the table. A report alone does not show this, because
+/// it may be stale.
 void SlotAllocator::applyConfirmedTable(Holder &Entry,
                                         std::uint64_t RoutesHeld) {
   if (Entry.TableVersion_ == 0 || RoutesHeld != Entry.TableVersion_)
@@ -195,7 +201,7 @@
     const SlotAmount Granted =
         Entry.Stopping_ ? SlotAmount{} : EntryShare.Offered_;
     setAllocated(EntryShare, Backend, Granted.maxWith(Running));
-    // What a stopping one shows an earlier leader may have freed already.
+    // An earlier leader may already have freed what a stopping entry reports.
     if (!Entry.Confirmed_ && !Entry.Stopping_)
       Backend.EarlierGrants_ =
           Backend.EarlierGrants_.minusOrZero(EntryShare.Replaced_);
@@ -203,8 +209,9 @@
   Entry.Confirmed_ = true;
 }
 
-/// Notes which grants of earlier leaders the entry gives up if it takes the
-/// answer to this report: only if it still holds what the report shows.
+/// Records which grants of earlier leaders the entry gives up if it accepts the
+/// reply to this report. It accepts the reply only if it still holds the
+/// reported table.
 void SlotAllocator::recordReplacedGrants(Holder &Entry, bool OfEarlier,
                                          bool NewTable) {
   for (auto &[Position, EntryShare] : Entry.Shares_) {
@@ -223,7 +230,7 @@
   }
   Entry.Demand_.resize(InFlight.size());
   for (std::size_t I = 0; I < InFlight.size(); ++I) {
-    // An entry that fills its share would use more, nobody knows how much.
+    // An entry that uses its whole share would use more, by an unknown amount.
     const bool FillsShare =
         InFlight[I] > 0 && InFlight[I] >= FullShareThreshold * Granted[I];
     const double EstimatedDemand =
@@ -238,8 +245,8 @@
                                        TimePoint Now) const {
   if (Entry.Stopping_ || Backend.Info_.Draining_)
     return {};
-  // Right after an election entries go on with what they have, so that a
-  // change of leader moves no shares.
+  // Right after an election entries keep their current slots, so that a change
+  // of leader moves no shares.
   const bool GrantsMayOverlap = Now < EarlierGrantsEnd_;
   const SlotAmount Wanted = GrantsMayOverlap && EntryShare.Reported_.Slots_ > 0
                                 ? EntryShare.Reported_
@@ -247,10 +254,10 @@
   const SlotAmount Free =
       getCapacity(Backend.Info_)
           .minusOrZero(Backend.AllocatedSum_.plus(Backend.EarlierGrants_));
-  // What is accounted to it beyond its table is in flight by some report, which
-  // may be stale: no ground to grant it. Until it shows a table of ours its
-  // account is not known; but what it named in this report it holds if it takes
-  // the answer.
+  // The allocation beyond the entry's table is in flight according to some
+  // report, which may be stale, so it does not justify a grant. Until the entry
+  // reports a table of this leader its allocation is unknown. However, if it
+  // accepts the reply, it holds what it named in this report.
   const bool ByReport = !Entry.Confirmed_ && GrantsMayOverlap;
   const SlotAmount Granted = EntryShare.Allocated_.minWith(EntryShare.Offered_);
   const SlotAmount Current = ByReport ? EntryShare.Reported_ : Granted;
@@ -262,7 +269,7 @@
   return Offer;
 }
 
-/// Makes the table that To is to have now. True if it is a new one.
+/// Computes the current table of the entry. Returns true if the table is new.
 bool SlotAllocator::offerTable(Holder &Entry, TimePoint Now) {
   std::vector<wire::Route> Table;
   std::vector<SlotAmount> Offers(Servers_.size());
@@ -323,24 +330,25 @@
     const auto ShareIt = Entry.Shares_.find(It->second);
     if (ShareIt == Entry.Shares_.end())
       continue;
-    // The measure has left that out already.
+    // The measurement already excludes the replaced grants.
     if (SampledAt >= EarlierGrantsEnd_)
       ShareIt->second.Replaced_ = SlotAmount{};
     if (SampledAt < Entry.GrantEnd_)
       continue;
     setAllocated(ShareIt->second, Backend,
                  ShareIt->second.Allocated_.minWith(Busy));
-    // If it comes back it needs a new table.
+    // The entry needs a new table if it reports again.
     Entry.TableVersion_ = 0;
   }
 }
 
-/// By server's position: what is accounted to those that take no part in the
-/// sharing, the dead, the stopping and earlier leaders' unknown ones. The
-/// others can't get it, so sharing it would leave newcomers with nothing.
+/// Returns, by index into Servers_, the amount allocated to entries that take
+/// no part in the sharing: expired and stopping entries and unknown entries of
+/// earlier leaders. Active entries cannot get these slots, and sharing them
+/// would leave new entries with nothing.
 std::vector<SlotAmount> SlotAllocator::findUnavailable(TimePoint Now) const {
   std::vector<SlotAmount> Unavailable(Servers_.size());
-  // Until then most of it belongs to entries that go on.
+  // Until earlier grants expire, most of them belong to entries that continue.
   if (Now >= EarlierGrantsEnd_)
     for (std::size_t Position = 0; Position < Servers_.size(); ++Position)
       Unavailable[Position] = Servers_[Position].EarlierGrants_;
@@ -404,8 +412,8 @@
 
 void SlotAllocator::rebalanceGroup(std::size_t Group,
                                    const std::vector<Holder *> &Sharers) {
-  // Servers that are out for a while keep their part, so that the shares of
-  // the others do not move when they come and go.
+  // Servers that are temporarily not routable keep their part, so that the
+  // shares of the others do not change when they leave and return.
   std::vector<std::size_t> Members;
   std::vector<SlotAmount> Rooms;
   std::vector<std::uint32_t> Slots;
@@ -427,7 +435,8 @@
   for (std::size_t S = 0; S < Members.size(); ++S) {
     for (std::size_t E = 0; E < Sharers.size(); ++E) {
       const std::uint32_t AssignedSlots = Table[S][E];
-      // As many connections to a slot as the server has left.
+      // Assigns connections in the ratio of the server's remaining connections
+      // to its remaining slots.
       const std::uint64_t Connections =
           Slots[S] == 0
               ? 0
--- a/src/datacentre/SlotShares.cpp
+++ b/src/datacentre/SlotShares.cpp
@@ -9,10 +9,10 @@
 
 using namespace tulipweir::datacentre;
 
-/// An entry without demand keeps this many slots in a group of servers, so
-/// that it can reach the service at once when requests come.
+/// An entry without demand keeps this many slots in a group of servers, so that
+/// it can send requests to the service at once.
 static constexpr double MinEntrySlots = 2;
-/// Entries that share one server under shareBySubset.
+/// The number of entries that share a server under shareBySubset.
 static constexpr std::size_t EntriesPerServer = 3;
 
 static double sum(const std::vector<double> &Values) {
@@ -23,8 +23,9 @@
   return std::accumulate(Values.begin(), Values.end(), 0.0);
 }
 
-/// Deals one server's slots by weight. Credits carry what rounding left over
-/// from server to server, so that the totals come out by weight too.
+/// Distributes one server's slots by weight. Credits carry the rounding
+/// remainders from server to server, so that the totals are proportional to the
+/// weights too.
 static void distributeServerSlots(std::uint32_t Slots,
                                   const std::vector<double> &Weights,
                                   double WeightSum,
@@ -79,8 +80,8 @@
   Weights.reserve(Demand.size());
   for (const double Wanted : Demand)
     Weights.push_back(std::max(Wanted + Headroom, Minimum));
-  // The minimum may have pushed the sum over the total; take it from those
-  // that are above the minimum.
+  // The minimum may have raised the sum above the total. Subtracts the excess
+  // from the weights above the minimum.
   const double Excess = sum(Weights) - Minimum * Entries;
   const double Room = Total - Minimum * Entries;
   if (Excess > Room && Excess > 0)
--- a/tests/datacentre/DataCentreCodecTest.cpp
+++ b/tests/datacentre/DataCentreCodecTest.cpp
@@ -40,18 +40,18 @@
           ReleaseJob{JobId("j"), 4}};
 }
 
-TEST(DataCentreCodecTest, EveryCommandComesBackEqual) {
+TEST(DataCentreCodecTest, EveryCommandRoundTrips) {
   const auto Commands = makeCommands();
   ASSERT_EQ(Commands.size(), std::variant_size_v<Command>);
   for (std::size_t I = 0; I < Commands.size(); ++I) {
     EXPECT_EQ(Commands[I].index(), I);
-    const auto Back = decodeCommand(encodeCommand(Commands[I]));
-    ASSERT_TRUE(Back.has_value()) << I << " " << Back.error().Message_;
-    EXPECT_EQ(Back.value(), Commands[I]) << I;
+    const auto Decoded = decodeCommand(encodeCommand(Commands[I]));
+    ASSERT_TRUE(Decoded.has_value()) << I << " " << Decoded.error().Message_;
+    EXPECT_EQ(Decoded.value(), Commands[I]) << I;
   }
 }
 
-TEST(DataCentreCodecTest, CutOrLengthenedBytesAreMalformed) {
+TEST(DataCentreCodecTest, TruncatedOrExtendedBytesAreMalformed) {
   for (const Command &Value : makeCommands()) {
     const std::string Bytes = encodeCommand(Value);
     for (std::size_t Size = 0; Size < Bytes.size(); ++Size)
@@ -66,7 +66,7 @@
   EXPECT_FALSE(decodeResult("\xdb\xff\xff\xff\xff").has_value());
 }
 
-TEST(DataCentreCodecTest, ResultsAndJobsComeBackEqual) {
+TEST(DataCentreCodecTest, ResultsAndJobsRoundTrip) {
   CommandResult Result{"conflict", "why", FencingToken{2, 3}, {}};
   Result.Begin_.Answer_ = wire::StoredAnswer{200, "a", "b"};
   EXPECT_EQ(decodeResult(encodeResult(Result)).value(), Result);
--- a/tests/datacentre/DataCentreStateMachineTest.cpp
+++ b/tests/datacentre/DataCentreStateMachineTest.cpp
@@ -50,7 +50,7 @@
   std::uint64_t Index_ = 0;
 };
 
-TEST_F(DataCentreStateMachineTest, FeedsEveryCommandInOrderWithItsToken) {
+TEST_F(DataCentreStateMachineTest, NotifiesOfEveryCommandInLogOrder) {
   registerServer();
   apply(makeJob("j", 1));
   const CommandResult Placed = place({JobId("j"), 0});
@@ -59,15 +59,14 @@
   EXPECT_EQ(Fed_, (std::vector<std::uint64_t>{1, 2, 3, 4}));
 }
 
-TEST_F(DataCentreStateMachineTest,
-       BytesThatAreNoCommandAreAResultAndChangeNothing) {
+TEST_F(DataCentreStateMachineTest, InvalidBytesAreRefusedWithoutEffect) {
   const std::string Before = Machine_.takeSnapshot();
   const auto Result = decodeResult(Machine_.apply({1, 1, "\xc1"}));
   EXPECT_EQ(Result.value().Error_, "malformed");
   EXPECT_EQ(Machine_.takeSnapshot(), Before);
 }
 
-TEST_F(DataCentreStateMachineTest, ASnapshotIsRestoredWholeOrNotAtAll) {
+TEST_F(DataCentreStateMachineTest, ASnapshotIsRestoredCompletelyOrNotAtAll) {
   registerServer();
   apply(makeJob("j", 2));
   const std::string Snapshot = Machine_.takeSnapshot();
@@ -108,7 +107,7 @@
 }
 
 TEST_F(DataCentreStateMachineTest,
-       AReleasedJobGoesOnElsewhereFromItsCheckpoints) {
+       AReleasedJobResumesElsewhereFromItsCheckpoints) {
   registerServer();
   apply(makeJob("j", 2));
   place({JobId("j"), 0});
@@ -121,7 +120,7 @@
     });
     return Released;
   };
-  EXPECT_TRUE(List().empty()) << "one attempt still holds a place";
+  EXPECT_TRUE(List().empty()) << "one attempt is still placed";
   apply(EndAttempt{
       {JobId("j"), 0}, AttemptNumber(1), AttemptEnd::Evicted, "c", ""});
   EXPECT_EQ(List(), std::vector<JobId>{JobId("j")});
--- a/tests/datacentre/DataCentreStateTest.cpp
+++ b/tests/datacentre/DataCentreStateTest.cpp
@@ -9,7 +9,8 @@
 using namespace tulipweir;
 using namespace tulipweir::datacentre;
 
-/// Random commands over a small world, most of them nearly right.
+/// Generates random commands over a few servers and jobs, most of them almost
+/// valid.
 class CommandSource {
 public:
   explicit CommandSource(unsigned Seed) : Random_(Seed) {}
@@ -97,7 +98,7 @@
               Job.Tasks_.size());
 }
 
-/// What a listener derives: tasks by state, and which servers there are.
+/// Derives the tasks by state, the servers and the ended jobs from changes.
 class Listener {
 public:
   std::map<TaskId, Change> Tasks_;
@@ -128,7 +129,7 @@
 
 class DataCentreStateSeeds : public testing::TestWithParam<unsigned> {};
 
-TEST_P(DataCentreStateSeeds, AgreesWithScanningModelAndSurvivesItsSnapshot) {
+TEST_P(DataCentreStateSeeds, MatchesReferenceModelAndSnapshotRoundTrip) {
   CommandSource Source(GetParam());
   DataCentreState State{RecordLimits{}};
   ReferenceDataCentre Reference;
@@ -176,14 +177,15 @@
       Rebuilt.onChange(Applied);
     ASSERT_EQ(Rebuilt, Incremental);
   }
-  // The schedule reached every kind of command but those about records.
+  // Every kind of command except those for request records was accepted at
+  // least once.
   for (const std::size_t Kind : {0, 1, 2, 3, 4, 5, 6, 7, 12})
     EXPECT_GT(Accepted[Kind], 0) << Kind;
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, DataCentreStateSeeds, testing::Range(0u, 12u));
 
-TEST(DataCentreStateTest, AdoptsNoDroppedJobAgainUnderItsAssignment) {
+TEST(DataCentreStateTest, DoesNotReadoptADroppedJobWithTheSameAssignment) {
   DataCentreState State{RecordLimits{}};
   const JobSpec Spec{
       JobId("j"), TeamId("t"), JobClassId("c"), 1, 1, Resources{}, "p", 1};
@@ -194,7 +196,7 @@
   EXPECT_EQ(State.apply(AdoptJob{Spec, 2, ""}, 1, 5).Error_, "");
 }
 
-TEST(DataCentreStateTest, WordOfAnotherAttemptThanThePlacedOneIsRefused) {
+TEST(DataCentreStateTest, RefusesCommandsForAnotherAttemptThanThePlacedOne) {
   DataCentreState State{RecordLimits{}};
   const BackendServerId Server("s");
   const BootId Boot("b");
@@ -224,7 +226,7 @@
   EXPECT_EQ(State, Placed);
 }
 
-TEST(DataCentreStateTest, CutSnapshotsAreRefusedWhole) {
+TEST(DataCentreStateTest, RefusesTruncatedAndExtendedSnapshots) {
   DataCentreState State{RecordLimits{}};
   State.apply(RegisterServer{BackendServerId("s"),
                              BootId("b"),
--- a/tests/datacentre/FakeBackendServer.h
+++ b/tests/datacentre/FakeBackendServer.h
@@ -1,7 +1,7 @@
 //===- FakeBackendServer.h - Backend server under lease rules ---*- C++ -*-===//
 //
-// A backend server by the rules of docs/LEASES.md, with a clock that drifts.
-// It takes replies in any order.
+// Simulates a backend server that follows docs/LEASES.md and has a drifting
+// clock. It accepts replies in any order.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,13 +16,13 @@
 
 namespace tulipweir::datacentre {
 
-/// Returns Length times Factor.
+/// Returns Length multiplied by Factor.
 inline Duration scale(Duration Length, double Factor) {
   const double Scaled = static_cast<double>(Length.count()) * Factor;
   return Duration(static_cast<std::int64_t>(Scaled));
 }
 
-/// A clock whose rate is off. Real time is what the test counts in.
+/// A clock with a wrong rate. Tests count in real time.
 struct DriftingClock {
   double Rate_ = 1;
   Duration Offset_ = std::chrono::hours(1);
@@ -37,7 +37,7 @@
     wire::AttemptReport Report_;
     Resources Reservation_;
     TimePoint LeaseEnd_;
-    std::uint64_t EndShownBy_ = 0; ///< First sequence that showed its end.
+    std::uint64_t EndShownBy_ = 0; ///< First announcement of its end.
   };
 
   BackendServerId Id_;
@@ -98,7 +98,7 @@
     }
   }
 
-  /// Stops what has no lease any more, as late as is allowed.
+  /// Stops attempts whose lease expired, as late as allowed.
   void tick(Duration RealTime) {
     for (auto &[Task, H] : Held_)
       if (isRunning(H) && Clock_.at(RealTime) >= H.LeaseEnd_ + StopDelay_)
@@ -111,8 +111,8 @@
 private:
   void start(const wire::TaskCommand &C, TimePoint LeaseEnd,
              Duration RealTime) {
-    // A token is run once, a lower one never; a start that comes after its
-    // lease is over is ignored.
+    // A token is run once and a lower token never. A start that arrives after
+    // its lease expired is ignored.
     if (HighestToken_[C.Task_] >= C.Token_ || Clock_.at(RealTime) >= LeaseEnd)
       return;
     HighestToken_[C.Task_] = C.Token_;
@@ -133,7 +133,8 @@
       if (H->second.EndShownBy_ && Sequence >= H->second.EndShownBy_)
         Held_.erase(H);
     } else if (H == Held_.end() && HighestToken_[C.Task_] < C.Token_) {
-      // Unknown: its start may still be under way and is refused from now on.
+      // The attempt is unknown, and its start may still be in flight. That
+      // start is refused from now on.
       HighestToken_[C.Task_] = C.Token_;
       Held Stopped;
       Stopped.Report_.Task_ = C.Task_;
--- a/tests/datacentre/LeaseMatrixTest.cpp
+++ b/tests/datacentre/LeaseMatrixTest.cpp
@@ -15,7 +15,7 @@
 /// Every combination of the six faults.
 class LeaseFaultMatrix : public testing::TestWithParam<unsigned> {};
 
-TEST_P(LeaseFaultMatrix, NoTaskRunsTwiceAndNoServerIsOverfull) {
+TEST_P(LeaseFaultMatrix, NoTaskRunsTwiceAndNoServerIsOvercommitted) {
   int Starts = 0;
   for (unsigned Seed = 0; Seed < 12; ++Seed) {
     LeaseSimulation Simulation(makeFaults(GetParam()), GetParam() * 100 + Seed);
--- a/tests/datacentre/LeaseSimulation.cpp
+++ b/tests/datacentre/LeaseSimulation.cpp
@@ -38,20 +38,21 @@
   return Clock;
 }
 
-/// Called when no earlier leader's lease can still hold.
+/// Elects a new leader. Called when the leader lease of the previous one has
+/// expired.
 void LeaseSimulation::elect() {
   auto Next = std::make_unique<Leader>();
   Next->Term_ = Leaders_.size() + 1;
   Next->Clock_ = makeClock();
   if (!Leaders_.empty()) {
     Leader &Old = *Leaders_.back();
-    // What was under way is kept up to some point and lost after it.
+    // A prefix of the pending proposals is committed and the rest is lost.
     const std::size_t Kept = pick(static_cast<int>(Old.Pending_.size()) + 1);
     for (std::size_t I = 0; I < Kept; ++I)
       Log_.push_back({Old.Term_, Old.Pending_[I].second});
     Old.Pending_.clear();
     ++Changes_;
-    // Some entries, and the servers behind them, see only the old leader.
+    // Some servers still reach only the old leader.
     for (Duration &Until : OldLeaderUntil_)
       if (Faults_.FrozenLeader_ && pick(3) == 0)
         Until = RealTime_ + milliseconds(pick(2500));
@@ -98,9 +99,9 @@
   }
 }
 
-/// Stands in for the planner and the operators.
+/// Simulates the planner and the operators.
 void LeaseSimulation::schedule(Leader &Proposer) {
-  // What is applied lags, but does not fall behind for good.
+  // The applied state lags behind, but not without bound.
   if (Proposer.Pending_.size() + Log_.size() - Proposer.Applied_ > 6)
     return;
   if (Proposer.State_.jobs().size() < MaxJobs && Proposer.Pending_.empty()) {
@@ -149,7 +150,7 @@
 
 void LeaseSimulation::announce(std::size_t Server) {
   const wire::Announcement Value = Servers_[Server].announce(RealTime_);
-  // The entry may not know the latest leader yet.
+  // The announcement may go to the previous leader.
   const bool Old = RealTime_ < OldLeaderUntil_[Server] || pick(4) == 0;
   const std::size_t Back = Old && Leaders_.size() > 1 ? 2 : 1;
   Leader &Receiver = *Leaders_[Leaders_.size() - Back];
@@ -180,9 +181,10 @@
                         Task->Token_ == C.Token_ &&
                         Task->Server_ == Value.Server_;
     if (!Placed)
-      Violation_ = "a start without a committed place: " + C.Task_.toString();
+      Violation_ = "start without a committed placement: " + C.Task_.toString();
     if (Receiver.Reported_.count({C.Task_, C.Token_}))
-      Violation_ = "a start after it was shown: " + C.Task_.toString();
+      Violation_ =
+          "start after the attempt was reported: " + C.Task_.toString();
   }
   for (const Command &Proposal : Result.value().Proposals_)
     propose(Receiver, Proposal);
@@ -210,7 +212,8 @@
     Arrived.Deliver_();
 }
 
-/// Now and then a boot lives only for one announcement, or is cut off early.
+/// Restarts the server. Sometimes a boot lasts for a single announcement, or is
+/// partitioned right after it starts.
 void LeaseSimulation::reboot(std::size_t Server) {
   for (int Times = pick(2); Times >= 0; --Times) {
     Servers_[Server].reboot();
@@ -231,7 +234,7 @@
     if (pick(500) == 0)
       Server.Draining_ = !Server.Draining_;
     if (Faults_.Reboots_ && !Server.Held_.empty() && pick(1000) == 0)
-      Server.Held_.erase(Server.Held_.begin()); // A server that forgets.
+      Server.Held_.erase(Server.Held_.begin()); // The server loses an attempt.
     for (auto &[Task, Held] : Server.Held_)
       if (FakeBackendServer::isRunning(Held) && pick(300) == 0)
         Held.Report_.State_ = pick(3) == 0 ? wire::AttemptState::Finished
@@ -250,10 +253,10 @@
         continue;
       Sum = Sum + Held.Reservation_;
       if (++Running[Task] > 1)
-        return Task.toString() + " runs in two places";
+        return Task.toString() + " runs on two servers";
     }
     if (!Sum.fitsIn(Server.Capacity_))
-      return Server.Id_.value() + " is overfull";
+      return Server.Id_.value() + " exceeds its capacity";
   }
   return Violation_;
 }
--- a/tests/datacentre/LeaseSimulation.h
+++ b/tests/datacentre/LeaseSimulation.h
@@ -1,10 +1,11 @@
 //===- LeaseSimulation.h - Simulates task leases under faults ---*- C++ -*-===//
 //
-// One seeded schedule: leaders with ledgers over one committed log, fake
-// backend servers, and messages that are delayed, repeated and lost. The log
-// itself is taken as right (the replication module proves it): only the leader
-// of the latest term commits, a change of leader keeps a prefix of what was
-// under way, and no leader is elected before the earlier one's lease is over.
+// Runs one seeded schedule of leaders over one committed log, fake backend
+// servers, and messages that are delayed, repeated and lost. The log itself is
+// assumed to be correct, which the tests of the replication module cover: only
+// the leader of the latest term commits, a change of leader keeps a prefix of
+// the pending proposals, and no leader is elected before the lease of the
+// previous one has expired.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,10 +25,11 @@
 
 struct LeaseFaults {
   bool LeaderChanges_ = false;
-  bool FrozenLeader_ = false; ///< Answers of a leader come very late.
+  bool FrozenLeader_ = false; ///< Replies of a leader arrive very late.
   bool PartitionServers_ = false;
   bool Drift_ = false;
-  bool Disorder_ = false; ///< Delayed, repeated, reordered, lost.
+  bool Disorder_ =
+      false; ///< Messages are delayed, repeated, reordered and lost.
   bool Reboots_ = false;
 };
 
@@ -35,10 +37,10 @@
 public:
   LeaseSimulation(const LeaseFaults &Faults, unsigned Seed);
 
-  /// Runs for Length; returns what broke first, or nothing.
+  /// Runs for Length. Returns the first violated invariant, or an empty string.
   std::string run(Duration Length);
 
-  int Starts_ = 0;  ///< Attempts that began to run.
+  int Starts_ = 0;  ///< Attempts that started.
   int Changes_ = 0; ///< Leaders after the first.
   int Lost_ = 0;    ///< Attempts that ended as lost.
 
@@ -51,7 +53,8 @@
     std::size_t Applied_ = 0;
     std::unique_ptr<ServerTracker> Tracker_;
     std::deque<std::pair<Duration, Command>> Pending_;
-    std::set<std::pair<TaskId, FencingToken>> Reported_; ///< By servers.
+    std::set<std::pair<TaskId, FencingToken>>
+        Reported_; ///< Reported by servers.
   };
   struct LogEntry {
     std::uint64_t Term_;
@@ -85,7 +88,8 @@
   ServerTrackerSettings Settings_;
   std::vector<FakeBackendServer> Servers_;
   std::vector<Duration> PartitionedUntil_;
-  std::vector<Duration> OldLeaderUntil_; ///< To the leader before the latest.
+  std::vector<Duration>
+      OldLeaderUntil_; ///< Until then announcements go to the previous leader.
   std::vector<std::unique_ptr<Leader>> Leaders_;
   std::vector<LogEntry> Log_;
   std::vector<Message> Messages_;
--- a/tests/datacentre/LostAttemptsTest.cpp
+++ b/tests/datacentre/LostAttemptsTest.cpp
@@ -1,7 +1,8 @@
 //===- LostAttemptsTest.cpp - Tasks whose servers restart -----------------===//
 //
-// Guards against a task that restarts each VM that runs it being placed without
-// end: its attempts end as lost, and only failed ones are counted.
+// Guards against endless placement of a task that restarts every VM it runs
+// on: its attempts end as lost, and only failed attempts count towards the
+// limit.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,7 +13,8 @@
 using namespace tulipweir;
 using namespace tulipweir::datacentre;
 
-/// Three restarts tell of such a task, and two attempts may follow.
+/// Three restarts identify such a task, and at most two more attempts may
+/// follow.
 static constexpr std::uint64_t MostAttempts = 5;
 
 TEST(LostAttemptsTest, ATaskThatRestartsItsServersIsNotPlacedWithoutEnd) {
--- a/tests/datacentre/ReferenceDataCentre.h
+++ b/tests/datacentre/ReferenceDataCentre.h
@@ -1,7 +1,8 @@
 //===- ReferenceDataCentre.h - Reference model of the state -----*- C++ -*-===//
 //
-// Keeps flat lists and scans them all for every command. Written from the
-// comments of Commands.h, for the differential test.
+// Keeps flat lists and scans all of them for every command. Implements the
+// rules in the comments of Commands.h independently, for the differential
+// test.
 //
 //===----------------------------------------------------------------------===//
 
@@ -48,7 +49,7 @@
     return Count;
   }
 
-  /// Whether the command took effect.
+  /// Returns whether the command took effect.
   bool apply(const RegisterServer &C, FencingToken) {
     ReferenceServer *S = find(C.Server_);
     if (!S) {
--- a/tests/datacentre/RequestRecordsTest.cpp
+++ b/tests/datacentre/RequestRecordsTest.cpp
@@ -14,7 +14,7 @@
 
 static constexpr RecordLimits SmallLimits{1000, 15, 8};
 
-/// The rules once more over a flat list.
+/// Implements the rules independently with a flat list.
 class ReferenceRecords {
 public:
   struct Entry {
@@ -33,7 +33,7 @@
       }
     std::erase_if(List_, [this](const Entry &E) { return isExpired(E); });
   }
-  /// Nothing: refused.
+  /// Returns nullopt if the request is refused.
   std::optional<wire::BeginRequestReply> begin(const wire::BeginRequest &R,
                                                std::uint64_t Wall) {
     advanceClock(Wall);
@@ -119,7 +119,7 @@
 
 class RequestRecordsSeeds : public testing::TestWithParam<unsigned> {};
 
-TEST_P(RequestRecordsSeeds, AgreeWithFlatListAndRunEachTicketAtMostOnce) {
+TEST_P(RequestRecordsSeeds, MatchReferenceModelAndRunEachTicketAtMostOnce) {
   std::mt19937 Random(GetParam());
   const auto Pick = [&Random](int Count) {
     return static_cast<int>(Random() % Count);
@@ -133,7 +133,7 @@
   int Refused = 0;
   for (int Step = 0; Step < 8000; ++Step) {
     Wall += Pick(40) == 0 ? Pick(1500) : Pick(12);
-    // A proposer's clock may be behind.
+    // The clock of a proposer may be behind.
     const std::uint64_t ProposerTime = Wall - Pick(30);
     if (Keys.size() < 60 || Pick(6) == 0)
       Keys.push_back(Pick(3) == 0
@@ -212,7 +212,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RequestRecordsSeeds, testing::Range(0u, 12u));
 
-TEST(RequestRecordsTest, ReadsOnlyWellFormedTickets) {
+TEST(RequestRecordsTest, ParsesOnlyWellFormedTickets) {
   EXPECT_EQ(parseTicketTime(RequestKey("ticket:a.b.12.r")), 12u);
   for (const char *Malformed :
        {"a.12.r", "ticket:12.r", "ticket:a.x.r", "ticket:a..r", "ticket:a.12.",
@@ -229,7 +229,7 @@
   EXPECT_EQ(Reply.error().Code_, ErrorCode::InvalidArgument);
 }
 
-TEST(RequestRecordsTest, OneCommandRetiresABoundedNumber) {
+TEST(RequestRecordsTest, OneCommandExpiresABoundedNumberOfRecords) {
   RequestRecords Records(RecordLimits{10, 1000, 8});
   for (int I = 0; I < 500; ++I)
     ASSERT_TRUE(Records.begin({RequestKey(std::to_string(I)), Digest("d"),
--- a/tests/datacentre/RequestRetryTest.cpp
+++ b/tests/datacentre/RequestRetryTest.cpp
@@ -23,7 +23,7 @@
   return Records.begin(makeBegin(Nonce), 1000).value().Disposition_;
 }
 
-TEST(RequestRetryTest, OnlyTheSameAskerIsToldRunAgain) {
+TEST(RequestRetryTest, OnlyTheSameCallerIsToldRunAgain) {
   RequestRecords Records{RecordLimits()};
   EXPECT_EQ(beginRequest(Records, 1), RequestDisposition::Run);
   EXPECT_EQ(beginRequest(Records, 1), RequestDisposition::Run);
@@ -31,13 +31,13 @@
   EXPECT_EQ(Records.records().begin()->second.Attempt_, 1U);
 }
 
-TEST(RequestRetryTest, WithoutANonceNobodyIsToldRunAgain) {
+TEST(RequestRetryTest, WithoutANonceNoRetryIsToldRunAgain) {
   RequestRecords Records{RecordLimits()};
   EXPECT_EQ(beginRequest(Records, 0), RequestDisposition::Run);
   EXPECT_EQ(beginRequest(Records, 0), RequestDisposition::Running);
 }
 
-TEST(RequestRetryTest, ALateCopyBeginsNothingAfterTheAskerGaveItBack) {
+TEST(RequestRetryTest, ADelayedCopyBeginsNothingAfterTheCallerAbandonedIt) {
   RequestRecords Records{RecordLimits()};
   beginRequest(Records, 1);
   EXPECT_TRUE(Records.abandon({RequestKey("k"), 1}, 1000));
@@ -46,7 +46,7 @@
   EXPECT_EQ(Records.records().begin()->second.Attempt_, 2U);
 }
 
-TEST(RequestRetryTest, ALateCopyAfterTheEndIsToldTheEnd) {
+TEST(RequestRetryTest, ADelayedCopyAfterTheEndIsReplayed) {
   RequestRecords Records{RecordLimits()};
   beginRequest(Records, 1);
   Records.finish({RequestKey("k"), 1, wire::StoredAnswer{200, "", "x"}}, 1000);
--- a/tests/datacentre/ServerTrackerTest.cpp
+++ b/tests/datacentre/ServerTrackerTest.cpp
@@ -27,7 +27,7 @@
     Tracker_.onProposalDone(Value);
     return Result;
   }
-  /// Announces, and applies what is proposed if Apply.
+  /// Sends an announcement. Applies the resulting proposals if Apply is set.
   AnnouncementResult announce(bool Apply = true) {
     ++Announcement_.Sequence_;
     return resend(Apply);
@@ -51,7 +51,8 @@
     Announcement_.Attempts_ = {{Task_, State_.findTask(Task_)->Attempt_, Token_,
                                 State, Checkpoint, "", Resources{}, 0, 0}};
   }
-  /// Registered, placed, started and shown as running.
+  /// Registers the server, then places and starts the task and reports it as
+  /// running.
   void startRunning() {
     announce();
     place();
@@ -98,7 +99,7 @@
   EXPECT_EQ(announce().Proposals_.size(), 0u);
 }
 
-TEST_F(ServerTrackerTest, RepeatsAStartUntilItIsShownAndThenRenews) {
+TEST_F(ServerTrackerTest, RepeatsAStartUntilItIsReportedAndThenRenews) {
   announce();
   place();
   for (int I = 0; I < 2; ++I) {
@@ -133,23 +134,23 @@
   }
 }
 
-TEST_F(ServerTrackerTest, ProposesAReportedEndOnceUntilItIsDone) {
+TEST_F(ServerTrackerTest, ProposesAReportedEndOnceUntilTheProposalIsResolved) {
   startRunning();
   reportAttempt(AttemptState::Checkpointed, "here");
   const AnnouncementResult First = announce(false);
   ASSERT_EQ(First.Proposals_.size(), 1u);
   EXPECT_TRUE(announce(false).Proposals_.empty());
-  Tracker_.onProposalDone(First.Proposals_[0]); // Lost on the way.
+  Tracker_.onProposalDone(First.Proposals_[0]); // The proposal was lost.
   ASSERT_EQ(announce().Proposals_.size(), 1u);
   const TaskRecord &Record = *State_.findTask(Task_);
   EXPECT_EQ(Record.State_, TaskState::Waiting);
   EXPECT_EQ(Record.Checkpoint_, "here");
   EXPECT_EQ(Record.Evictions_, 1u);
-  // Its server may forget it now.
+  // The server may forget the attempt now.
   EXPECT_EQ(listKinds(announce()), Kinds{TaskCommandKind::Stop});
 }
 
-TEST_F(ServerTrackerTest, ResumesFromTheCheckpointThatWasShownLast) {
+TEST_F(ServerTrackerTest, ResumesFromTheLastReportedCheckpoint) {
   startRunning();
   reportAttempt(AttemptState::Running, "latest");
   announce();
@@ -165,7 +166,7 @@
   EXPECT_EQ(Result.Reply_.Commands_[0].Checkpoint_, "latest");
 }
 
-TEST_F(ServerTrackerTest, AsksForCheckpointsAndRepeatsThrottling) {
+TEST_F(ServerTrackerTest, RequestsCheckpointsAndRepeatsThrottling) {
   startRunning();
   const AttemptNumber First(1);
   Tracker_.attempts().setThrottle(Task_, First, 40);
@@ -193,7 +194,7 @@
   EXPECT_EQ(State_.findTask(Task_)->State_, TaskState::Cancelled);
 }
 
-TEST_F(ServerTrackerTest, ALeavingServerStartsNothingAndIsNotRoutable) {
+TEST_F(ServerTrackerTest, ADrainingServerStartsNothingAndIsNotRoutable) {
   announce();
   place();
   EXPECT_TRUE(
@@ -203,13 +204,13 @@
   EXPECT_TRUE(listKinds(Result).empty());
   EXPECT_FALSE(
       Tracker_.isRoutable(*State_.findServer(Announcement_.Server_), Now_))
-      << "at once, not only when it is committed";
+      << "immediately, not only after the commit";
   for (const Command &Proposal : Result.Proposals_)
     apply(Proposal);
   EXPECT_EQ(State_.findTask(Task_)->State_, TaskState::Waiting);
 }
 
-TEST_F(ServerTrackerTest, SilenceTakesAServerOutOfRoutingWithinTwoSeconds) {
+TEST_F(ServerTrackerTest, ASilentServerLeavesRoutingWithinTwoSeconds) {
   announce();
   const ServerRecord &Server = *State_.findServer(Announcement_.Server_);
   const Duration EntryReport = milliseconds(500);
@@ -224,19 +225,21 @@
   Now_ += Settings_.ForgetAfter_;
   const auto Proposals = Tracker_.onTick(State_, Now_);
   ASSERT_EQ(Proposals.size(), 1u);
-  EXPECT_TRUE(Tracker_.onTick(State_, Now_).empty()) << "proposed once";
+  EXPECT_TRUE(Tracker_.onTick(State_, Now_).empty()) << "proposed only once";
   apply(Proposals[0]);
   EXPECT_TRUE(State_.servers().empty());
 }
 
-TEST_F(ServerTrackerTest, AnotherBootWaitsForSilenceAndForLeases) {
+TEST_F(ServerTrackerTest, AnotherBootIsRegisteredAfterSilenceAndLeaseExpiry) {
   startRunning();
   Announcement_.Attempts_.clear();
   Announcement_.Boot_ = BootId("b2");
   Announcement_.Sequence_ = 0;
-  EXPECT_FALSE(announce(false).IsNewest_) << "the other one was heard just now";
+  EXPECT_FALSE(announce(false).IsNewest_)
+      << "the other boot sent a recent announcement";
   Now_ += Settings_.SilentAfter_;
-  EXPECT_TRUE(announce(false).Proposals_.empty()) << "its lease still runs";
+  EXPECT_TRUE(announce(false).Proposals_.empty())
+      << "the lease of its attempt has not expired";
   Now_ += Settings_.Leases_.getMaxRunTime();
   EXPECT_EQ(announce().Proposals_.size(), 1u);
   EXPECT_EQ(State_.findTask(Task_)->Losses_, 1u);
@@ -244,7 +247,7 @@
 
 TEST_F(ServerTrackerTest, ABootIsNotServedWhileAnotherIsBeingRegistered) {
   announce();
-  place(); // Never started, so nothing of it can run.
+  place(); // The attempt was never started, so it cannot run.
   const wire::Announcement Old = Announcement_;
   Announcement_.Boot_ = BootId("b2");
   Announcement_.Sequence_ = 0;
@@ -253,10 +256,10 @@
   Now_ += Settings_.SilentAfter_;
   Announcement_ = Old;
   EXPECT_TRUE(listKinds(announce(false)).empty())
-      << "started, then ended as lost";
+      << "it would be started and then end as lost";
 }
 
-TEST_F(ServerTrackerTest, AnotherLedgerOfTheSameTermWaitsForLeasesOfTheFirst) {
+TEST_F(ServerTrackerTest, AnotherTrackerOfTheSameTermWaitsForEarlierLeases) {
   startRunning();
   ServerTracker Next(Settings_, 1, Now_, State_);
   EXPECT_TRUE(Next.onTick(State_, Now_ + Settings_.SilentAfter_).empty());
--- a/tests/datacentre/SlotAllocatorTest.cpp
+++ b/tests/datacentre/SlotAllocatorTest.cpp
@@ -25,17 +25,17 @@
     ASSERT_EQ(Simulation.Changes_ > 2, Faults.LeaderChanges_);
     Sent += Simulation.Sent_;
     Full += Simulation.FullSteps_;
-    EXPECT_GT(Simulation.Brief_, 5);
+    EXPECT_GT(Simulation.BriefReports_, 5);
   }
   EXPECT_GT(Sent, 2000);
-  EXPECT_GT(Full, 200) << "slots lie idle";
+  EXPECT_GT(Full, 200) << "free slots are not granted";
   RecordProperty("sent", Sent);
   RecordProperty("full", Full);
 }
 
 INSTANTIATE_TEST_SUITE_P(Faults, SlotFaultMatrix, testing::Range(0u, 32u));
 
-/// Entries that take every reply at once.
+/// Tests with entries that accept every reply at once.
 class SlotAllocatorTest : public testing::Test {
 protected:
   void addServers(int Count, std::uint32_t Slots, std::uint32_t Connections) {
@@ -112,7 +112,7 @@
   reportAll(9, 12);
   for (int Round = 0; Round < 60; ++Round) {
     for (wire::GrantHeld &Grant : Reports_[0].Grants_)
-      Grant.InFlight_ = Grant.Slots_; // Wants more than it ever gets.
+      Grant.InFlight_ = Grant.Slots_; // Entry wants more than it ever gets.
     reportAll(9, 1);
   }
   EXPECT_GT(countSlots(0), 200u);
@@ -134,7 +134,7 @@
     EXPECT_EQ(Reports_[Entry].Grants_[5].Slots_, 0u);
 }
 
-TEST_F(SlotAllocatorTest, ANewLeaderMovesNoSharesOfEntriesThatGoOn) {
+TEST_F(SlotAllocatorTest, ANewLeaderKeepsTheSharesOfContinuingEntries) {
   addServers(48, 8, 64);
   reportAll(9, 12);
   const auto Before = Reports_;
@@ -145,13 +145,13 @@
     EXPECT_EQ(Reports_[Entry].Grants_, Before.at(Entry).Grants_);
 }
 
-TEST_F(SlotAllocatorTest, ABriefReportCountsByTheTable) {
+TEST_F(SlotAllocatorTest, ABriefReportIsReadInTableOrder) {
   addServers(3, 8, 8);
   reportAll(1, 3);
   wire::EntryReport Brief = Reports_[0];
   Brief.Brief_ = true;
   Brief.Grants_.clear();
-  Brief.InFlight_ = {0, 3}; // The third server's is left out.
+  Brief.InFlight_ = {0, 3}; // The number of the third server is left out.
   for (int Round = 0; Round < 9; ++Round)
     EXPECT_FALSE(Allocator_->onReport(Brief, {Now_, true}).value().SendFull_);
   EXPECT_NEAR(Allocator_->listEntries(Now_)[0].InFlight_, 3, 0.2);
@@ -173,8 +173,8 @@
   EXPECT_EQ(Reports_[0].Grants_, Before.at(0).Grants_);
 }
 
-/// Entry 0 dies with requests in flight and comes back as another process,
-/// which reports so many rounds later.
+/// Entry 0 dies with requests in flight and is replaced by another process,
+/// which sends its first report after the given number of rounds.
 class ReplacedEntryTest : public SlotAllocatorTest,
                           public testing::WithParamInterface<int> {
 protected:
@@ -198,7 +198,7 @@
   }
 };
 
-TEST_P(ReplacedEntryTest, GetsPartOfWhatTheLiveOnesHoldWithinAFewReports) {
+TEST_P(ReplacedEntryTest, GetsPartOfTheActiveEntriesSlotsWithinAFewReports) {
   addServers(3, 4, 16);
   reportAll(2, 12);
   replaceEntry0();
@@ -207,15 +207,16 @@
     expectNoOvercommit();
   }
   EXPECT_GE(countSlots(0), 1u);
-  reportAll(2, 8); // By now the dead one's grant is over for sure.
+  reportAll(2, 8); // The grant of the dead entry has expired by now.
   for (const int Entry : {0, 1})
     for (const wire::GrantHeld &Grant : Reports_[Entry].Grants_) {
-      EXPECT_EQ(Grant.Slots_, 1u) << "half of the two that are not the dead's";
+      EXPECT_EQ(Grant.Slots_, 1u)
+          << "half of the two slots that the dead entry does not hold";
       EXPECT_EQ(Grant.Connections_, 4u);
     }
 }
 
-TEST_P(ReplacedEntryTest, GetsASlotEvenIfThereIsOnlyOneToEachLiveEntry) {
+TEST_P(ReplacedEntryTest, GetsASlotEvenIfEachActiveEntryHasOnlyOne) {
   addServers(2, 2, 2);
   reportAll(2, 12);
   replaceEntry0();
@@ -225,7 +226,7 @@
   EXPECT_EQ(countSlots(1), 1u);
 }
 
-TEST_P(ReplacedEntryTest, GetsItsWholeShareOnceTheDeadOnesRequestsAreOver) {
+TEST_P(ReplacedEntryTest, GetsItsFullShareOnceTheDeadEntrysRequestsExpired) {
   addServers(3, 4, 16);
   reportAll(2, 12);
   replaceEntry0();
@@ -237,12 +238,12 @@
 
 INSTANTIATE_TEST_SUITE_P(BackAfter, ReplacedEntryTest, testing::Values(0, 10));
 
-TEST_F(SlotAllocatorTest, AfterAnElectionANewcomerGetsPartOfWhatIsLeft) {
+TEST_F(SlotAllocatorTest, AfterAnElectionANewEntryGetsPartOfTheFreeSlots) {
   addServers(3, 4, 16);
   reportAll(2, 12);
   Allocator_ =
       std::make_unique<SlotAllocator>(SlotSettings{}, 2, Now_, Servers_);
-  Reports_[0] = {}; // The half that it had is in the account of nobody known.
+  Reports_[0] = {}; // Its half is now allocated to no known entry.
   Reports_[0].Incarnation_ = 2;
   reportAll(2, 12);
   EXPECT_EQ(countSlots(0), 3u);
@@ -251,7 +252,7 @@
   EXPECT_EQ(countSlots(0) + countSlots(1), 12u);
 }
 
-TEST_F(SlotAllocatorTest, GoneEntriesAreNamedOnceTheirReportsEnded) {
+TEST_F(SlotAllocatorTest, EntriesAreExpiredOnceTheirReportsEnded) {
   addServers(1, 8, 8);
   report(0);
   RequestRecords Records{RecordLimits{}};
@@ -265,13 +266,13 @@
   report(0);
   Now_ += std::chrono::milliseconds(200);
   const auto Gone = Allocator_->findExpiredEntries(Records, Now_);
-  ASSERT_EQ(Gone.size(), 1u) << "one that this leader never heard";
+  ASSERT_EQ(Gone.size(), 1u) << "the entry that never reported to this leader";
   EXPECT_EQ(Gone[0], (EndEntry{EntryId("7"), 1}));
   Now_ += std::chrono::seconds(4);
   EXPECT_EQ(Allocator_->findExpiredEntries(Records, Now_).size(), 2u);
 }
 
-/// Reports written by hand, as delays and repeats make them arrive.
+/// Sends reports as delays and repeated messages make them arrive.
 class ReorderedReportTest : public testing::Test {
 protected:
   wire::EntryReportReply sendReport(const std::string &Entry,
@@ -293,41 +294,49 @@
   const SlotServer Server_{BackendServerId("s"), BootId("b"), "a",
                            {ServiceId("v")},     8,           8};
   TimePoint Now_{std::chrono::hours(1)};
-  /// Of the second term: the server was shared before.
+  /// The allocator is of the second term, so the server was shared before.
   SlotAllocator Allocator_{SlotSettings{}, 2, Now_, {Server_}};
 };
 
-TEST_F(ReorderedReportTest, OneFromBeforeAStopDoesNotLowerTheAccount) {
+TEST_F(ReorderedReportTest, AReportFromBeforeAStopDoesNotLowerTheAllocation) {
   const auto First = sendReport("a", 5, 4).RoutesVersion_;
-  EXPECT_EQ(countAllocated(), 12u) << "its own and all that is not known yet";
+  EXPECT_EQ(countAllocated(), 12u)
+      << "its own slots and all earlier grants not known yet";
   sendReport("a", First, 4);
   EXPECT_EQ(countAllocated(), 8u);
   sendReport("a", First, 4, 3, true);
   EXPECT_EQ(countAllocated(), 4u + 3u);
-  sendReport("a", First, 4, 0, false); // Was sent before the three requests.
+  sendReport("a", First, 4, 0,
+             false); // This report was sent before the three requests.
   EXPECT_EQ(countAllocated(), 4u + 3u);
 }
 
-TEST_F(ReorderedReportTest, OnlyGrantsOfEarlierLeadersLeaveTheUnknownAccount) {
+TEST_F(ReorderedReportTest,
+       OnlyGrantsOfEarlierLeadersReduceTheUnknownAllocation) {
   const auto First = sendReport("a", 5, 4).RoutesVersion_;
   sendReport("a", First, 4);
   sendReport("a", First, 4, 0, true);
-  ASSERT_EQ(countAllocated(), 4u) << "what nobody has shown yet";
+  ASSERT_EQ(countAllocated(), 4u)
+      << "the earlier grants that no entry has reported";
   const auto Given = sendReport("b", 0, 0);
   ASSERT_EQ(Given.Routes_->at(0).Slots_, 4u);
-  sendReport("b", 0, 0); // A copy, so that b's table is not the latest.
+  sendReport("b", 0,
+             0); // The copy makes the table of the first reply outdated.
   const auto Again = sendReport("b", Given.RoutesVersion_, 4);
   sendReport("b", Again.RoutesVersion_, 4);
-  EXPECT_EQ(countAllocated(), 8u) << "b's four were not of an earlier leader";
+  EXPECT_EQ(countAllocated(), 8u)
+      << "the four slots of b were not granted by an earlier leader";
 }
 
-TEST_F(ReorderedReportTest, AStaleReportOfMoreInFlightIsNoGroundToGrantIt) {
+TEST_F(ReorderedReportTest, AStaleReportOfMoreRequestsInFlightGrantsNothing) {
   std::uint64_t Version = sendReport("a", 5, 4).RoutesVersion_;
   sendReport("a", Version, 4);
-  Now_ += std::chrono::minutes(1); // Earlier grants and a's own are over.
+  Now_ += std::chrono::minutes(
+      1); // Earlier grants and the grant of a have expired.
   sendReport("b", 0, 0);
   Version = sendReport("a", 0, 0).RoutesVersion_;
-  Now_ += std::chrono::seconds(4); // b's grant ran out, its requests may run.
+  Now_ += std::chrono::seconds(
+      4); // The grant of b has expired, but its requests may run.
   const auto Before = sendReport("a", Version, 0);
   const auto Now = sendReport("a", Before.RoutesVersion_, 0);
   const auto After = sendReport("a", Now.RoutesVersion_, 0, 8);
@@ -336,17 +345,17 @@
     return R.Routes_ ? R.Routes_->at(0).Slots_ : Default;
   };
   const std::uint32_t Held = FindSlots(Now, FindSlots(Before, 0));
-  EXPECT_LT(Held, 8u) << "b's part is not free yet";
+  EXPECT_LT(Held, 8u) << "the slots of b are not free yet";
   EXPECT_EQ(FindSlots(After, Held), Held);
 }
 
-TEST_F(ReorderedReportTest, WhatAStoppingEntryShowsMayBeOthersAlready) {
+TEST_F(ReorderedReportTest, SlotsReportedByAStoppingEntryMayBeGrantedToOthers) {
   const auto First = sendReport("a", 5, 4, 1, true).RoutesVersion_;
   sendReport("a", First, 4, 1, true);
   EXPECT_EQ(countAllocated(), 8u + 1u);
 }
 
-TEST_F(ReorderedReportTest, AnEntryThatWasMeasuredAsDoneNeedsANewTable) {
+TEST_F(ReorderedReportTest, AnEntryMeasuredAsIdleNeedsANewTable) {
   const auto First = sendReport("a", 5, 8).RoutesVersion_;
   sendReport("a", First, 8);
   ASSERT_EQ(countAllocated(), 8u);
@@ -359,7 +368,7 @@
   EXPECT_EQ(countAllocated(), 8u);
 }
 
-TEST_F(ReorderedReportTest, AMeasureFreesOnlyWhatRanOutBeforeIt) {
+TEST_F(ReorderedReportTest, AMeasurementFreesOnlyGrantsThatExpiredBeforeIt) {
   Allocator_.applyUsageSample(Server_.Server_, 1,
                               Now_ + std::chrono::seconds(1));
   EXPECT_EQ(countAllocated(), 8u);
@@ -368,14 +377,15 @@
   EXPECT_EQ(countAllocated(), 1u);
 }
 
-TEST_F(ReorderedReportTest, AMeasureIsNotLoweredByWhatWasGivenUpBeforeIt) {
+TEST_F(ReorderedReportTest, AMeasurementIsNotReducedByGrantsReplacedBeforeIt) {
   sendReport("a", 5, 4);
   Now_ += std::chrono::seconds(1);
   const auto First = sendReport("a", 5, 4).RoutesVersion_;
   Now_ += std::chrono::milliseconds(2100);
   Allocator_.applyUsageSample(Server_.Server_, 4,
-                              Now_); // Of an entry that died.
-  EXPECT_FALSE(sendReport("a", First, 4).Routes_) << "the other four still run";
+                              Now_); // The requests are of an entry that died.
+  EXPECT_FALSE(sendReport("a", First, 4).Routes_)
+      << "requests still occupy the other four slots";
   EXPECT_EQ(countAllocated(), 4u + 4u);
 }
 
@@ -393,7 +403,7 @@
   EXPECT_EQ(countAllocated(), 4u + 5u);
 }
 
-TEST_F(ReorderedReportTest, AnotherLedgerOfTheSameTermUsesOtherVersions) {
+TEST_F(ReorderedReportTest, AnotherAllocatorOfTheSameTermUsesOtherVersions) {
   const auto First = sendReport("a", 5, 4).RoutesVersion_;
   SlotAllocator Next(SlotSettings{}, 2, Now_ + std::chrono::seconds(1),
                      {Server_});
--- a/tests/datacentre/SlotSimulation.cpp
+++ b/tests/datacentre/SlotSimulation.cpp
@@ -50,15 +50,15 @@
   auto Next = std::make_unique<Leader>();
   Next->Clock_ = makeClock();
   const std::uint64_t Term = Leaders_.size() + 1;
-  // The first one starts with servers that nobody knew before.
+  // No earlier leader shared the servers of the first leader.
   Next->Allocator_ = std::make_unique<SlotAllocator>(
       Settings_, Term, Next->Clock_.at(RealTime_),
       Term == 1 ? std::vector<SlotServer>() : Servers_);
   for (const SlotServer &Info : Servers_)
     Next->Allocator_->upsertServer(Info);
-  for (const auto &Each : Entries_)
+  for (const auto &Process : Entries_)
     if (Faults_.LateReplies_ && pick(3) == 0)
-      Each->OldLeaderUntil_ = RealTime_ + milliseconds(pick(800));
+      Process->OldLeaderUntil_ = RealTime_ + milliseconds(pick(800));
   Changes_ += Term > 1;
   NextElection_ = RealTime_ + milliseconds(200 + pick(1500));
   Leaders_.push_back(std::move(Next));
@@ -77,137 +77,139 @@
     Messages_.push_back({RealTime_ + milliseconds(pick(MaxDelay)), Deliver});
 }
 
-std::uint32_t SlotSimulation::countActiveRequests(const Entry &Of,
+std::uint32_t SlotSimulation::countActiveRequests(const Entry &Process,
                                                   std::size_t Server) const {
   return std::count_if(
-      Of.ActiveRequests_.begin(), Of.ActiveRequests_.end(),
+      Process.ActiveRequests_.begin(), Process.ActiveRequests_.end(),
       [&](const ActiveRequest &Request) { return Request.Server_ == Server; });
 }
 
-void SlotSimulation::report(const std::shared_ptr<Entry> &From) {
+void SlotSimulation::report(const std::shared_ptr<Entry> &Process) {
   wire::EntryReport Report;
-  Report.Entry_ = From->Id_;
-  Report.Incarnation_ = From->Incarnation_;
-  Report.RoutesHeld_ = From->Version_;
-  Report.Stopping_ = From->Stopping_;
+  Report.Entry_ = Process->Id_;
+  Report.Incarnation_ = Process->Incarnation_;
+  Report.RoutesHeld_ = Process->Version_;
+  Report.Stopping_ = Process->Stopping_;
   for (std::size_t S = 0; S < Servers_.size(); ++S) {
-    const SlotAmount &Has = From->Granted_[S];
-    const std::uint32_t ActiveCount = countActiveRequests(*From, S);
-    if (Has.Slots_ + ActiveCount > 0)
+    const SlotAmount &Grant = Process->Granted_[S];
+    const std::uint32_t ActiveCount = countActiveRequests(*Process, S);
+    if (Grant.Slots_ + ActiveCount > 0)
       Report.Grants_.push_back({Servers_[S].Server_, Servers_[S].Boot_,
-                                Has.Slots_, Has.Connections_, ActiveCount});
+                                Grant.Slots_, Grant.Connections_, ActiveCount});
   }
-  if (From->Version_ != 0 && From->KnownVersion_ == From->Version_ &&
-      !From->Stopping_)
-    makeBriefReport(*From, Report);
-  const bool Old = RealTime_ < From->OldLeaderUntil_ && Leaders_.size() > 1;
+  if (Process->Version_ != 0 && Process->KnownVersion_ == Process->Version_ &&
+      !Process->Stopping_)
+    makeBriefReport(*Process, Report);
+  const bool Old = RealTime_ < Process->OldLeaderUntil_ && Leaders_.size() > 1;
   Leader &Recipient = *Leaders_[Leaders_.size() - (Old ? 2 : 1)];
-  const TimePoint SentAt = From->Clock_.at(RealTime_);
-  send([this, &Recipient, Report, From,
-        SentAt] { onReport(Recipient, Report, From, SentAt); },
+  const TimePoint SentAt = Process->Clock_.at(RealTime_);
+  send([this, &Recipient, Report, Process,
+        SentAt] { onReport(Recipient, Report, Process, SentAt); },
        false);
 }
 
-void SlotSimulation::makeBriefReport(const Entry &From,
+void SlotSimulation::makeBriefReport(const Entry &Process,
                                      wire::EntryReport &Report) {
-  ++Brief_;
+  ++BriefReports_;
   Report.Brief_ = true;
   Report.Grants_.clear();
-  for (const std::size_t S : From.Order_)
-    wire::appendNumber(Report.InFlight_, countActiveRequests(From, S));
+  for (const std::size_t S : Process.Order_)
+    wire::appendNumber(Report.InFlight_, countActiveRequests(Process, S));
   for (std::size_t S = 0; S < Servers_.size(); ++S)
-    if (std::count(From.Order_.begin(), From.Order_.end(), S) == 0 &&
-        countActiveRequests(From, S) > 0)
+    if (std::count(Process.Order_.begin(), Process.Order_.end(), S) == 0 &&
+        countActiveRequests(Process, S) > 0)
       Report.Grants_.push_back({Servers_[S].Server_, Servers_[S].Boot_, 0, 0,
-                                countActiveRequests(From, S)});
+                                countActiveRequests(Process, S)});
 }
 
 void SlotSimulation::onReport(Leader &Receiver, const wire::EntryReport &Report,
-                              const std::shared_ptr<Entry> &From,
+                              const std::shared_ptr<Entry> &Process,
                               TimePoint SentAt) {
   const LeadershipCheck Check{Receiver.Clock_.at(RealTime_),
                               RealTime_ < Receiver.LeadsUntil_};
   const auto Reply = Receiver.Allocator_->onReport(Report, Check);
   if (!Reply)
     return;
-  send([this, From, Held = Report.RoutesHeld_, Value = Reply.value(),
-        SentAt] { onReply(*From, Value, Held, SentAt); },
+  send([this, Process, VersionAtSend = Report.RoutesHeld_,
+        Value = Reply.value(),
+        SentAt] { onReply(*Process, Value, VersionAtSend, SentAt); },
        true);
 }
 
-void SlotSimulation::onReply(Entry &To, const wire::EntryReportReply &Reply,
+void SlotSimulation::onReply(Entry &Process,
+                             const wire::EntryReportReply &Reply,
                              std::uint64_t VersionAtSend, TimePoint SentAt) {
   const TimePoint End = SentAt + milliseconds(Reply.GrantTtlMs_);
-  To.KnownVersion_ = Reply.SendFull_ ? 0 : Reply.RoutesVersion_;
-  if (To.Version_ != VersionAtSend || To.Clock_.at(RealTime_) >= End)
+  Process.KnownVersion_ = Reply.SendFull_ ? 0 : Reply.RoutesVersion_;
+  if (Process.Version_ != VersionAtSend || Process.Clock_.at(RealTime_) >= End)
     return;
   if (!Reply.Routes_) {
-    if (Reply.RoutesVersion_ == To.Version_ && To.Version_ != 0)
-      To.GrantEnd_ = std::max(To.GrantEnd_, End);
+    if (Reply.RoutesVersion_ == Process.Version_ && Process.Version_ != 0)
+      Process.GrantEnd_ = std::max(Process.GrantEnd_, End);
     return;
   }
-  if (Reply.RoutesVersion_ < To.HighestVersion_)
+  if (Reply.RoutesVersion_ < Process.HighestVersion_)
     return;
-  To.Version_ = Reply.RoutesVersion_;
-  To.HighestVersion_ = To.Version_;
-  To.GrantEnd_ = End;
-  To.Granted_.assign(Servers_.size(), {});
-  To.Order_.clear();
+  Process.Version_ = Reply.RoutesVersion_;
+  Process.HighestVersion_ = Process.Version_;
+  Process.GrantEnd_ = End;
+  Process.Granted_.assign(Servers_.size(), {});
+  Process.Order_.clear();
   for (const wire::Route &Route : *Reply.Routes_)
     for (std::size_t S = 0; S < Servers_.size(); ++S)
       if (Servers_[S].Server_ == Route.Server_) {
-        To.Granted_[S] = {Route.Slots_, Route.Connections_};
-        To.Order_.push_back(S);
+        Process.Granted_[S] = {Route.Slots_, Route.Connections_};
+        Process.Order_.push_back(S);
       }
 }
 
 void SlotSimulation::stepEntry(std::size_t Number) {
-  std::shared_ptr<Entry> &Each = Entries_[Number];
-  std::erase_if(Each->ActiveRequests_,
+  std::shared_ptr<Entry> &Process = Entries_[Number];
+  std::erase_if(Process->ActiveRequests_,
                 [&](const ActiveRequest &S) { return S.Until_ <= RealTime_; });
-  if (Each->Clock_.at(RealTime_) >= Each->GrantEnd_) {
-    Each->Version_ = 0;
-    Each->Granted_.assign(Servers_.size(), {});
+  if (Process->Clock_.at(RealTime_) >= Process->GrantEnd_) {
+    Process->Version_ = 0;
+    Process->Granted_.assign(Servers_.size(), {});
   }
   if (pick(8) == 0)
-    report(Each);
+    report(Process);
   const std::size_t Server = pick(3);
-  const std::uint32_t Slots = Each->Granted_[Server].Slots_;
-  // Load comes and goes by entry.
+  const std::uint32_t Slots = Process->Granted_[Server].Slots_;
+  // Each entry alternates between load and idle time.
   const bool Busy = (RealTime_ / milliseconds(900) + Number) % 3 != 0;
-  while (Busy && !Each->Stopping_ &&
-         countActiveRequests(*Each, Server) < Slots) {
+  while (Busy && !Process->Stopping_ &&
+         countActiveRequests(*Process, Server) < Slots) {
     const bool Longest = pick(3) == 0;
     const Duration Runs =
         Longest ? Settings_.MaxRequest_ : Duration(milliseconds(pick(100)));
-    Each->ActiveRequests_.push_back(
-        {Server, RealTime_ + scale(Runs, 1 / Each->Clock_.Rate_)});
+    Process->ActiveRequests_.push_back(
+        {Server, RealTime_ + scale(Runs, 1 / Process->Clock_.Rate_)});
     ++Sent_;
   }
   if (!Faults_.Deaths_)
     return;
-  Each->Stopping_ |= pick(800) == 0;
-  const bool Stopped = Each->Stopping_ && Each->ActiveRequests_.empty();
+  Process->Stopping_ |= pick(800) == 0;
+  const bool Stopped = Process->Stopping_ && Process->ActiveRequests_.empty();
   if (!Stopped && pick(400) != 0)
     return;
-  Orphans_.insert(Orphans_.end(), Each->ActiveRequests_.begin(),
-                  Each->ActiveRequests_.end());
-  Each = makeEntry(static_cast<int>(Number));
+  Orphans_.insert(Orphans_.end(), Process->ActiveRequests_.begin(),
+                  Process->ActiveRequests_.end());
+  Process = makeEntry(static_cast<int>(Number));
 }
 
-/// A server says how many requests it runs.
+/// Sends the number of requests that one server runs to the leader.
 void SlotSimulation::sendUsageSample() {
   const std::size_t S = pick(3);
   std::uint32_t Busy = std::count_if(
       Orphans_.begin(), Orphans_.end(), [&](const ActiveRequest &Request) {
         return Request.Server_ == S && Request.Until_ > RealTime_;
       });
-  for (const auto &Each : Entries_)
-    Busy += countActiveRequests(*Each, S);
-  Leader &To = *Leaders_.back();
+  for (const auto &Process : Entries_)
+    Busy += countActiveRequests(*Process, S);
+  Leader &Recipient = *Leaders_.back();
   send(
-      [this, &To, S, Busy, At = To.Clock_.at(RealTime_)] {
-        To.Allocator_->applyUsageSample(Servers_[S].Server_, Busy, At);
+      [this, &Recipient, S, Busy, At = Recipient.Clock_.at(RealTime_)] {
+        Recipient.Allocator_->applyUsageSample(Servers_[S].Server_, Busy, At);
       },
       false);
 }
@@ -219,13 +221,14 @@
     for (const ActiveRequest &Request : Orphans_)
       Sum.Slots_ += Request.Server_ == S && Request.Until_ > RealTime_;
     Sum.Connections_ = Sum.Slots_;
-    for (const auto &Each : Entries_) {
-      const std::uint32_t ActiveCount = countActiveRequests(*Each, S);
-      const SlotAmount &Has = Each->Granted_[S];
-      Sum.Slots_ += std::max(ActiveCount, Each->Stopping_ ? 0 : Has.Slots_);
+    for (const auto &Process : Entries_) {
+      const std::uint32_t ActiveCount = countActiveRequests(*Process, S);
+      const SlotAmount &Grant = Process->Granted_[S];
+      Sum.Slots_ +=
+          std::max(ActiveCount, Process->Stopping_ ? 0 : Grant.Slots_);
       Sum.Connections_ +=
-          std::max(ActiveCount, Each->Stopping_ ? 0 : Has.Connections_);
-      Granted += Has.Slots_;
+          std::max(ActiveCount, Process->Stopping_ ? 0 : Grant.Connections_);
+      Granted += Grant.Slots_;
     }
     if (Sum.Slots_ > Servers_[S].Slots_ ||
         Sum.Connections_ > Servers_[S].Connections_)
--- a/tests/datacentre/SlotSimulation.h
+++ b/tests/datacentre/SlotSimulation.h
@@ -1,7 +1,7 @@
 //===- SlotSimulation.h - Simulates slot grants under faults ----*- C++ -*-===//
 //
-// One seeded schedule of entries that send requests under granted slots. The
-// entries keep the rules of SlotAllocator.h.
+// Runs one seeded schedule of entries that send requests under granted slots
+// and follow the rules in SlotAllocator.h.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,8 +19,8 @@
 
 struct SlotFaults {
   bool LeaderChanges_ = false;
-  bool LateReplies_ = false; ///< And entries that see only an old leader.
-  bool Deaths_ = false;      ///< Of entries; and planned stops.
+  bool LateReplies_ = false; ///< Some entries also reach only an old leader.
+  bool Deaths_ = false;      ///< Entries die or stop.
   bool Drift_ = false;
   bool Disorder_ = false;
 };
@@ -32,8 +32,8 @@
 
   int Sent_ = 0;
   int Changes_ = 0;
-  int Brief_ = 0;     ///< Reports.
-  int FullSteps_ = 0; ///< Steps in which every slot of a server was granted.
+  int BriefReports_ = 0; ///< Brief reports sent.
+  int FullSteps_ = 0;    ///< Steps in which every slot of a server was granted.
 
 private:
   struct ActiveRequest {
@@ -46,11 +46,11 @@
     DriftingClock Clock_;
     bool Stopping_ = false;
     std::uint64_t Version_ = 0;
-    std::uint64_t HighestVersion_ = 0; ///< Ever taken.
+    std::uint64_t HighestVersion_ = 0; ///< The highest version accepted.
     TimePoint GrantEnd_;
     std::vector<SlotAmount> Granted_;
-    std::vector<std::size_t> Order_; ///< Of the table, for brief reports.
-    std::uint64_t KnownVersion_ = 0; ///< Of the last reply.
+    std::vector<std::size_t> Order_; ///< Servers in table order.
+    std::uint64_t KnownVersion_ = 0; ///< Version in the last reply.
     std::vector<ActiveRequest> ActiveRequests_;
     Duration OldLeaderUntil_{};
   };
@@ -69,14 +69,15 @@
   std::shared_ptr<Entry> makeEntry(int Number);
   void elect();
   void send(std::function<void()> Deliver, bool FromLeader);
-  void makeBriefReport(const Entry &From, wire::EntryReport &Report);
-  void report(const std::shared_ptr<Entry> &From);
+  void makeBriefReport(const Entry &Process, wire::EntryReport &Report);
+  void report(const std::shared_ptr<Entry> &Process);
   void onReport(Leader &At, const wire::EntryReport &Report,
-                const std::shared_ptr<Entry> &From, TimePoint SentAt);
-  void onReply(Entry &To, const wire::EntryReportReply &Reply,
+                const std::shared_ptr<Entry> &Process, TimePoint SentAt);
+  void onReply(Entry &Process, const wire::EntryReportReply &Reply,
                std::uint64_t VersionAtSend, TimePoint SentAt);
   void stepEntry(std::size_t Number);
-  std::uint32_t countActiveRequests(const Entry &Of, std::size_t Server) const;
+  std::uint32_t countActiveRequests(const Entry &Process,
+                                    std::size_t Server) const;
   void sendUsageSample();
   std::string check();
 
@@ -86,7 +87,7 @@
   SlotSettings Settings_;
   std::vector<SlotServer> Servers_;
   std::vector<std::shared_ptr<Entry>> Entries_;
-  std::vector<ActiveRequest> Orphans_; ///< Of dead entries.
+  std::vector<ActiveRequest> Orphans_; ///< Requests of dead entries.
   std::vector<std::unique_ptr<Leader>> Leaders_;
   std::vector<Message> Messages_;
   Duration NextElection_{};
