--- a/src/datacentre/JobOutcomes.cpp
+++ b/src/datacentre/JobOutcomeTracker.cpp
@@ -1,7 +1,6 @@
-//===- JobOutcomes.cpp - Which jobs ended or were released
-//-----------------===//
+//===- JobOutcomeTracker.cpp - Tracks ended and released jobs -------------===//
 
-#include "tulipweir/datacentre/JobOutcomes.h"
+#include "tulipweir/datacentre/JobOutcomeTracker.h"
 
 #include <cassert>
 
@@ -9,7 +8,8 @@
 using namespace tulipweir::datacentre;
 
 JobOutcome tulipweir::datacentre::summarizeJob(const JobRecord &Job) {
-  assert(Job.Ended_ == Job.Tasks_.size() && "a job that has not ended");
+  assert(Job.Ended_ == Job.Tasks_.size() &&
+         "all tasks of the job must have ended");
   JobOutcome Result{Job.Spec_.Job_, Job.Assignment_, JobEnd::Finished, ""};
   for (const TaskRecord &Task : Job.Tasks_) {
     if (Task.State_ == TaskState::Failed) {
@@ -23,39 +23,40 @@
   return Result;
 }
 
-void JobOutcomes::note(const Change &Value) {
-  const JobId &Job = Value.Task_.Job_;
-  if (Value.Kind_ == ChangeKind::JobEnded)
+void JobOutcomeTracker::onChange(const Change &AppliedChange) {
+  const JobId &Job = AppliedChange.Task_.Job_;
+  if (AppliedChange.Kind_ == ChangeKind::JobEnded)
     Ended_.insert(Job);
-  if (Value.Kind_ == ChangeKind::JobReleasing)
+  if (AppliedChange.Kind_ == ChangeKind::JobReleasing)
     Releasing_.insert(Job);
-  if (Value.Kind_ != ChangeKind::JobDropped)
+  if (AppliedChange.Kind_ != ChangeKind::JobDropped)
     return;
   Ended_.erase(Job);
   Releasing_.erase(Job);
 }
 
-void JobOutcomes::reset() {
+void JobOutcomeTracker::reset() {
   Ended_.clear();
   Releasing_.clear();
 }
 
-std::vector<JobOutcome> JobOutcomes::listEnded(const DataCentreState &State,
-                                               std::size_t Limit) const {
+std::vector<JobOutcome>
+JobOutcomeTracker::listEnded(const DataCentreState &State,
+                             std::size_t Limit) const {
   std::vector<JobOutcome> Outcomes;
   for (const JobId &Id : Ended_) {
     const JobRecord *Job = State.findJob(Id);
     if (Outcomes.size() == Limit)
       break;
-    // The feed may be behind the state.
+    // The changes applied to this object may lag behind the state.
     if (Job && Job->Ended_ == Job->Tasks_.size())
       Outcomes.push_back(summarizeJob(*Job));
   }
   return Outcomes;
 }
 
-std::vector<JobId> JobOutcomes::listReleased(const DataCentreState &State,
-                                             std::size_t Limit) const {
+std::vector<JobId> JobOutcomeTracker::listReleased(const DataCentreState &State,
+                                                   std::size_t Limit) const {
   std::vector<JobId> Released;
   for (const JobId &Id : Releasing_) {
     const JobRecord *Job = State.findJob(Id);
