--- a/include/tulipweir/fleet/BundleHistory.h
+++ b/include/tulipweir/fleet/BundleHistory.h
@@ -60,7 +60,7 @@
   const AcceptedBundle *latest() const;
   std::optional<AcceptedBundle> findVersion(BundleVersion Version) const;
   /// Searches only the bundles that are not archived.
-  const AcceptedBundle *findDigest(const Digest &Value) const;
+  const AcceptedBundle *findDigest(const Digest &BundleDigest) const;
   /// Returns at most Limit bundles, the newest first.
   std::vector<AcceptedBundle> list(std::size_t Limit) const;
   std::size_t size() const { return Archive_.size() + Recent_.size(); }
--- a/include/tulipweir/fleet/BundleRegistry.h
+++ b/include/tulipweir/fleet/BundleRegistry.h
@@ -50,8 +50,8 @@
 
   // Commands.
 
-  CommandResult propose(const ProposeBundle &Value);
-  CommandResult sign(const SignBundle &Value);
+  CommandResult propose(const ProposeBundle &Request);
+  CommandResult sign(const SignBundle &Request);
 
   // Queries.
 
@@ -73,12 +73,12 @@
 
 private:
   const Bundle &getDecidingBundle(const Bundle &Proposed) const;
-  CommandResult addSignOff(const Digest &Value, Bundle Proposed,
+  CommandResult addSignOff(const Digest &BundleDigest, Bundle Proposed,
                            const SignOff &Added, std::uint64_t WallMs);
   CommandResult makeConflict(BundleVersion Version) const;
-  CommandResult accept(const Digest &Value, Bundle Accepted,
+  CommandResult accept(const Digest &BundleDigest, Bundle Accepted,
                        std::uint64_t WallMs);
-  void supersede(const Digest &Value);
+  void supersede(const Digest &BundleDigest);
   void evictOldestProposal(const OperatorId &Proposer);
 
   BundleHistory History_;
--- a/include/tulipweir/fleet/FleetState.h
+++ b/include/tulipweir/fleet/FleetState.h
@@ -25,7 +25,7 @@
       : Bundles_(std::move(Bundles)), Jobs_(std::move(Jobs)) {}
 
   /// Applies one command. A refused command changes nothing.
-  CommandResult apply(const Command &Value);
+  CommandResult apply(const Command &Request);
 
   const BundleRegistry &bundles() const { return Bundles_; }
   const JobRegistry &jobs() const { return Jobs_; }
--- a/include/tulipweir/fleet/FleetStateMachine.h
+++ b/include/tulipweir/fleet/FleetStateMachine.h
@@ -88,7 +88,7 @@
     CommandResult Result_;
   };
 
-  CommandResult applyLocked(const Command &Value);
+  CommandResult applyLocked(const Command &Request);
 
   AppliedListener OnApplied_;
   RestoredListener OnRestored_;
--- a/include/tulipweir/fleet/JobAssigner.h
+++ b/include/tulipweir/fleet/JobAssigner.h
@@ -78,7 +78,7 @@
   std::optional<DataCentreId> chooseDataCentre(const JobRegistry &Jobs,
                                                const FleetJob &Record,
                                                TimePoint Now) const;
-  double computeScore(const DataCentreStatus &Known) const;
+  double computeScore(const DataCentreStatus &Status) const;
 
   AssignmentTimes Times_;
   std::optional<TimePoint> LeadingSince_;
--- a/include/tulipweir/fleet/JobRegistry.h
+++ b/include/tulipweir/fleet/JobRegistry.h
@@ -56,11 +56,11 @@
 
   // Commands.
 
-  CommandResult submit(const SubmitJob &Value);
-  CommandResult assign(const AssignJob &Value);
-  CommandResult release(const ReleaseJob &Value);
-  CommandResult cancel(const CancelJob &Value);
-  CommandResult end(const EndJob &Value);
+  CommandResult submit(const SubmitJob &Request);
+  CommandResult assign(const AssignJob &Request);
+  CommandResult release(const ReleaseJob &Request);
+  CommandResult cancel(const CancelJob &Request);
+  CommandResult end(const EndJob &Request);
 
   // Queries.
 
--- a/src/fleet/AssignmentLease.cpp
+++ b/src/fleet/AssignmentLease.cpp
@@ -12,12 +12,12 @@
                                      TimePoint SentAt) {
   const std::lock_guard Lock(Mutex_);
   for (const HeldAssignment &Held : Reply.Renewed_) {
-    Renewal &Known = Renewals_[Held.Job_];
-    if (Held.Assignment_ < Known.Assignment_)
+    Renewal &Latest = Renewals_[Held.Job_];
+    if (Held.Assignment_ < Latest.Assignment_)
       continue;
-    const bool IsSame = Held.Assignment_ == Known.Assignment_;
-    Known.SentAt_ = IsSame ? std::max(Known.SentAt_, SentAt) : SentAt;
-    Known.Assignment_ = Held.Assignment_;
+    const bool IsSame = Held.Assignment_ == Latest.Assignment_;
+    Latest.SentAt_ = IsSame ? std::max(Latest.SentAt_, SentAt) : SentAt;
+    Latest.Assignment_ = Held.Assignment_;
   }
 }
 
@@ -25,24 +25,24 @@
   std::map<JobId, Renewal> Kept;
   const std::lock_guard Lock(Mutex_);
   for (const HeldAssignment &Held : Standing)
-    if (const Renewal *Known = find(Held))
-      Kept.emplace(Held.Job_, *Known);
+    if (const Renewal *Latest = find(Held))
+      Kept.emplace(Held.Job_, *Latest);
   Renewals_ = std::move(Kept);
 }
 
 const AssignmentLease::Renewal *
 AssignmentLease::find(const HeldAssignment &Held) const {
-  const auto Found = Renewals_.find(Held.Job_);
-  if (Found == Renewals_.end() || Found->second.Assignment_ != Held.Assignment_)
+  const auto It = Renewals_.find(Held.Job_);
+  if (It == Renewals_.end() || It->second.Assignment_ != Held.Assignment_)
     return nullptr;
-  return &Found->second;
+  return &It->second;
 }
 
 bool AssignmentLease::covers(const HeldAssignment &Held,
                              TimePoint Until) const {
   const std::lock_guard Lock(Mutex_);
-  const Renewal *Known = find(Held);
-  return Known && Until < Known->SentAt_ + Times_.Ttl_;
+  const Renewal *Latest = find(Held);
+  return Latest && Until < Latest->SentAt_ + Times_.Ttl_;
 }
 
 bool AssignmentLease::isExpiring(const HeldAssignment &Held,
@@ -57,9 +57,9 @@
   {
     const std::lock_guard Lock(Mutex_);
     for (const HeldAssignment &Held : Standing) {
-      const Renewal *Known = find(Held);
-      const TimePoint SentAt = Known ? Known->SentAt_ : TimePoint::min();
-      if (!Known || Now >= SentAt + Times_.RenewInterval_)
+      const Renewal *Latest = find(Held);
+      const TimePoint SentAt = Latest ? Latest->SentAt_ : TimePoint::min();
+      if (!Latest || Now >= SentAt + Times_.RenewInterval_)
         Due.emplace_back(SentAt, &Held);
     }
   }
--- a/src/fleet/BundleCheck.cpp
+++ b/src/fleet/BundleCheck.cpp
@@ -35,15 +35,15 @@
 template <class Entry>
 static void readList(FieldReader &Reader, const std::string &Name,
                      Presence Expected, std::size_t MaxEntries,
-                     std::vector<Entry> &Target, ProblemList &Found,
+                     std::vector<Entry> &Target, ProblemList &Problems,
                      Entry (*ReadOne)(FieldReader &)) {
   const json *List = Reader.findArray(Name, Expected, MaxEntries);
   if (!List)
     return;
   for (std::size_t Index = 0; Index < List->size(); ++Index) {
-    const auto Place =
+    const auto Pointer =
         appendPointer(Reader.makePointer(Name), std::to_string(Index));
-    FieldReader EntryReader((*List)[Index], Place, Found);
+    FieldReader EntryReader((*List)[Index], Pointer, Problems);
     Target.push_back(ReadOne(EntryReader));
     EntryReader.reportUnknownFields();
   }
@@ -53,16 +53,16 @@
 /// have been reported before.
 template <class Entry, class KeyOf>
 static void
-reportDuplicates(const std::string &Place, const std::vector<Entry> &Entries,
-                 const std::string &What, KeyOf GetKey, ProblemList &Found) {
+reportDuplicates(const std::string &Pointer, const std::vector<Entry> &Entries,
+                 const std::string &Kind, KeyOf GetKey, ProblemList &Problems) {
   std::set<std::string> Seen;
   for (std::size_t Index = 0; Index < Entries.size(); ++Index) {
     const std::string &Key = GetKey(Entries[Index]);
     if (Key.empty() || Seen.insert(Key).second)
       continue;
-    std::string Text = What;
+    std::string Text = Kind;
     Text.append(" '").append(Key).append("' is listed more than once");
-    Found.push_back({appendPointer(Place, std::to_string(Index)), Text});
+    Problems.push_back({appendPointer(Pointer, std::to_string(Index)), Text});
   }
 }
 
@@ -145,7 +145,7 @@
                                     "least one must be above 0");
 }
 
-static decide::Policy readPolicy(FieldReader &Reader, ProblemList &Found) {
+static decide::Policy readPolicy(FieldReader &Reader, ProblemList &Problems) {
   decide::Policy Policy;
   readWeights(Reader, Policy);
   Reader.readInteger("urgentPriority", Policy.UrgentPriority_, {1, 1'000'000});
@@ -158,13 +158,13 @@
   Reader.readMillis("quarantineMs", Policy.QuarantineTime_, {SecondMs, DayMs});
   Reader.readMillis("ageingStepMs", Policy.AgeingStep_, {SecondMs, HourMs});
   readList(Reader, "quotas", Presence::Optional, MaxTeams, Policy.Quotas_,
-           Found, readQuota);
+           Problems, readQuota);
   reportDuplicates(
       Reader.makePointer("quotas"), Policy.Quotas_, "team",
       [](const decide::TeamQuota &Quota) -> const std::string & {
         return Quota.Team_.value();
       },
-      Found);
+      Problems);
   return Policy;
 }
 
@@ -197,23 +197,23 @@
 }
 
 static void readOperators(FieldReader &Reader, Bundle &Target,
-                          ProblemList &Found) {
+                          ProblemList &Problems) {
   readList(Reader, "operators", Presence::Required, MaxOperators,
-           Target.Operators_, Found, readOperator);
-  const auto Place = Reader.makePointer("operators");
+           Target.Operators_, Problems, readOperator);
+  const auto Pointer = Reader.makePointer("operators");
   reportDuplicates(
-      Place, Target.Operators_, "operator",
+      Pointer, Target.Operators_, "operator",
       [](const OperatorKey &Key) -> const std::string & {
         return Key.Operator_.value();
       },
-      Found);
+      Problems);
   // One person listed under two names could sign off twice.
   reportDuplicates(
-      Place, Target.Operators_, "public key",
+      Pointer, Target.Operators_, "public key",
       [](const OperatorKey &Key) -> const std::string & {
         return Key.PublicKey_;
       },
-      Found);
+      Problems);
   Reader.readInteger("signOffsNeeded", Target.SignOffsNeeded_,
                      {1, static_cast<std::int64_t>(MaxOperators)});
   if (Target.SignOffsNeeded_ > Target.Operators_.size())
@@ -225,19 +225,19 @@
 }
 
 static void readServices(FieldReader &Reader, Bundle &Target,
-                         ProblemList &Found) {
+                         ProblemList &Problems) {
   const json *List =
       Reader.findArray("services", Presence::Required, MaxServices);
   if (!List)
     return;
   for (std::size_t Index = 0; Index < List->size(); ++Index) {
-    const auto Place =
+    const auto Pointer =
         appendPointer(Reader.makePointer("services"), std::to_string(Index));
-    FieldReader Entry((*List)[Index], Place, Found);
+    FieldReader Entry((*List)[Index], Pointer, Problems);
     ServiceConfig Service = readService(Entry);
     checkDeadlines(Entry, Service);
     if (const json *Share = Entry.findObject("share")) {
-      FieldReader ShareReader(*Share, Entry.makePointer("share"), Found);
+      FieldReader ShareReader(*Share, Entry.makePointer("share"), Problems);
       Service.Share_ = readResources(ShareReader);
       ShareReader.reportUnknownFields();
     }
@@ -249,34 +249,34 @@
       [](const ServiceConfig &Service) -> const std::string & {
         return Service.Service_.value();
       },
-      Found);
+      Problems);
 }
 
 static void readCallerLimits(FieldReader &Reader, Bundle &Target,
-                             ProblemList &Found) {
+                             ProblemList &Problems) {
   readList(Reader, "callerLimits", Presence::Optional, MaxCallers,
-           Target.CallerLimits_, Found, readCallerLimit);
+           Target.CallerLimits_, Problems, readCallerLimit);
   reportDuplicates(
       Reader.makePointer("callerLimits"), Target.CallerLimits_, "caller",
       [](const CallerLimit &Limit) -> const std::string & {
         return Limit.Caller_.value();
       },
-      Found);
+      Problems);
 }
 
-static Bundle readBundle(FieldReader &Reader, ProblemList &Found) {
+static Bundle readBundle(FieldReader &Reader, ProblemList &Problems) {
   Bundle Target;
   readVersions(Reader, Target);
   Reader.readText("note", Target.Note_, Presence::Required, MaxNoteBytes);
-  readOperators(Reader, Target, Found);
-  readServices(Reader, Target, Found);
-  readCallerLimits(Reader, Target, Found);
+  readOperators(Reader, Target, Problems);
+  readServices(Reader, Target, Problems);
+  readCallerLimits(Reader, Target, Problems);
   Reader.readNumber("retryBudget", Target.RetryBudget_, {0, 1});
   Reader.readMillis("requestRetentionMs", Target.RequestRetention_,
                     {60 * SecondMs, 30 * DayMs});
   if (const json *Policy = Reader.findObject("policy")) {
-    FieldReader PolicyReader(*Policy, Reader.makePointer("policy"), Found);
-    Target.Policy_ = readPolicy(PolicyReader, Found);
+    FieldReader PolicyReader(*Policy, Reader.makePointer("policy"), Problems);
+    Target.Policy_ = readPolicy(PolicyReader, Problems);
     PolicyReader.reportUnknownFields();
   }
   for (const ServiceConfig &Service : Target.Services_)
@@ -285,12 +285,12 @@
   return Target;
 }
 
-static void truncateProblems(ProblemList &Found) {
-  if (Found.size() <= MaxProblems)
+static void truncateProblems(ProblemList &Problems) {
+  if (Problems.size() <= MaxProblems)
     return;
-  const std::size_t Left = Found.size() - MaxProblems;
-  Found.resize(MaxProblems);
-  Found.push_back({"", std::to_string(Left) + " more problems"});
+  const std::size_t Remaining = Problems.size() - MaxProblems;
+  Problems.resize(MaxProblems);
+  Problems.push_back({"", std::to_string(Remaining) + " more problems"});
 }
 
 BundleCheck fleet::checkBundle(std::string_view Text) {
--- a/src/fleet/BundleHistory.cpp
+++ b/src/fleet/BundleHistory.cpp
@@ -56,10 +56,10 @@
 
 std::optional<AcceptedBundle>
 BundleHistory::findVersion(BundleVersion Version) const {
-  const auto Found =
+  const auto It =
       std::ranges::lower_bound(Recent_, Version, {}, &AcceptedBundle::Version_);
-  if (Found != Recent_.end() && Found->Version_ == Version)
-    return *Found;
+  if (It != Recent_.end() && It->Version_ == Version)
+    return *It;
   const auto Old = std::ranges::lower_bound(Archive_, Version.value(), {},
                                             &ArchivedBundle::Version_);
   if (Old != Archive_.end() && Old->Version_ == Version.value())
@@ -67,20 +67,22 @@
   return std::nullopt;
 }
 
-const AcceptedBundle *BundleHistory::findDigest(const Digest &Value) const {
-  const auto Found = std::find_if(
-      Recent_.rbegin(), Recent_.rend(),
-      [&](const AcceptedBundle &One) { return One.Digest_ == Value; });
-  return Found == Recent_.rend() ? nullptr : &*Found;
+const AcceptedBundle *
+BundleHistory::findDigest(const Digest &BundleDigest) const {
+  const auto It = std::find_if(Recent_.rbegin(), Recent_.rend(),
+                               [&](const AcceptedBundle &Accepted) {
+                                 return Accepted.Digest_ == BundleDigest;
+                               });
+  return It == Recent_.rend() ? nullptr : &*It;
 }
 
 std::vector<AcceptedBundle> BundleHistory::list(std::size_t Limit) const {
   std::vector<AcceptedBundle> Listed;
-  for (auto One = Recent_.rbegin();
-       One != Recent_.rend() && Listed.size() < Limit; ++One)
-    Listed.push_back(*One);
-  for (auto One = Archive_.rbegin();
-       One != Archive_.rend() && Listed.size() < Limit; ++One)
-    Listed.push_back(expandRecord(*One));
+  for (auto It = Recent_.rbegin();
+       It != Recent_.rend() && Listed.size() < Limit; ++It)
+    Listed.push_back(*It);
+  for (auto It = Archive_.rbegin();
+       It != Archive_.rend() && Listed.size() < Limit; ++It)
+    Listed.push_back(expandRecord(*It));
   return Listed;
 }
--- a/src/fleet/BundleRegistry.cpp
+++ b/src/fleet/BundleRegistry.cpp
@@ -13,9 +13,9 @@
 static constexpr std::size_t MaxProblemsShown = 5;
 
 static CommandResult withBundle(CommandResult Result, BundleVersion Version,
-                                const Digest &Value) {
+                                const Digest &BundleDigest) {
   Result.Version_ = Version;
-  Result.Digest_ = Value;
+  Result.Digest_ = BundleDigest;
   return Result;
 }
 
@@ -51,19 +51,20 @@
 
 static const OperatorKey *findKey(const Bundle &Signers,
                                   const OperatorId &Operator) {
-  const auto Found =
+  const auto It =
       std::ranges::find(Signers.Operators_, Operator, &OperatorKey::Operator_);
-  return Found == Signers.Operators_.end() ? nullptr : &*Found;
+  return It == Signers.Operators_.end() ? nullptr : &*It;
 }
 
 /// Returns an empty message if the sign-off is valid.
-static std::string findSignOffError(const Bundle &Signers, const Digest &Value,
+static std::string findSignOffError(const Bundle &Signers,
+                                    const Digest &BundleDigest,
                                     const SignOff &Added) {
   const OperatorKey *Key = findKey(Signers, Added.Operator_);
   if (!Key)
     return "'" + Added.Operator_.value() +
            "' is not an operator who may sign this bundle";
-  if (!verifyDigest(Value, Key->PublicKey_, Added.Signature_))
+  if (!verifyDigest(BundleDigest, Key->PublicKey_, Added.Signature_))
     return "the signature does not match the key of '" +
            Added.Operator_.value() +
            "' and this digest; sign the file exactly as it is proposed, byte "
@@ -95,84 +96,86 @@
     return refuse(ErrorCode::Conflict,
                   "no bundle is in force yet; the first bundle must have "
                   "parentVersion 0 and parentDigest \"\"");
-  const auto Same = History_.findVersion(Version);
-  const AcceptedBundle &Winner = Same ? *Same : *Latest;
-  std::string Message = formatVersion(Winner.Version_) + " was accepted with " +
-                        "digest " + Winner.Digest_.value();
-  if (!Winner.SignedBy_.empty())
-    Message += ", signed by " + formatSigners(Winner.SignedBy_);
+  const auto SameVersion = History_.findVersion(Version);
+  const AcceptedBundle &Accepted = SameVersion ? *SameVersion : *Latest;
+  std::string Message = formatVersion(Accepted.Version_) +
+                        " was accepted with " + "digest " +
+                        Accepted.Digest_.value();
+  if (!Accepted.SignedBy_.empty())
+    Message += ", signed by " + formatSigners(Accepted.SignedBy_);
   Message += "; in force is " + formatVersion(Latest->Version_) + ", digest " +
              Latest->Digest_.value() +
              ": use it as the parent, increase the version and propose again";
   return withBundle(refuse(ErrorCode::Conflict, std::move(Message)),
-                    Winner.Version_, Winner.Digest_);
+                    Accepted.Version_, Accepted.Digest_);
 }
 
-CommandResult BundleRegistry::propose(const ProposeBundle &Value) {
-  BundleCheck Check = checkBundle(Value.Text_);
+CommandResult BundleRegistry::propose(const ProposeBundle &Request) {
+  BundleCheck Check = checkBundle(Request.Text_);
   if (Check.Bundle_.empty())
     return refuseInvalidText(Check.Problems_);
   Bundle &Proposed = Check.Bundle_.front();
-  const Digest Named = computeDigest(Value.Text_);
-  const auto Same = History_.findVersion(Proposed.Version_);
-  if (Same && Same->Digest_ == Named)
-    return makeAlreadyAccepted(*Same, InForce_.Version_);
+  const Digest ProposedDigest = computeDigest(Request.Text_);
+  const auto SameVersion = History_.findVersion(Proposed.Version_);
+  if (SameVersion && SameVersion->Digest_ == ProposedDigest)
+    return makeAlreadyAccepted(*SameVersion, InForce_.Version_);
   const AcceptedBundle *Parent = History_.latest();
   const Digest InForceDigest = Parent ? Parent->Digest_ : Digest();
   if (Proposed.ParentVersion_ != InForce_.Version_ ||
       Proposed.ParentDigest_ != InForceDigest)
     return makeConflict(Proposed.Version_);
 
-  const auto Fault =
-      findSignOffError(getDecidingBundle(Proposed), Named, Value.SignOff_);
-  if (!Fault.empty())
-    return withBundle(refuse(ErrorCode::PermissionDenied, Fault),
-                      Proposed.Version_, Named);
-  if (!Proposals_.contains(Named)) {
-    evictOldestProposal(Value.SignOff_.Operator_);
+  const auto Reason = findSignOffError(getDecidingBundle(Proposed),
+                                       ProposedDigest, Request.SignOff_);
+  if (!Reason.empty())
+    return withBundle(refuse(ErrorCode::PermissionDenied, Reason),
+                      Proposed.Version_, ProposedDigest);
+  if (!Proposals_.contains(ProposedDigest)) {
+    evictOldestProposal(Request.SignOff_.Operator_);
     ProposedBundle Proposal;
     Proposal.Version_ = Proposed.Version_;
-    Proposal.Text_ = Value.Text_;
+    Proposal.Text_ = Request.Text_;
     Proposal.Sequence_ = NextSequence_++;
-    Proposals_.emplace(Named, std::move(Proposal));
+    Proposals_.emplace(ProposedDigest, std::move(Proposal));
   }
-  return addSignOff(Named, std::move(Proposed), Value.SignOff_, Value.WallMs_);
+  return addSignOff(ProposedDigest, std::move(Proposed), Request.SignOff_,
+                    Request.WallMs_);
 }
 
-CommandResult BundleRegistry::sign(const SignBundle &Value) {
-  if (const AcceptedBundle *Accepted = History_.findDigest(Value.Digest_))
+CommandResult BundleRegistry::sign(const SignBundle &Request) {
+  if (const AcceptedBundle *Accepted = History_.findDigest(Request.Digest_))
     return makeAlreadyAccepted(*Accepted, InForce_.Version_);
-  const auto Lost =
-      std::ranges::find(Superseded_, Value.Digest_, &SupersededBundle::Digest_);
-  if (Lost != Superseded_.end())
-    return makeConflict(Lost->Version_);
-  const auto Found = Proposals_.find(Value.Digest_);
-  if (Found == Proposals_.end())
+  const auto Superseded = std::ranges::find(Superseded_, Request.Digest_,
+                                            &SupersededBundle::Digest_);
+  if (Superseded != Superseded_.end())
+    return makeConflict(Superseded->Version_);
+  const auto It = Proposals_.find(Request.Digest_);
+  if (It == Proposals_.end())
     return refuse(ErrorCode::NotFound,
-                  "no proposal has digest " + Value.Digest_.value() +
+                  "no proposal has digest " + Request.Digest_.value() +
                       "; propose its file with 'tulipweirctl bundle propose'");
-  const ProposedBundle &Proposal = Found->second;
+  const ProposedBundle &Proposal = It->second;
   Bundle Proposed = parseAccepted(Proposal.Text_);
-  const auto Fault = findSignOffError(getDecidingBundle(Proposed),
-                                      Value.Digest_, Value.SignOff_);
-  if (!Fault.empty())
-    return withBundle(refuse(ErrorCode::PermissionDenied, Fault),
-                      Proposal.Version_, Value.Digest_);
-  return addSignOff(Value.Digest_, std::move(Proposed), Value.SignOff_,
-                    Value.WallMs_);
+  const auto Reason = findSignOffError(getDecidingBundle(Proposed),
+                                       Request.Digest_, Request.SignOff_);
+  if (!Reason.empty())
+    return withBundle(refuse(ErrorCode::PermissionDenied, Reason),
+                      Proposal.Version_, Request.Digest_);
+  return addSignOff(Request.Digest_, std::move(Proposed), Request.SignOff_,
+                    Request.WallMs_);
 }
 
-CommandResult BundleRegistry::addSignOff(const Digest &Value, Bundle Proposed,
-                                         const SignOff &Added,
+CommandResult BundleRegistry::addSignOff(const Digest &BundleDigest,
+                                         Bundle Proposed, const SignOff &Added,
                                          std::uint64_t WallMs) {
-  ProposedBundle &Proposal = Proposals_.at(Value);
+  ProposedBundle &Proposal = Proposals_.at(BundleDigest);
   const BundleVersion Version = Proposal.Version_;
   const bool Repeated = hasSigned(Proposal, Added.Operator_);
   if (!Repeated)
     Proposal.SignOffs_.push_back(Added);
   const std::size_t Needed = getDecidingBundle(Proposed).SignOffsNeeded_;
   if (Proposal.SignOffs_.size() >= Needed)
-    return accept(Value, std::move(Proposed), WallMs);
+    return accept(BundleDigest, std::move(Proposed), WallMs);
   const auto Count = std::to_string(Proposal.SignOffs_.size()) + " of " +
                      std::to_string(Needed) + " sign-offs";
   if (Repeated)
@@ -180,24 +183,24 @@
                              "'" + Added.Operator_.value() +
                                  "' has already signed this bundle; it has " +
                                  Count),
-                      Version, Value);
+                      Version, BundleDigest);
   return withBundle(
       confirm("stored with " + Count +
               "; other operators sign it with 'tulipweirctl bundle sign " +
-              Value.value() + "'"),
-      Version, Value);
+              BundleDigest.value() + "'"),
+      Version, BundleDigest);
 }
 
-CommandResult BundleRegistry::accept(const Digest &Value, Bundle Accepted,
-                                     std::uint64_t WallMs) {
-  auto Node = Proposals_.extract(Value);
+CommandResult BundleRegistry::accept(const Digest &BundleDigest,
+                                     Bundle Accepted, std::uint64_t WallMs) {
+  auto Node = Proposals_.extract(BundleDigest);
   AcceptedBundle Record;
   Record.Version_ = Accepted.Version_;
-  Record.Digest_ = Value;
+  Record.Digest_ = BundleDigest;
   Record.ParentVersion_ = Accepted.ParentVersion_;
   Record.Note_ = Accepted.Note_;
-  for (const SignOff &One : Node.mapped().SignOffs_)
-    Record.SignedBy_.push_back(One.Operator_);
+  for (const SignOff &Signer : Node.mapped().SignOffs_)
+    Record.SignedBy_.push_back(Signer.Operator_);
   Record.WallMs_ = WallMs;
   Record.Text_ = std::move(Node.mapped().Text_);
   History_.append(std::move(Record));
@@ -207,11 +210,11 @@
     supersede(Proposals_.begin()->first);
   CommandResult Result = confirm("accepted; rolling out to every process");
   Result.Accepted_ = true;
-  return withBundle(std::move(Result), InForce_.Version_, Value);
+  return withBundle(std::move(Result), InForce_.Version_, BundleDigest);
 }
 
-void BundleRegistry::supersede(const Digest &Value) {
-  auto Node = Proposals_.extract(Value);
+void BundleRegistry::supersede(const Digest &BundleDigest) {
+  auto Node = Proposals_.extract(BundleDigest);
   Superseded_.push_back({Node.key(), Node.mapped().Version_});
   if (Superseded_.size() > MaxSuperseded)
     Superseded_.pop_front();
@@ -220,21 +223,21 @@
 void BundleRegistry::evictOldestProposal(const OperatorId &Proposer) {
   std::size_t Count = 0;
   auto Oldest = Proposals_.end();
-  for (auto One = Proposals_.begin(); One != Proposals_.end(); ++One) {
-    if (One->second.SignOffs_.front().Operator_ != Proposer)
+  for (auto It = Proposals_.begin(); It != Proposals_.end(); ++It) {
+    if (It->second.SignOffs_.front().Operator_ != Proposer)
       continue;
     ++Count;
     if (Oldest == Proposals_.end() ||
-        One->second.Sequence_ < Oldest->second.Sequence_)
-      Oldest = One;
+        It->second.Sequence_ < Oldest->second.Sequence_)
+      Oldest = It;
   }
   if (Count >= MaxProposalsPerOperator)
     Proposals_.erase(Oldest);
 }
 
-static bool isDigest(const Digest &Value) {
+static bool isDigest(const Digest &BundleDigest) {
   static constexpr std::size_t Letters = 64;
-  const std::string &Text = Value.value();
+  const std::string &Text = BundleDigest.value();
   return Text.size() == Letters &&
          Text.find_first_not_of("0123456789abcdef") == std::string::npos;
 }
@@ -243,21 +246,23 @@
 /// formed.
 static bool isConsistent(const BundleHistory &History) {
   std::uint64_t Last = 0;
-  for (const ArchivedBundle &One : History.archive()) {
-    if (One.Version_ <= Last)
+  for (const ArchivedBundle &Archived : History.archive()) {
+    if (Archived.Version_ <= Last)
       return false;
-    Last = One.Version_;
+    Last = Archived.Version_;
   }
-  for (const AcceptedBundle &One : History.recent()) {
-    if (One.Version_.value() <= Last || !isDigest(One.Digest_))
+  for (const AcceptedBundle &Accepted : History.recent()) {
+    if (Accepted.Version_.value() <= Last || !isDigest(Accepted.Digest_))
       return false;
-    Last = One.Version_.value();
+    Last = Accepted.Version_.value();
   }
   return History.latest() || History.archive().empty();
 }
 
-static bool isConsistent(const Digest &Value, const ProposedBundle &Proposal) {
-  if (Proposal.SignOffs_.empty() || computeDigest(Proposal.Text_) != Value)
+static bool isConsistent(const Digest &BundleDigest,
+                         const ProposedBundle &Proposal) {
+  if (Proposal.SignOffs_.empty() ||
+      computeDigest(Proposal.Text_) != BundleDigest)
     return false;
   const BundleCheck Check = checkBundle(Proposal.Text_);
   return !Check.Bundle_.empty() &&
@@ -267,26 +272,26 @@
 Outcome<BundleRegistry> BundleRegistry::restore(
     BundleHistory History, std::map<Digest, ProposedBundle> Proposals,
     std::deque<SupersededBundle> Superseded, std::uint64_t NextSequence) {
-  BundleRegistry Book;
-  Book.History_ = std::move(History);
-  Book.Proposals_ = std::move(Proposals);
-  Book.Superseded_ = std::move(Superseded);
-  Book.NextSequence_ = NextSequence;
-  if (!isConsistent(Book.History_))
+  BundleRegistry Registry;
+  Registry.History_ = std::move(History);
+  Registry.Proposals_ = std::move(Proposals);
+  Registry.Superseded_ = std::move(Superseded);
+  Registry.NextSequence_ = NextSequence;
+  if (!isConsistent(Registry.History_))
     return fail(ErrorCode::Malformed,
                 "the snapshot's bundle history is inconsistent");
-  if (const AcceptedBundle *Latest = Book.History_.latest()) {
+  if (const AcceptedBundle *Latest = Registry.History_.latest()) {
     BundleCheck Check = checkBundle(Latest->Text_);
     if (Check.Bundle_.empty() ||
         computeDigest(Latest->Text_) != Latest->Digest_ ||
         Check.Bundle_.front().Version_ != Latest->Version_)
       return fail(ErrorCode::Malformed,
                   "the snapshot's bundle in force is invalid");
-    Book.InForce_ = std::move(Check.Bundle_.front());
+    Registry.InForce_ = std::move(Check.Bundle_.front());
   }
-  for (const auto &[Key, Proposal] : Book.Proposals_)
+  for (const auto &[Key, Proposal] : Registry.Proposals_)
     if (!isConsistent(Key, Proposal))
       return fail(ErrorCode::Malformed, "the snapshot's proposal " +
                                             Key.value() + " is inconsistent");
-  return Book;
+  return Registry;
 }
--- a/src/fleet/FieldReader.cpp
+++ b/src/fleet/FieldReader.cpp
@@ -31,25 +31,25 @@
   return Out.str();
 }
 
-static bool isAlphanumeric(char Letter) {
-  const bool IsDigit = Letter >= '0' && Letter <= '9';
-  const bool IsSmall = Letter >= 'a' && Letter <= 'z';
-  const bool IsLarge = Letter >= 'A' && Letter <= 'Z';
-  return IsDigit || IsSmall || IsLarge;
+static bool isAlphanumeric(char Character) {
+  const bool IsDigit = Character >= '0' && Character <= '9';
+  const bool IsLower = Character >= 'a' && Character <= 'z';
+  const bool IsUpper = Character >= 'A' && Character <= 'Z';
+  return IsDigit || IsLower || IsUpper;
 }
 
 static bool isName(std::string_view Text) {
   if (Text.empty() || Text.size() > MaxNameBytes || !isAlphanumeric(Text[0]))
     return false;
-  return std::ranges::all_of(Text, [](char Letter) {
-    return isAlphanumeric(Letter) || Letter == '.' || Letter == '_' ||
-           Letter == '-';
+  return std::ranges::all_of(Text, [](char Character) {
+    return isAlphanumeric(Character) || Character == '.' || Character == '_' ||
+           Character == '-';
   });
 }
 
-FieldReader::FieldReader(const json &Value, std::string Place,
+FieldReader::FieldReader(const json &Value, std::string Pointer,
                          std::vector<BundleProblem> &Problems)
-    : Value_(Value), Pointer_(std::move(Place)), Problems_(Problems) {
+    : Value_(Value), Pointer_(std::move(Pointer)), Problems_(Problems) {
   if (!Value_.is_object())
     Problems_.push_back(
         {Pointer_, "is " + formatValue(Value_) + "; an object is expected"});
@@ -67,9 +67,9 @@
   KnownNames_.insert(Name);
   if (!Value_.is_object())
     return nullptr;
-  const auto Found = Value_.find(Name);
-  if (Found != Value_.end())
-    return &*Found;
+  const auto It = Value_.find(Name);
+  if (It != Value_.end())
+    return &*It;
   if (Expected == Presence::Required)
     addProblem(Name, "is missing; it is required");
   return nullptr;
@@ -77,24 +77,24 @@
 
 void FieldReader::readText(const std::string &Name, std::string &Target,
                            Presence Expected, std::size_t MaxBytes) {
-  const json *Found = find(Name, Expected);
-  if (!Found)
+  const json *Field = find(Name, Expected);
+  if (!Field)
     return;
-  const auto *Text = Found->get_ptr<const std::string *>();
+  const auto *Text = Field->get_ptr<const std::string *>();
   if (!Text || Text->size() > MaxBytes)
     return addProblem(Name,
-                      "is " + formatValue(*Found) + "; a string of at most " +
+                      "is " + formatValue(*Field) + "; a string of at most " +
                           std::to_string(MaxBytes) + " bytes is expected");
   Target = *Text;
 }
 
 bool FieldReader::readName(const std::string &Name, std::string &Target) {
-  const json *Found = find(Name, Presence::Required);
-  if (!Found)
+  const json *Field = find(Name, Presence::Required);
+  if (!Field)
     return false;
-  const auto *Text = Found->get_ptr<const std::string *>();
+  const auto *Text = Field->get_ptr<const std::string *>();
   if (!Text || !isName(*Text)) {
-    addProblem(Name, "is " + formatValue(*Found) +
+    addProblem(Name, "is " + formatValue(*Field) +
                          "; a name of 1 to 64 letters, digits, '.', '_' or "
                          "'-' is expected, beginning with a letter or digit");
     return false;
@@ -105,27 +105,27 @@
 
 void FieldReader::readInt64(const std::string &Name, std::int64_t &Target,
                             Range<std::int64_t> Allowed, Presence Expected) {
-  const json *Found = find(Name, Expected);
-  if (!Found)
+  const json *Field = find(Name, Expected);
+  if (!Field)
     return;
-  const bool Fits = Found->is_number_integer() &&
-                    (!Found->is_number_unsigned() ||
-                     std::in_range<std::int64_t>(Found->get<std::uint64_t>()));
-  const std::int64_t Number = Fits ? Found->get<std::int64_t>() : 0;
+  const bool Fits = Field->is_number_integer() &&
+                    (!Field->is_number_unsigned() ||
+                     std::in_range<std::int64_t>(Field->get<std::uint64_t>()));
+  const std::int64_t Number = Fits ? Field->get<std::int64_t>() : 0;
   if (!Fits || Number < Allowed.Min_ || Number > Allowed.Max_)
-    return addProblem(Name, "is " + formatValue(*Found) + "; an integer from " +
+    return addProblem(Name, "is " + formatValue(*Field) + "; an integer from " +
                                 formatRange(Allowed) + " is expected");
   Target = Number;
 }
 
 void FieldReader::readNumber(const std::string &Name, double &Target,
                              Range<double> Allowed, Presence Expected) {
-  const json *Found = find(Name, Expected);
-  if (!Found)
+  const json *Field = find(Name, Expected);
+  if (!Field)
     return;
-  const double Number = Found->is_number() ? Found->get<double>() : NAN;
+  const double Number = Field->is_number() ? Field->get<double>() : NAN;
   if (!(Number >= Allowed.Min_ && Number <= Allowed.Max_))
-    return addProblem(Name, "is " + formatValue(*Found) + "; a number from " +
+    return addProblem(Name, "is " + formatValue(*Field) + "; a number from " +
                                 formatRange(Allowed) + " is expected");
   Target = Number;
 }
@@ -140,32 +140,32 @@
 }
 
 void FieldReader::readBool(const std::string &Name, bool &Target) {
-  const json *Found = find(Name, Presence::Optional);
-  if (!Found)
+  const json *Field = find(Name, Presence::Optional);
+  if (!Field)
     return;
-  if (!Found->is_boolean())
-    return addProblem(Name, "is " + formatValue(*Found) +
+  if (!Field->is_boolean())
+    return addProblem(Name, "is " + formatValue(*Field) +
                                 "; true or false is expected");
-  Target = Found->get<bool>();
+  Target = Field->get<bool>();
 }
 
 const json *FieldReader::findArray(const std::string &Name, Presence Expected,
                                    std::size_t MaxEntries) {
-  const json *Found = find(Name, Expected);
-  if (!Found)
+  const json *Field = find(Name, Expected);
+  if (!Field)
     return nullptr;
-  if (Found->is_array() && Found->size() <= MaxEntries)
-    return Found;
-  addProblem(Name, "is " + formatValue(*Found) + "; an array of at most " +
+  if (Field->is_array() && Field->size() <= MaxEntries)
+    return Field;
+  addProblem(Name, "is " + formatValue(*Field) + "; an array of at most " +
                        std::to_string(MaxEntries) + " entries is expected");
   return nullptr;
 }
 
 const json *FieldReader::findObject(const std::string &Name) {
-  const json *Found = find(Name, Presence::Optional);
-  if (!Found || Found->is_object())
-    return Found;
-  addProblem(Name, "is " + formatValue(*Found) + "; an object is expected");
+  const json *Field = find(Name, Presence::Optional);
+  if (!Field || Field->is_object())
+    return Field;
+  addProblem(Name, "is " + formatValue(*Field) + "; an object is expected");
   return nullptr;
 }
 
--- a/src/fleet/FieldReader.h
+++ b/src/fleet/FieldReader.h
@@ -32,7 +32,7 @@
 /// Not thread-safe; the JSON value and the problems must outlive the reader.
 class FieldReader {
 public:
-  FieldReader(const nlohmann::json &Value, std::string Place,
+  FieldReader(const nlohmann::json &Value, std::string Pointer,
               std::vector<BundleProblem> &Problems);
 
   /// Reads a string of at most MaxBytes.
--- a/src/fleet/FleetState.cpp
+++ b/src/fleet/FleetState.cpp
@@ -14,29 +14,29 @@
   BundleRegistry &Bundles_;
   JobRegistry &Jobs_;
 
-  CommandResult operator()(const ProposeBundle &Value) {
-    return Bundles_.propose(Value);
+  CommandResult operator()(const ProposeBundle &Request) {
+    return Bundles_.propose(Request);
   }
-  CommandResult operator()(const SignBundle &Value) {
-    return Bundles_.sign(Value);
+  CommandResult operator()(const SignBundle &Request) {
+    return Bundles_.sign(Request);
   }
-  CommandResult operator()(const SubmitJob &Value) {
-    return Jobs_.submit(Value);
+  CommandResult operator()(const SubmitJob &Request) {
+    return Jobs_.submit(Request);
   }
-  CommandResult operator()(const AssignJob &Value) {
-    return Jobs_.assign(Value);
+  CommandResult operator()(const AssignJob &Request) {
+    return Jobs_.assign(Request);
   }
-  CommandResult operator()(const ReleaseJob &Value) {
-    return Jobs_.release(Value);
+  CommandResult operator()(const ReleaseJob &Request) {
+    return Jobs_.release(Request);
   }
-  CommandResult operator()(const CancelJob &Value) {
-    return Jobs_.cancel(Value);
+  CommandResult operator()(const CancelJob &Request) {
+    return Jobs_.cancel(Request);
   }
-  CommandResult operator()(const EndJob &Value) { return Jobs_.end(Value); }
+  CommandResult operator()(const EndJob &Request) { return Jobs_.end(Request); }
 };
 
 } // namespace
 
-CommandResult FleetState::apply(const Command &Value) {
-  return std::visit(Applier{Bundles_, Jobs_}, Value);
+CommandResult FleetState::apply(const Command &Request) {
+  return std::visit(Applier{Bundles_, Jobs_}, Request);
 }
--- a/src/fleet/FleetStateMachine.cpp
+++ b/src/fleet/FleetStateMachine.cpp
@@ -16,13 +16,13 @@
 }
 
 template <class Names>
-static std::vector<NamedJob> collectJobs(const JobRegistry &Book,
+static std::vector<NamedJob> collectJobs(const JobRegistry &Registry,
                                          const Names &Wanted, std::size_t Limit,
                                          const JobId &After) {
   std::vector<NamedJob> Listed;
-  for (auto Next = Wanted.upper_bound(After);
-       Next != Wanted.end() && Listed.size() < Limit; ++Next)
-    Listed.push_back({*Next, *Book.find(*Next)});
+  for (auto It = Wanted.upper_bound(After);
+       It != Wanted.end() && Listed.size() < Limit; ++It)
+    Listed.push_back({*It, *Registry.find(*It)});
   return Listed;
 }
 
@@ -47,9 +47,9 @@
   return encodeResult(Result);
 }
 
-CommandResult FleetStateMachine::applyLocked(const Command &Value) {
+CommandResult FleetStateMachine::applyLocked(const Command &Request) {
   const BundleVersion Before = State_.bundles().inForce().Version_;
-  CommandResult Result = State_.apply(Value);
+  CommandResult Result = State_.apply(Request);
   if (Before != State_.bundles().inForce().Version_)
     Bundle_ = copyInForce(State_);
   return Result;
@@ -59,9 +59,9 @@
 
 void FleetStateMachine::endBatch() {
   Batch_.unlock();
-  for (const AppliedCommand &Each : std::exchange(PendingNotifications_, {}))
+  for (const AppliedCommand &Applied : std::exchange(PendingNotifications_, {}))
     if (OnApplied_)
-      OnApplied_(Each.Command_, Each.Result_);
+      OnApplied_(Applied.Command_, Applied.Result_);
 }
 
 std::string FleetStateMachine::takeSnapshot() const {
@@ -110,20 +110,20 @@
 
 std::optional<NamedJob> FleetStateMachine::findJob(const JobId &Job) const {
   const std::lock_guard Lock(Mutex_);
-  const FleetJob *Found = State_.jobs().find(Job);
-  if (!Found)
+  const FleetJob *Record = State_.jobs().find(Job);
+  if (!Record)
     return std::nullopt;
-  return NamedJob{Job, *Found};
+  return NamedJob{Job, *Record};
 }
 
 std::vector<NamedJob>
 FleetStateMachine::listHeld(const DataCentreId &DataCentre, std::size_t Limit,
                             const JobId &After) const {
   const std::lock_guard Lock(Mutex_);
-  const auto Found = State_.jobs().held().find(DataCentre);
-  if (Found == State_.jobs().held().end())
+  const auto It = State_.jobs().held().find(DataCentre);
+  if (It == State_.jobs().held().end())
     return {};
-  return collectJobs(State_.jobs(), Found->second, Limit, After);
+  return collectJobs(State_.jobs(), It->second, Limit, After);
 }
 
 std::vector<NamedJob>
@@ -137,8 +137,8 @@
   const std::lock_guard Lock(Mutex_);
   const auto &Jobs = State_.jobs().jobs();
   std::vector<NamedJob> Listed;
-  for (auto Next = Jobs.upper_bound(After);
-       Next != Jobs.end() && Listed.size() < Limit; ++Next)
-    Listed.push_back({Next->first, Next->second});
+  for (auto It = Jobs.upper_bound(After);
+       It != Jobs.end() && Listed.size() < Limit; ++It)
+    Listed.push_back({It->first, It->second});
   return Listed;
 }
--- a/src/fleet/JobAssigner.cpp
+++ b/src/fleet/JobAssigner.cpp
@@ -46,12 +46,12 @@
   AssignmentReply Reply;
   if (!LeadingSince_)
     return Reply;
-  DataCentreStatus &Known = DataCentres_[Report.DataCentre_];
-  Known.AnsweredAt_ = std::max(Known.AnsweredAt_, Now);
+  DataCentreStatus &Status = DataCentres_[Report.DataCentre_];
+  Status.AnsweredAt_ = std::max(Status.AnsweredAt_, Now);
   if (Report.HasLoad_) {
-    Known.Load_ = Report.Load_;
-    Known.HasLoad_ = true;
-    Known.AssignedSince_ = 0;
+    Status.Load_ = Report.Load_;
+    Status.HasLoad_ = true;
+    Status.AssignedSince_ = 0;
   }
   for (const HeldAssignment &Held : Report.Due_)
     if (isHeldBy(Jobs, Held, Report.DataCentre_) &&
@@ -74,10 +74,10 @@
 
 void JobAssigner::retryReleases(const JobRegistry &Jobs, TimePoint Now,
                                 std::size_t Budget, std::vector<Command> &Out) {
-  for (auto Next = PendingReleases_.begin(); Next != PendingReleases_.end();) {
-    auto &[Job, Release] = *Next;
+  for (auto It = PendingReleases_.begin(); It != PendingReleases_.end();) {
+    auto &[Job, Release] = *It;
     if (!isCurrent(Jobs, Job, Release.Assignment_)) {
-      Next = PendingReleases_.erase(Next);
+      It = PendingReleases_.erase(It);
       continue;
     }
     const bool IsDue = Now >= Release.ProposedAt_ + Times_.RetryInterval_;
@@ -85,7 +85,7 @@
       Release.ProposedAt_ = Now;
       Out.push_back(makeRelease(Job, Release.Assignment_));
     }
-    ++Next;
+    ++It;
   }
 }
 
@@ -142,10 +142,10 @@
   std::optional<DataCentreId> Best;
   double BestScore = 0;
   std::size_t BestHeld = 0;
-  for (const auto &[DataCentre, Known] : DataCentres_) {
+  for (const auto &[DataCentre, Status] : DataCentres_) {
     if (!isReachable(DataCentre, Now))
       continue;
-    const double Score = computeScore(Known);
+    const double Score = computeScore(Status);
     const auto Held = Jobs.held().find(DataCentre);
     const std::size_t Count =
         Held == Jobs.held().end() ? 0 : Held->second.size();
@@ -162,20 +162,20 @@
 
 /// Returns the reserved share plus the waiting tasks per server; lower is
 /// better.
-double JobAssigner::computeScore(const DataCentreStatus &Known) const {
-  const double Waiting = Known.Load_.WaitingTasks_ + Known.AssignedSince_;
-  return Known.Load_.Reserved_ +
-         Waiting / std::max<std::uint32_t>(1, Known.Load_.Servers_);
+double JobAssigner::computeScore(const DataCentreStatus &Status) const {
+  const double Waiting = Status.Load_.WaitingTasks_ + Status.AssignedSince_;
+  return Status.Load_.Reserved_ +
+         Waiting / std::max<std::uint32_t>(1, Status.Load_.Servers_);
 }
 
 bool JobAssigner::isReachable(const DataCentreId &DataCentre,
                               TimePoint Now) const {
-  const auto Found = DataCentres_.find(DataCentre);
-  if (Found == DataCentres_.end())
+  const auto It = DataCentres_.find(DataCentre);
+  if (It == DataCentres_.end())
     return false;
-  const DataCentreStatus &Known = Found->second;
-  return Known.HasLoad_ && Known.Load_.Servers_ > 0 &&
-         Now <= Known.AnsweredAt_ + Times_.ReachableTimeout_;
+  const DataCentreStatus &Status = It->second;
+  return Status.HasLoad_ && Status.Load_.Servers_ > 0 &&
+         Now <= Status.AnsweredAt_ + Times_.ReachableTimeout_;
 }
 
 std::optional<TimePoint>
@@ -183,8 +183,8 @@
   if (!LeadingSince_)
     return std::nullopt;
   TimePoint Renewed = *LeadingSince_;
-  const auto Found = DataCentres_.find(DataCentre);
-  if (Found != DataCentres_.end())
-    Renewed = std::max(Renewed, Found->second.AnsweredAt_);
+  const auto It = DataCentres_.find(DataCentre);
+  if (It != DataCentres_.end())
+    Renewed = std::max(Renewed, It->second.AnsweredAt_);
   return Renewed + Times_.Ttl_ + Times_.Margin_;
 }
--- a/src/fleet/JobRegistry.cpp
+++ b/src/fleet/JobRegistry.cpp
@@ -49,49 +49,50 @@
          Record.Assignment_ == Assignment;
 }
 
-static bool isSameJob(const FleetJob &Record, const SubmitJob &Value) {
-  return Record.Team_ == Value.Team_ && Record.Preferred_ == Value.Preferred_ &&
-         Record.SpecDigest_ == computeDigest(Value.Spec_);
+static bool isSameJob(const FleetJob &Record, const SubmitJob &Request) {
+  return Record.Team_ == Request.Team_ &&
+         Record.Preferred_ == Request.Preferred_ &&
+         Record.SpecDigest_ == computeDigest(Request.Spec_);
 }
 
-static std::string findSubmitError(const SubmitJob &Value) {
-  const std::size_t NameBytes = Value.Job_.value().size();
+static std::string findSubmitError(const SubmitJob &Request) {
+  const std::size_t NameBytes = Request.Job_.value().size();
   if (NameBytes == 0 || NameBytes > JobRegistry::MaxNameBytes)
     return "the job's name has " + std::to_string(NameBytes) +
            " bytes; 1 to 128 are allowed";
-  if (Value.Spec_.size() > JobRegistry::MaxSpecBytes)
-    return "the job's spec has " + std::to_string(Value.Spec_.size()) +
+  if (Request.Spec_.size() > JobRegistry::MaxSpecBytes)
+    return "the job's spec has " + std::to_string(Request.Spec_.size()) +
            " bytes; at most 65536 are allowed";
   return "";
 }
 
 const FleetJob *JobRegistry::find(const JobId &Job) const {
-  const auto Found = Jobs_.find(Job);
-  return Found == Jobs_.end() ? nullptr : &Found->second;
+  const auto It = Jobs_.find(Job);
+  return It == Jobs_.end() ? nullptr : &It->second;
 }
 
 FleetJob *JobRegistry::findOpen(const JobId &Job, CommandResult &Refusal) {
-  const auto Found = Jobs_.find(Job);
-  if (Found == Jobs_.end()) {
+  const auto It = Jobs_.find(Job);
+  if (It == Jobs_.end()) {
     Refusal = refuseUnknownJob(Job);
     return nullptr;
   }
-  if (Found->second.End_) {
-    Refusal = refuseEnded(Found->second);
+  if (It->second.End_) {
+    Refusal = refuseEnded(It->second);
     return nullptr;
   }
-  return &Found->second;
+  return &It->second;
 }
 
-CommandResult JobRegistry::submit(const SubmitJob &Value) {
-  const std::string Fault = findSubmitError(Value);
-  if (!Fault.empty())
-    return refuse(ErrorCode::InvalidArgument, Fault);
-  if (const FleetJob *Known = find(Value.Job_)) {
-    if (isSameJob(*Known, Value))
+CommandResult JobRegistry::submit(const SubmitJob &Request) {
+  const std::string Reason = findSubmitError(Request);
+  if (!Reason.empty())
+    return refuse(ErrorCode::InvalidArgument, Reason);
+  if (const FleetJob *Existing = find(Request.Job_)) {
+    if (isSameJob(*Existing, Request))
       return refuse(ErrorCode::AlreadyExists, "submitted before, unchanged");
     return refuse(ErrorCode::Conflict, "another job has the name '" +
-                                           Value.Job_.value() +
+                                           Request.Job_.value() +
                                            "'; choose a new name");
   }
   if (countOpen() >= MaxOpenJobs)
@@ -99,68 +100,68 @@
                   std::to_string(MaxOpenJobs) +
                       " jobs are open; submit again once some have ended");
   FleetJob Record;
-  Record.Team_ = Value.Team_;
-  Record.Spec_ = Value.Spec_;
-  Record.SpecDigest_ = computeDigest(Value.Spec_);
-  Record.Preferred_ = Value.Preferred_;
-  Record.SubmittedWallMs_ = Value.WallMs_;
-  Jobs_.emplace(Value.Job_, std::move(Record));
-  Unassigned_.insert(Value.Job_);
+  Record.Team_ = Request.Team_;
+  Record.Spec_ = Request.Spec_;
+  Record.SpecDigest_ = computeDigest(Request.Spec_);
+  Record.Preferred_ = Request.Preferred_;
+  Record.SubmittedWallMs_ = Request.WallMs_;
+  Jobs_.emplace(Request.Job_, std::move(Record));
+  Unassigned_.insert(Request.Job_);
   return confirm("submitted");
 }
 
-CommandResult JobRegistry::assign(const AssignJob &Value) {
+CommandResult JobRegistry::assign(const AssignJob &Request) {
   CommandResult Refusal;
-  FleetJob *const Open = findOpen(Value.Job_, Refusal);
+  FleetJob *const Open = findOpen(Request.Job_, Refusal);
   if (!Open)
     return Refusal;
   FleetJob &Record = *Open;
-  if (Value.DataCentre_.value().empty())
+  if (Request.DataCentre_.value().empty())
     return refuse(ErrorCode::InvalidArgument, "the data centre is missing");
   if (!Record.DataCentre_.value().empty()) {
-    const bool Same = Record.DataCentre_ == Value.DataCentre_;
+    const bool Same = Record.DataCentre_ == Request.DataCentre_;
     const auto Code = Same ? ErrorCode::AlreadyExists : ErrorCode::Conflict;
     return withAssignment(
         refuse(Code, "held by '" + Record.DataCentre_.value() + "'"),
         Record.Assignment_);
   }
-  Record.DataCentre_ = Value.DataCentre_;
+  Record.DataCentre_ = Request.DataCentre_;
   ++Record.Assignment_;
-  Unassigned_.erase(Value.Job_);
-  Held_[Value.DataCentre_].insert(Value.Job_);
+  Unassigned_.erase(Request.Job_);
+  Held_[Request.DataCentre_].insert(Request.Job_);
   return withAssignment(confirm("assigned"), Record.Assignment_);
 }
 
-CommandResult JobRegistry::release(const ReleaseJob &Value) {
+CommandResult JobRegistry::release(const ReleaseJob &Request) {
   CommandResult Refusal;
-  FleetJob *const Open = findOpen(Value.Job_, Refusal);
+  FleetJob *const Open = findOpen(Request.Job_, Refusal);
   if (!Open)
     return Refusal;
   FleetJob &Record = *Open;
-  if (!isHeldUnder(Record, Value.Assignment_)) {
+  if (!isHeldUnder(Record, Request.Assignment_)) {
     const bool Repeated = Record.DataCentre_.value().empty() &&
-                          Record.Assignment_ == Value.Assignment_;
+                          Record.Assignment_ == Request.Assignment_;
     return Repeated ? refuse(ErrorCode::AlreadyExists, "already released")
-                    : refuseStale(Record, Value.Assignment_);
+                    : refuseStale(Record, Request.Assignment_);
   }
-  if (Value.Progress_.size() > MaxProgressBytes)
+  if (Request.Progress_.size() > MaxProgressBytes)
     return refuse(ErrorCode::TooLarge, "the progress is larger than 1 MiB");
-  if (!Value.Progress_.empty())
-    Record.Progress_ = Value.Progress_;
-  unassign(Value.Job_, Record);
+  if (!Request.Progress_.empty())
+    Record.Progress_ = Request.Progress_;
+  unassign(Request.Job_, Record);
   if (Record.Cancelling_)
-    finishJob(Value.Job_, Record, JobEnd::Cancelled, "cancelled", 0);
+    finishJob(Request.Job_, Record, JobEnd::Cancelled, "cancelled", 0);
   return confirm("released");
 }
 
-CommandResult JobRegistry::cancel(const CancelJob &Value) {
+CommandResult JobRegistry::cancel(const CancelJob &Request) {
   CommandResult Refusal;
-  FleetJob *const Open = findOpen(Value.Job_, Refusal);
+  FleetJob *const Open = findOpen(Request.Job_, Refusal);
   if (!Open)
     return Refusal;
   FleetJob &Record = *Open;
   if (Record.DataCentre_.value().empty()) {
-    finishJob(Value.Job_, Record, JobEnd::Cancelled,
+    finishJob(Request.Job_, Record, JobEnd::Cancelled,
               "cancelled before it was assigned", 0);
     return confirm("cancelled");
   }
@@ -172,16 +173,17 @@
                  "' is requested to cancel the job");
 }
 
-CommandResult JobRegistry::end(const EndJob &Value) {
+CommandResult JobRegistry::end(const EndJob &Request) {
   CommandResult Refusal;
-  FleetJob *const Open = findOpen(Value.Job_, Refusal);
+  FleetJob *const Open = findOpen(Request.Job_, Refusal);
   if (!Open)
     return Refusal;
   FleetJob &Record = *Open;
-  if (!isHeldUnder(Record, Value.Assignment_))
-    return refuseStale(Record, Value.Assignment_);
-  unassign(Value.Job_, Record);
-  finishJob(Value.Job_, Record, Value.End_, Value.Message_, Value.WallMs_);
+  if (!isHeldUnder(Record, Request.Assignment_))
+    return refuseStale(Record, Request.Assignment_);
+  unassign(Request.Job_, Record);
+  finishJob(Request.Job_, Record, Request.End_, Request.Message_,
+            Request.WallMs_);
   return confirm("ended");
 }
 
@@ -215,15 +217,15 @@
 /// Returns whether Ended contains each ended job once and no other job.
 static bool listsExactlyEndedJobs(const std::map<JobId, FleetJob> &Jobs,
                                   const std::deque<JobId> &Ended) {
-  std::set<JobId> Named;
+  std::set<JobId> Listed;
   for (const JobId &Job : Ended) {
-    const auto Found = Jobs.find(Job);
-    if (Found == Jobs.end() || !Found->second.End_ || !Named.insert(Job).second)
+    const auto It = Jobs.find(Job);
+    if (It == Jobs.end() || !It->second.End_ || !Listed.insert(Job).second)
       return false;
   }
   const auto Count = std::ranges::count_if(
       Jobs, [](const auto &Entry) { return Entry.second.End_.has_value(); });
-  return static_cast<std::size_t>(Count) == Named.size();
+  return static_cast<std::size_t>(Count) == Listed.size();
 }
 
 Outcome<JobRegistry> JobRegistry::restore(std::map<JobId, FleetJob> Jobs,
@@ -231,16 +233,16 @@
   if (!listsExactlyEndedJobs(Jobs, Ended))
     return fail(ErrorCode::Malformed,
                 "the snapshot's list of ended jobs does not match its jobs");
-  JobRegistry Book;
-  Book.Jobs_ = std::move(Jobs);
-  Book.Ended_ = std::move(Ended);
-  for (const auto &[Job, Record] : Book.Jobs_) {
+  JobRegistry Registry;
+  Registry.Jobs_ = std::move(Jobs);
+  Registry.Ended_ = std::move(Ended);
+  for (const auto &[Job, Record] : Registry.Jobs_) {
     if (Record.End_)
       continue;
     if (Record.DataCentre_.value().empty())
-      Book.Unassigned_.insert(Job);
+      Registry.Unassigned_.insert(Job);
     else
-      Book.Held_[Record.DataCentre_].insert(Job);
+      Registry.Held_[Record.DataCentre_].insert(Job);
   }
-  return Book;
+  return Registry;
 }
--- a/src/fleet/JsonText.cpp
+++ b/src/fleet/JsonText.cpp
@@ -89,17 +89,17 @@
 }
 
 std::string fleet::appendPointer(const std::string &Pointer,
-                                 std::string_view Step) {
-  std::string Longer = Pointer + "/";
-  for (const char Letter : Step) {
-    if (Letter == '~')
-      Longer += "~0";
-    else if (Letter == '/')
-      Longer += "~1";
+                                 std::string_view Token) {
+  std::string Extended = Pointer + "/";
+  for (const char Character : Token) {
+    if (Character == '~')
+      Extended += "~0";
+    else if (Character == '/')
+      Extended += "~1";
     else
-      Longer += Letter;
+      Extended += Character;
   }
-  return Longer;
+  return Extended;
 }
 
 /// Converts the library's byte number, which counts from 1, to a line and
@@ -123,10 +123,10 @@
 
 static bool isTooDeep(std::string_view Text) {
   std::size_t Depth = 0;
-  for (const char Letter : Text) {
-    if (Letter == '[' || Letter == '{')
+  for (const char Character : Text) {
+    if (Character == '[' || Character == '{')
       ++Depth;
-    if ((Letter == ']' || Letter == '}') && Depth > 0)
+    if ((Character == ']' || Character == '}') && Depth > 0)
       --Depth;
     if (Depth > MaxNesting)
       return true;
--- a/src/fleet/JsonText.h
+++ b/src/fleet/JsonText.h
@@ -20,7 +20,7 @@
 namespace tulipweir::fleet {
 
 /// Appends one reference token to a JSON pointer, escaped as in RFC 6901.
-std::string appendPointer(const std::string &Pointer, std::string_view Step);
+std::string appendPointer(const std::string &Pointer, std::string_view Token);
 
 /// Returns the parsed value, or nullopt after adding the reason to Problems.
 /// Duplicate keys are added to Problems too.
--- a/src/fleet/Signing.cpp
+++ b/src/fleet/Signing.cpp
@@ -37,8 +37,9 @@
   return Text;
 }
 
-static bool isLowerHex(char Letter) {
-  return (Letter >= '0' && Letter <= '9') || (Letter >= 'a' && Letter <= 'f');
+static bool isLowerHex(char Character) {
+  return (Character >= '0' && Character <= '9') ||
+         (Character >= 'a' && Character <= 'f');
 }
 
 /// Each value has one spelling: upper case and other lengths are rejected.
@@ -132,10 +133,11 @@
                          std::string_view Signature) {
   initSodium();
   const auto Key = fromHex<crypto_sign_PUBLICKEYBYTES>(PublicKey);
-  const auto Sign = fromHex<crypto_sign_BYTES>(Signature);
-  if (!Key || !Sign)
+  const auto RawSignature = fromHex<crypto_sign_BYTES>(Signature);
+  if (!Key || !RawSignature)
     return false;
-  return crypto_sign_verify_detached(Sign->data(), asBytes(Value.value()),
+  return crypto_sign_verify_detached(RawSignature->data(),
+                                     asBytes(Value.value()),
                                      Value.value().size(), Key->data()) == 0;
 }
 
--- a/tests/fleet/AssignmentScheduleTest.cpp
+++ b/tests/fleet/AssignmentScheduleTest.cpp
@@ -63,9 +63,10 @@
   const std::string &getViolation() const { return Violation_; }
 
 private:
-  TimePoint readClock(const Control &Of) const {
-    const double Local = static_cast<double>(Now_.count()) * Of.Rate_;
-    return TimePoint(Of.Offset_ + Duration(static_cast<std::int64_t>(Local)));
+  TimePoint readClock(const Control &Owner) const {
+    const double Local = static_cast<double>(Now_.count()) * Owner.Rate_;
+    return TimePoint(Owner.Offset_ +
+                     Duration(static_cast<std::int64_t>(Local)));
   }
   bool happens(unsigned Percent) { return Random_() % 100 < Percent; }
   bool arePartitioned(std::size_t A, std::size_t B) const {
@@ -74,9 +75,9 @@
   }
   /// Most delays are short; some span an election, few span a lease.
   Duration makeDelay() {
-    const Duration Long = happens(20) ? Ttl * 2 : Ttl / 4;
-    const Duration Most = happens(10) ? Long : Ttl / 1000;
-    return Duration(static_cast<std::int64_t>(Random_() % Most.count()));
+    const Duration LongDelay = happens(20) ? Ttl * 2 : Ttl / 4;
+    const Duration MaxDelay = happens(10) ? LongDelay : Ttl / 1000;
+    return Duration(static_cast<std::int64_t>(Random_() % MaxDelay.count()));
   }
   void schedule(Duration Delay, std::function<void()> Event) {
     Events_.emplace(Now_ + Delay, std::move(Event));
@@ -115,11 +116,11 @@
 
 Schedule::Schedule(std::uint64_t Seed) : Random_(Seed), Controls_(Controls) {
   const auto Times = AssignmentTimes::makeFor(Ttl);
-  for (Control &One : Controls_) {
-    One.Rate_ = Random_() % 2 ? 0.99 : 1.01;
-    One.Offset_ = seconds(Random_() % 1'000'000);
-    One.Assigner_ = std::make_unique<JobAssigner>(Times);
-    One.Lease_ = std::make_unique<AssignmentLease>(Times);
+  for (Control &Process : Controls_) {
+    Process.Rate_ = Random_() % 2 ? 0.99 : 1.01;
+    Process.Offset_ = seconds(Random_() % 1'000'000);
+    Process.Assigner_ = std::make_unique<JobAssigner>(Times);
+    Process.Lease_ = std::make_unique<AssignmentLease>(Times);
   }
   for (std::size_t I = 0; I < Jobs; ++I)
     commit(SubmitJob{nameJob(I), TeamId("t"), "s",
@@ -148,9 +149,9 @@
 /// Commits a random prefix of the old leader's proposals; the new leader starts
 /// once it has applied them. The old leader does not notice the change.
 void Schedule::changeLeader() {
-  const std::size_t Survive =
+  const std::size_t CommittedCount =
       InFlight_.empty() ? 0 : Random_() % (InFlight_.size() + 1);
-  for (std::size_t I = 0; I < Survive; ++I)
+  for (std::size_t I = 0; I < CommittedCount; ++I)
     commit(InFlight_[I]);
   InFlight_.clear();
   ++Term_;
@@ -169,14 +170,14 @@
 
 void Schedule::sendReport(std::size_t From) {
   Control &Sender = Controls_[From];
-  const DataCentreId Own = nameDataCentre(From);
+  const DataCentreId DataCentre = nameDataCentre(From);
   std::vector<HeldAssignment> Standing;
-  if (const auto Held = Sender.State_.jobs().held().find(Own);
+  if (const auto Held = Sender.State_.jobs().held().find(DataCentre);
       Held != Sender.State_.jobs().held().end())
     for (const JobId &Job : Held->second)
       Standing.push_back({Job, Sender.State_.jobs().find(Job)->Assignment_});
   const TimePoint SentAt = readClock(Sender);
-  AssignmentReport Report{Own, true, {0.5, 0, 8}, {}};
+  AssignmentReport Report{DataCentre, true, {0.5, 0, 8}, {}};
   Report.Due_ = Sender.Lease_->listDue(Standing, SentAt, Jobs);
   if (arePartitioned(From, Sender.KnownLeader_))
     return;
@@ -287,11 +288,11 @@
   std::size_t Moves = 0;
   std::size_t HeldChecks = 0;
   for (std::uint64_t Seed = 0; Seed < Seeds; ++Seed) {
-    Schedule Tried(Seed);
-    Tried.run();
-    ASSERT_EQ(Tried.getViolation(), "") << "seed " << Seed;
-    Moves += Tried.getMoves();
-    HeldChecks += Tried.getHeldChecks();
+    Schedule Simulation(Seed);
+    Simulation.run();
+    ASSERT_EQ(Simulation.getViolation(), "") << "seed " << Seed;
+    Moves += Simulation.getMoves();
+    HeldChecks += Simulation.getHeldChecks();
   }
   EXPECT_GT(Moves, Seeds * Jobs) << "too few assignments were made";
   EXPECT_GT(HeldChecks, 100'000U) << "too few held jobs were checked";
--- a/tests/fleet/BundleCheckTest.cpp
+++ b/tests/fleet/BundleCheckTest.cpp
@@ -94,7 +94,7 @@
 }
 
 namespace {
-struct BadField {
+struct InvalidField {
   const char *Pointer_;
   json Value_;
 };
@@ -102,7 +102,7 @@
 
 /// Each line violates one rule; the problem must name exactly that location.
 TEST(BundleCheckTest, EachInvalidFieldIsReportedAtItsLocation) {
-  const BadField Lines[] = {
+  const InvalidField Lines[] = {
       {"/version", 0},
       {"/version", "2"},
       {"/version", 2.5},
@@ -146,7 +146,7 @@
       {"/policy/a~1b", 1}, // An unknown field with a slash in its name.
       {"/extra", {}},
   };
-  for (const BadField &Line : Lines) {
+  for (const InvalidField &Line : Lines) {
     json Value = makeFullBundle();
     Value[json::json_pointer(Line.Pointer_)] = Line.Value_;
     EXPECT_THAT(findProblems(Value.dump()),
@@ -187,8 +187,8 @@
 
 TEST(BundleCheckTest, DuplicateKeyIsReportedAtItsLocation) {
   std::string Text = makeFullBundle().dump();
-  const std::string Once = "\"queueLimit\":32";
-  Text.replace(Text.find(Once), Once.size(), Once + "," + Once);
+  const std::string Entry = "\"queueLimit\":32";
+  Text.replace(Text.find(Entry), Entry.size(), Entry + "," + Entry);
   EXPECT_THAT(findProblems(Text), Contains(Field(&BundleProblem::Location_,
                                                  "/services/0/queueLimit")));
 }
@@ -239,9 +239,9 @@
   for (const auto &Item : Value.items()) {
     std::string Longer = Pattern;
     Longer.append("/").append(Value.is_array() ? "N" : Item.key());
-    auto Found = findIllTyped(Item.value(), Longer);
-    if (!Found.empty())
-      return Found;
+    auto Path = findIllTyped(Item.value(), Longer);
+    if (!Path.empty())
+      return Path;
   }
   return "";
 }
@@ -257,20 +257,20 @@
 
 TEST(BundleFuzzTest, MutatedTextIsNeverAcceptedWithWrongTypes) {
   const std::string Whole = makeFullBundle().dump();
-  static constexpr char Likely[] = "{}[]\",:0123456789.-eE/*\\ntf \xff\0";
+  static constexpr char SpecialBytes[] = "{}[]\",:0123456789.-eE/*\\ntf \xff\0";
   std::mt19937_64 Random(4711);
   std::size_t Accepted = 0;
   for (int Round = 0; Round < 6000; ++Round) {
     std::string Text = Whole;
     for (unsigned Change = 0; Change < 1 + Round % 3U; ++Change) {
       const std::size_t At = Random() % Text.size();
-      const char Letter = Likely[Random() % (sizeof(Likely) - 1)];
+      const char Byte = SpecialBytes[Random() % (sizeof(SpecialBytes) - 1)];
       if (Random() % 3 == 0)
         Text.erase(At, 1 + Random() % 8);
       else if (Random() % 2 == 0)
-        Text.insert(At, 1, Letter);
+        Text.insert(At, 1, Byte);
       else
-        Text[At] = Letter;
+        Text[At] = Byte;
     }
     expectConsistentResult(Text);
     Accepted += checkBundle(Text).Bundle_.size();
@@ -310,8 +310,8 @@
   std::mt19937_64 Random(99);
   for (int Round = 0; Round < 2000; ++Round) {
     std::string Text(Random() % 200, '\0');
-    for (char &Letter : Text)
-      Letter = static_cast<char>(Random());
+    for (char &Byte : Text)
+      Byte = static_cast<char>(Random());
     EXPECT_TRUE(checkBundle(Text).Bundle_.empty());
   }
 }
--- a/tests/fleet/BundleRegistryTest.cpp
+++ b/tests/fleet/BundleRegistryTest.cpp
@@ -18,77 +18,80 @@
 class BundleRegistryTest : public testing::Test {
 protected:
   BundleRegistryTest() {
-    Book_.propose(makeProposal(First_, 1));
-    EXPECT_TRUE(Book_.sign(makeSignCommand(First_, 2)).Accepted_);
+    Registry_.propose(makeProposal(First_, 1));
+    EXPECT_TRUE(Registry_.sign(makeSignCommand(First_, 2)).Accepted_);
   }
-  std::string makeNext(const std::string &Note) const {
+  std::string makeSuccessor(const std::string &Note) const {
     return makeBundleText(2, 1, computeDigest(First_).value(), 3, 2, Note);
   }
-  std::uint64_t inForce() const { return Book_.inForce().Version_.value(); }
+  std::uint64_t inForce() const { return Registry_.inForce().Version_.value(); }
 
   std::string First_ = makeBundleText(1, 0, "");
-  BundleRegistry Book_;
+  BundleRegistry Registry_;
 };
 } // namespace
 
 TEST_F(BundleRegistryTest, FirstBundleIsSignedByItsOwnOperators) {
   EXPECT_EQ(inForce(), 1U);
-  EXPECT_EQ(Book_.history().latest()->SignedBy_,
+  EXPECT_EQ(Registry_.history().latest()->SignedBy_,
             (std::vector<OperatorId>{makeOperator(1), makeOperator(2)}));
 }
 
 TEST_F(BundleRegistryTest, BundleIsAcceptedWithLastSignOff) {
-  const auto Next = makeNext("");
-  const CommandResult Kept = Book_.propose(makeProposal(Next, 1));
-  EXPECT_EQ(Kept.Error_, "");
-  EXPECT_FALSE(Kept.Accepted_);
+  const auto Next = makeSuccessor("");
+  const CommandResult Result = Registry_.propose(makeProposal(Next, 1));
+  EXPECT_EQ(Result.Error_, "");
+  EXPECT_FALSE(Result.Accepted_);
   EXPECT_EQ(inForce(), 1U);
-  EXPECT_TRUE(Book_.sign(makeSignCommand(Next, 3)).Accepted_);
+  EXPECT_TRUE(Registry_.sign(makeSignCommand(Next, 3)).Accepted_);
   EXPECT_EQ(inForce(), 2U);
 }
 
 TEST_F(BundleRegistryTest, OperatorIsNotCountedTwice) {
-  const auto Next = makeNext("");
-  Book_.propose(makeProposal(Next, 1));
-  EXPECT_EQ(Book_.propose(makeProposal(Next, 1)).Error_, "already_exists");
-  EXPECT_EQ(Book_.sign(makeSignCommand(Next, 1)).Error_, "already_exists");
+  const auto Next = makeSuccessor("");
+  Registry_.propose(makeProposal(Next, 1));
+  EXPECT_EQ(Registry_.propose(makeProposal(Next, 1)).Error_, "already_exists");
+  EXPECT_EQ(Registry_.sign(makeSignCommand(Next, 1)).Error_, "already_exists");
   EXPECT_EQ(inForce(), 1U);
 }
 
 TEST_F(BundleRegistryTest, UnknownOperatorsAndForgedSignaturesAreRejected) {
-  const auto Next = makeNext("");
-  Book_.propose(makeProposal(Next, 1));
+  const auto Next = makeSuccessor("");
+  Registry_.propose(makeProposal(Next, 1));
   SignBundle Forged = makeSignCommand(Next, 3);
   Forged.SignOff_.Operator_ = makeOperator(2);
-  EXPECT_EQ(Book_.sign(Forged).Error_, "permission_denied");
-  EXPECT_EQ(Book_.sign(makeSignCommand(Next, 9)).Error_, "permission_denied");
-  SignBundle OtherText = makeSignCommand(makeNext("other"), 2);
+  EXPECT_EQ(Registry_.sign(Forged).Error_, "permission_denied");
+  EXPECT_EQ(Registry_.sign(makeSignCommand(Next, 9)).Error_,
+            "permission_denied");
+  SignBundle OtherText = makeSignCommand(makeSuccessor("other"), 2);
   OtherText.Digest_ = computeDigest(Next);
-  EXPECT_EQ(Book_.sign(OtherText).Error_, "permission_denied");
+  EXPECT_EQ(Registry_.sign(OtherText).Error_, "permission_denied");
   EXPECT_EQ(inForce(), 1U);
 }
 
 TEST_F(BundleRegistryTest, OperatorsInForceDecideNotProposedOnes) {
   // Operator 4 is only on the proposed list, which would require one sign-off.
   const auto Next = makeBundleText(2, 1, computeDigest(First_).value(), 4, 1);
-  EXPECT_EQ(Book_.propose(makeProposal(Next, 4)).Error_, "permission_denied");
-  EXPECT_FALSE(Book_.propose(makeProposal(Next, 1)).Accepted_);
+  EXPECT_EQ(Registry_.propose(makeProposal(Next, 4)).Error_,
+            "permission_denied");
+  EXPECT_FALSE(Registry_.propose(makeProposal(Next, 1)).Accepted_);
   EXPECT_EQ(inForce(), 1U);
 }
 
 TEST_F(BundleRegistryTest, ResentAcceptedBundleIsReportedAsAccepted) {
-  const auto Next = makeNext("");
-  Book_.propose(makeProposal(Next, 1));
-  Book_.sign(makeSignCommand(Next, 2));
-  for (const CommandResult &Again : {Book_.propose(makeProposal(Next, 1)),
-                                     Book_.sign(makeSignCommand(Next, 2)),
-                                     Book_.propose(makeProposal(First_, 1)),
-                                     Book_.sign(makeSignCommand(First_, 3))}) {
-    EXPECT_EQ(Again.Error_, "already_exists");
-    EXPECT_TRUE(Again.Accepted_);
+  const auto Next = makeSuccessor("");
+  Registry_.propose(makeProposal(Next, 1));
+  Registry_.sign(makeSignCommand(Next, 2));
+  for (const CommandResult &Resent :
+       {Registry_.propose(makeProposal(Next, 1)),
+        Registry_.sign(makeSignCommand(Next, 2)),
+        Registry_.propose(makeProposal(First_, 1)),
+        Registry_.sign(makeSignCommand(First_, 3))}) {
+    EXPECT_EQ(Resent.Error_, "already_exists");
+    EXPECT_TRUE(Resent.Accepted_);
   }
   EXPECT_EQ(inForce(), 2U);
-  EXPECT_EQ(Book_.history().size(), 2U);
+  EXPECT_EQ(Registry_.history().size(), 2U);
 }
 
 TEST_F(BundleRegistryTest, ParentVersionAndParentDigestMustBothBeInForce) {
@@ -96,34 +99,36 @@
   for (const auto &Stale : {makeBundleText(1, 0, ""), makeBundleText(2, 0, ""),
                             makeBundleText(3, 2, Digest1),
                             makeBundleText(2, 1, std::string(64, 'b'))}) {
-    const auto Result = Book_.propose(makeProposal(Stale, 1));
+    const auto Result = Registry_.propose(makeProposal(Stale, 1));
     EXPECT_EQ(Result.Error_, Stale == First_ ? "already_exists" : "conflict");
     EXPECT_EQ(Result.Digest_.value(), Digest1);
   }
 }
 
 TEST_F(BundleRegistryTest, SignersOfSupersededProposalReceiveAcceptedDigest) {
-  const auto Lost = makeNext("lost");
-  const auto Won = makeNext("won");
-  Book_.propose(makeProposal(Lost, 1));
-  Book_.propose(makeProposal(Won, 2));
-  Book_.sign(makeSignCommand(Won, 3));
-  const CommandResult Told = Book_.sign(makeSignCommand(Lost, 2));
-  EXPECT_EQ(Told.Error_, "conflict");
-  EXPECT_EQ(Told.Digest_, computeDigest(Won));
-  EXPECT_TRUE(Book_.proposals().empty());
+  const auto Superseded = makeSuccessor("lost");
+  const auto Accepted = makeSuccessor("won");
+  Registry_.propose(makeProposal(Superseded, 1));
+  Registry_.propose(makeProposal(Accepted, 2));
+  Registry_.sign(makeSignCommand(Accepted, 3));
+  const CommandResult Result = Registry_.sign(makeSignCommand(Superseded, 2));
+  EXPECT_EQ(Result.Error_, "conflict");
+  EXPECT_EQ(Result.Digest_, computeDigest(Accepted));
+  EXPECT_TRUE(Registry_.proposals().empty());
 }
 
 TEST_F(BundleRegistryTest, OldestProposalOfAnOperatorIsEvicted) {
   for (int I = 0; I < 10; ++I)
-    Book_.propose(makeProposal(makeNext(std::to_string(I)), 1));
-  EXPECT_EQ(Book_.proposals().size(), BundleRegistry::MaxProposalsPerOperator);
-  EXPECT_EQ(Book_.sign(makeSignCommand(makeNext("0"), 2)).Error_, "not_found");
-  EXPECT_TRUE(Book_.sign(makeSignCommand(makeNext("9"), 2)).Accepted_);
+    Registry_.propose(makeProposal(makeSuccessor(std::to_string(I)), 1));
+  EXPECT_EQ(Registry_.proposals().size(),
+            BundleRegistry::MaxProposalsPerOperator);
+  EXPECT_EQ(Registry_.sign(makeSignCommand(makeSuccessor("0"), 2)).Error_,
+            "not_found");
+  EXPECT_TRUE(Registry_.sign(makeSignCommand(makeSuccessor("9"), 2)).Accepted_);
 }
 
 TEST_F(BundleRegistryTest, InvalidTextIsRejectedWithItsProblems) {
-  const CommandResult Result = Book_.propose(makeProposal("{}", 1));
+  const CommandResult Result = Registry_.propose(makeProposal("{}", 1));
   EXPECT_EQ(Result.Error_, "invalid_argument");
   EXPECT_NE(Result.Message_.find("/version is missing"), std::string::npos);
 }
@@ -135,8 +140,8 @@
   for (unsigned Seed = 0; Seed < 8; ++Seed) {
     std::mt19937 Random(Seed);
     const auto First = makeBundleText(1, 0, "", Operators, 1);
-    BundleRegistry Book;
-    ASSERT_TRUE(Book.propose(makeProposal(First, 1)).Accepted_);
+    BundleRegistry Registry;
+    ASSERT_TRUE(Registry.propose(makeProposal(First, 1)).Accepted_);
     std::vector<ProposeBundle> Sent;
     for (unsigned I = 1; I <= Operators; ++I)
       for (unsigned Copy = 0; Copy < 1 + Random() % 3; ++Copy)
@@ -146,18 +151,18 @@
             I));
     std::shuffle(Sent.begin(), Sent.end(), Random);
     const Digest Winner = computeDigest(Sent.front().Text_);
-    unsigned Wins = 0;
-    for (const ProposeBundle &One : Sent) {
-      const CommandResult Result = Book.propose(One);
-      Wins += Result.Error_.empty() ? 1 : 0;
-      const bool IsWinner = computeDigest(One.Text_) == Winner;
+    unsigned AcceptedCount = 0;
+    for (const ProposeBundle &Proposal : Sent) {
+      const CommandResult Result = Registry.propose(Proposal);
+      AcceptedCount += Result.Error_.empty() ? 1 : 0;
+      const bool IsWinner = computeDigest(Proposal.Text_) == Winner;
       EXPECT_EQ(Result.Accepted_, IsWinner);
       EXPECT_EQ(Result.Digest_, Winner);
       EXPECT_EQ(Result.Error_ == "conflict", !IsWinner);
     }
-    EXPECT_EQ(Wins, 1U);
-    EXPECT_EQ(Book.history().size(), 2U);
-    EXPECT_EQ(Book.history().latest()->Digest_, Winner);
+    EXPECT_EQ(AcceptedCount, 1U);
+    EXPECT_EQ(Registry.history().size(), 2U);
+    EXPECT_EQ(Registry.history().latest()->Digest_, Winner);
   }
 }
 
@@ -187,13 +192,14 @@
 }
 
 TEST_F(BundleRegistryTest, InconsistentSnapshotIsRejected) {
-  Book_.propose(makeProposal(makeNext("waits"), 1));
-  const AcceptedBundle InForce = *Book_.history().latest();
+  Registry_.propose(makeProposal(makeSuccessor("waits"), 1));
+  const AcceptedBundle InForce = *Registry_.history().latest();
   const auto Restore = [&](const std::deque<AcceptedBundle> &Recent) {
-    return BundleRegistry::restore(BundleHistory({}, Recent), Book_.proposals(),
-                                   {}, Book_.nextSequence());
+    return BundleRegistry::restore(BundleHistory({}, Recent),
+                                   Registry_.proposals(), {},
+                                   Registry_.nextSequence());
   };
-  EXPECT_EQ(Restore({InForce}).value(), Book_);
+  EXPECT_EQ(Restore({InForce}).value(), Registry_);
   AcceptedBundle OtherVersion = InForce;
   OtherVersion.Version_ = BundleVersion(2);
   AcceptedBundle OtherText = InForce;
@@ -205,9 +211,9 @@
   EXPECT_FALSE(Restore({NoDigest, InForce}).has_value());
   EXPECT_FALSE(Restore({InForce, InForce}).has_value())
       << "versions do not increase";
-  auto Proposals = Book_.proposals();
+  auto Proposals = Registry_.proposals();
   Proposals.begin()->second.Text_ += " ";
   EXPECT_FALSE(BundleRegistry::restore(BundleHistory({}, {InForce}), Proposals,
-                                       {}, Book_.nextSequence())
+                                       {}, Registry_.nextSequence())
                    .has_value());
 }
--- a/tests/fleet/ExamplesTest.cpp
+++ b/tests/fleet/ExamplesTest.cpp
@@ -36,9 +36,11 @@
 
 TEST(ExamplesTest, LocalTemplateIsValidOnceKeysAreFilledIn) {
   std::string Text = readExample("local.bundle.json");
-  const std::string Mark = "\"@PUBLIC_KEY@\"";
+  const std::string Placeholder = "\"@PUBLIC_KEY@\"";
   EXPECT_FALSE(checkBundle(Text).Problems_.empty());
-  for (auto At = Text.find(Mark); At != std::string::npos; At = Text.find(Mark))
-    Text.replace(At, Mark.size(), "\"" + makeKeyPair().PublicKey_ + "\"");
+  for (auto At = Text.find(Placeholder); At != std::string::npos;
+       At = Text.find(Placeholder))
+    Text.replace(At, Placeholder.size(),
+                 "\"" + makeKeyPair().PublicKey_ + "\"");
   checkExample(Text);
 }
--- a/tests/fleet/FleetDifferentialTest.cpp
+++ b/tests/fleet/FleetDifferentialTest.cpp
@@ -44,15 +44,15 @@
   };
 
   /// Returns whether the bundle is or was in force.
-  bool addSignature(const Proposal &Shape, const std::string &Signer);
+  bool addSignature(const Proposal &Proposed, const std::string &Signer);
   void apply(const Command &Value);
   bool matches(const FleetState &Real) const;
 
 private:
   Job *find(const JobId &Name) {
-    for (Job &One : Jobs_)
-      if (One.Name_ == Name.value())
-        return &One;
+    for (Job &Candidate : Jobs_)
+      if (Candidate.Name_ == Name.value())
+        return &Candidate;
     return nullptr;
   }
 
@@ -63,27 +63,27 @@
 
 } // namespace
 
-bool NaiveFleet::addSignature(const Proposal &Shape,
+bool NaiveFleet::addSignature(const Proposal &Proposed,
                               const std::string &Signer) {
-  for (const Proposal &One : Accepted_)
-    if (One.Text_ == Shape.Text_)
+  for (const Proposal &Entry : Accepted_)
+    if (Entry.Text_ == Proposed.Text_)
       return true;
   const std::uint64_t Now = Accepted_.empty() ? 0 : Accepted_.back().Version_;
   const std::string NowDigest =
       Accepted_.empty() ? "" : computeDigest(Accepted_.back().Text_).value();
-  if (Shape.Parent_ != Now || Shape.ParentDigest_ != NowDigest)
+  if (Proposed.Parent_ != Now || Proposed.ParentDigest_ != NowDigest)
     return false;
-  for (Proposal &One : All_) {
-    if (One.Text_ != Shape.Text_)
+  for (Proposal &Entry : All_) {
+    if (Entry.Text_ != Proposed.Text_)
       continue;
-    One.Signers_.insert(Signer);
-    if (One.Signers_.size() < Needed)
+    Entry.Signers_.insert(Signer);
+    if (Entry.Signers_.size() < Needed)
       return false;
-    Accepted_.push_back(One);
+    Accepted_.push_back(Entry);
     All_.clear();
     return true;
   }
-  All_.push_back(Shape);
+  All_.push_back(Proposed);
   All_.back().Signers_ = {Signer};
   return false;
 }
@@ -93,38 +93,38 @@
     if (!find(Submit->Job_))
       Jobs_.emplace_back().Name_ = Submit->Job_.value();
   } else if (const auto *Assign = std::get_if<AssignJob>(&Value)) {
-    Job *Found = find(Assign->Job_);
-    if (Found && !Found->Ended_ && Found->Holder_.empty()) {
-      Found->Holder_ = Assign->DataCentre_.value();
-      ++Found->Assignment_;
+    Job *Record = find(Assign->Job_);
+    if (Record && !Record->Ended_ && Record->Holder_.empty()) {
+      Record->Holder_ = Assign->DataCentre_.value();
+      ++Record->Assignment_;
     }
   } else if (const auto *Release = std::get_if<ReleaseJob>(&Value)) {
-    Job *Found = find(Release->Job_);
-    if (Found && !Found->Ended_ && !Found->Holder_.empty() &&
-        Found->Assignment_ == Release->Assignment_) {
-      Found->Holder_.clear();
+    Job *Record = find(Release->Job_);
+    if (Record && !Record->Ended_ && !Record->Holder_.empty() &&
+        Record->Assignment_ == Release->Assignment_) {
+      Record->Holder_.clear();
       if (!Release->Progress_.empty())
-        Found->Progress_ = Release->Progress_;
-      if (Found->Cancelling_) {
-        Found->Ended_ = true;
-        Found->End_ = JobEnd::Cancelled;
+        Record->Progress_ = Release->Progress_;
+      if (Record->Cancelling_) {
+        Record->Ended_ = true;
+        Record->End_ = JobEnd::Cancelled;
       }
     }
   } else if (const auto *Cancel = std::get_if<CancelJob>(&Value)) {
-    Job *Found = find(Cancel->Job_);
-    if (Found && !Found->Ended_ && Found->Holder_.empty()) {
-      Found->Ended_ = true;
-      Found->End_ = JobEnd::Cancelled;
-    } else if (Found && !Found->Ended_) {
-      Found->Cancelling_ = true;
+    Job *Record = find(Cancel->Job_);
+    if (Record && !Record->Ended_ && Record->Holder_.empty()) {
+      Record->Ended_ = true;
+      Record->End_ = JobEnd::Cancelled;
+    } else if (Record && !Record->Ended_) {
+      Record->Cancelling_ = true;
     }
   } else if (const auto *End = std::get_if<EndJob>(&Value)) {
-    Job *Found = find(End->Job_);
-    if (Found && !Found->Ended_ && !Found->Holder_.empty() &&
-        Found->Assignment_ == End->Assignment_) {
-      Found->Holder_.clear();
-      Found->Ended_ = true;
-      Found->End_ = End->End_;
+    Job *Record = find(End->Job_);
+    if (Record && !Record->Ended_ && !Record->Holder_.empty() &&
+        Record->Assignment_ == End->Assignment_) {
+      Record->Holder_.clear();
+      Record->Ended_ = true;
+      Record->End_ = End->End_;
     }
   }
 }
@@ -138,18 +138,18 @@
         computeDigest(Accepted_[Accepted_.size() - 1 - I].Text_))
       return false;
   std::size_t Held = 0;
-  for (const Job &One : Jobs_) {
-    const FleetJob *Found = Real.jobs().find(JobId(One.Name_));
-    if (!Found || Found->DataCentre_.value() != One.Holder_ ||
-        Found->Assignment_ != One.Assignment_ ||
-        Found->End_.has_value() != One.Ended_ ||
-        (One.Ended_ && *Found->End_ != One.End_) ||
-        (!One.Ended_ && Found->Progress_ != One.Progress_))
+  for (const Job &Expected : Jobs_) {
+    const FleetJob *Actual = Real.jobs().find(JobId(Expected.Name_));
+    if (!Actual || Actual->DataCentre_.value() != Expected.Holder_ ||
+        Actual->Assignment_ != Expected.Assignment_ ||
+        Actual->End_.has_value() != Expected.Ended_ ||
+        (Expected.Ended_ && *Actual->End_ != Expected.End_) ||
+        (!Expected.Ended_ && Actual->Progress_ != Expected.Progress_))
       return false;
-    const bool IsWaiting = !One.Ended_ && One.Holder_.empty();
-    if (Real.jobs().unassigned().contains(JobId(One.Name_)) != IsWaiting)
+    const bool IsWaiting = !Expected.Ended_ && Expected.Holder_.empty();
+    if (Real.jobs().unassigned().contains(JobId(Expected.Name_)) != IsWaiting)
       return false;
-    Held += One.Holder_.empty() ? 0 : 1;
+    Held += Expected.Holder_.empty() ? 0 : 1;
   }
   std::size_t RealHeld = 0;
   for (const auto &[DataCentre, Names] : Real.jobs().held())
@@ -181,20 +181,21 @@
 static NaiveFleet::Proposal makeRandomProposal(const FleetState &Real,
                                                std::mt19937_64 &Random) {
   const AcceptedBundle *Latest = Real.bundles().history().latest();
-  NaiveFleet::Proposal Shape;
-  Shape.Parent_ = Latest ? Latest->Version_.value() : 0;
-  Shape.ParentDigest_ = Latest ? Latest->Digest_.value() : "";
-  if (Random() % 5 == 0 && Shape.Parent_ > 1) {
-    const auto Older =
-        Real.bundles().history().findVersion(BundleVersion(Shape.Parent_ - 1));
-    Shape.Parent_ -= 1;
-    Shape.ParentDigest_ = Older ? Older->Digest_.value() : Shape.ParentDigest_;
+  NaiveFleet::Proposal Proposed;
+  Proposed.Parent_ = Latest ? Latest->Version_.value() : 0;
+  Proposed.ParentDigest_ = Latest ? Latest->Digest_.value() : "";
+  if (Random() % 5 == 0 && Proposed.Parent_ > 1) {
+    const auto Older = Real.bundles().history().findVersion(
+        BundleVersion(Proposed.Parent_ - 1));
+    Proposed.Parent_ -= 1;
+    Proposed.ParentDigest_ =
+        Older ? Older->Digest_.value() : Proposed.ParentDigest_;
   }
-  Shape.Version_ = Shape.Parent_ + 1;
-  Shape.Text_ =
-      makeBundleText(Shape.Version_, Shape.Parent_, Shape.ParentDigest_,
-                     Operators, Needed, std::to_string(Random() % 3));
-  return Shape;
+  Proposed.Version_ = Proposed.Parent_ + 1;
+  Proposed.Text_ = makeBundleText(Proposed.Version_, Proposed.Parent_,
+                                  Proposed.ParentDigest_, Operators, Needed,
+                                  std::to_string(Random() % 3));
+  return Proposed;
 }
 
 TEST(FleetDifferentialTest, MatchesNaiveModelAcrossSnapshots) {
@@ -205,11 +206,11 @@
     BundleVersion Highest;
     for (int Step = 0; Step < 300; ++Step) {
       if (Random() % 3 == 0) {
-        const auto Shape = makeRandomProposal(Real, Random);
+        const auto Proposed = makeRandomProposal(Real, Random);
         const unsigned Signer = 1 + Random() % Operators;
         const bool Expected =
-            Naive.addSignature(Shape, makeOperator(Signer).value());
-        const auto Result = Real.apply(makeProposal(Shape.Text_, Signer));
+            Naive.addSignature(Proposed, makeOperator(Signer).value());
+        const auto Result = Real.apply(makeProposal(Proposed.Text_, Signer));
         ASSERT_EQ(Result.Accepted_, Expected) << Seed << ":" << Step;
       } else {
         const Command Value = makeJobCommand(Random);
--- a/tests/fleet/FleetStateMachineTest.cpp
+++ b/tests/fleet/FleetStateMachineTest.cpp
@@ -19,12 +19,13 @@
 using namespace tulipweir::fleet;
 using namespace tulipweir::fleet::test;
 
-static CommandResult applyTo(FleetStateMachine &Machine, const Command &Value) {
+static CommandResult applyCommand(FleetStateMachine &Machine,
+                                  const Command &Value) {
   const std::string Bytes = encodeCommand(Value);
   return decodeResult(Machine.apply({1, 1, Bytes})).value();
 }
 
-static std::vector<Command> makeOneOfEach() {
+static std::vector<Command> makeSampleCommands() {
   const SignOff Sign{OperatorId("a"), "sig"};
   const JobId Job("j");
   return {ProposeBundle{"text", Sign, 1},
@@ -38,13 +39,13 @@
 }
 
 TEST(FleetCodecTest, CommandsRoundTrip) {
-  for (const Command &Value : makeOneOfEach())
+  for (const Command &Value : makeSampleCommands())
     EXPECT_EQ(decodeCommand(encodeCommand(Value)).value(), Value);
 }
 
 TEST(FleetCodecTest, TruncatedExtendedAndMutatedBytesDoNotCrash) {
   std::mt19937_64 Random(7);
-  for (const Command &Value : makeOneOfEach()) {
+  for (const Command &Value : makeSampleCommands()) {
     const std::string Whole = encodeCommand(Value);
     for (std::size_t Size = 0; Size < Whole.size(); ++Size)
       EXPECT_FALSE(decodeCommand(Whole.substr(0, Size)).has_value());
@@ -96,7 +97,7 @@
   Whole.apply(CancelJob{JobId("b")});
   const std::string Bytes = encodeState(Whole);
   std::mt19937_64 Random(11);
-  std::size_t Taken = 0;
+  std::size_t Accepted = 0;
   for (int Round = 0; Round < 4000; ++Round) {
     std::string Changed = Bytes;
     // Every other round changes only the last 400 bytes, which hold the jobs;
@@ -106,7 +107,7 @@
     auto Decoded = decodeState(Changed);
     if (!Decoded)
       continue;
-    ++Taken;
+    ++Accepted;
     FleetState &State = Decoded.value();
     for (const char *Name : {"a", "b", "c"}) {
       State.apply(AssignJob{JobId(Name), DataCentreId("x")});
@@ -118,7 +119,7 @@
       Open += Entry.second.size();
     EXPECT_EQ(State.jobs().countOpen(), Open);
   }
-  EXPECT_GT(Taken, 0U);
+  EXPECT_GT(Accepted, 0U);
 }
 
 TEST(FleetCodecTest, ReportsAndRepliesRoundTrip) {
@@ -135,48 +136,48 @@
 }
 
 TEST(FleetStateMachineTest, NotifiesListenerAndAnswersQueries) {
-  std::vector<std::string> Heard;
+  std::vector<std::string> Results;
   FleetStateMachine Machine([&](const Command &, const CommandResult &Result) {
-    Heard.push_back(Result.Error_);
+    Results.push_back(Result.Error_);
   });
   EXPECT_FALSE(Machine.getInForce());
   EXPECT_EQ(Machine.getBundle(), nullptr);
   const auto Text = makeBundleText(1, 0, "", 1, 1);
-  EXPECT_TRUE(applyTo(Machine, makeProposal(Text, 1)).Accepted_);
+  EXPECT_TRUE(applyCommand(Machine, makeProposal(Text, 1)).Accepted_);
   EXPECT_EQ(Machine.getInForce()->Text_, Text);
   EXPECT_EQ(Machine.getBundle()->Version_, BundleVersion(1));
   EXPECT_EQ(Machine.listHistory(5).size(), 1U);
   for (const char *Name : {"a", "b", "c"})
-    applyTo(Machine, SubmitJob{JobId(Name), TeamId("t"), "s", {}, 1});
-  applyTo(Machine, AssignJob{JobId("b"), DataCentreId("dc")});
+    applyCommand(Machine, SubmitJob{JobId(Name), TeamId("t"), "s", {}, 1});
+  applyCommand(Machine, AssignJob{JobId("b"), DataCentreId("dc")});
   EXPECT_EQ(Machine.listUnassigned(9).size(), 2U);
   EXPECT_EQ(Machine.listHeld(DataCentreId("dc"), 9).at(0).Job_, JobId("b"));
   EXPECT_EQ(Machine.listJobs(2).size(), 2U);
   EXPECT_EQ(Machine.listJobs(2, JobId("b")).at(0).Job_, JobId("c"));
-  EXPECT_EQ(Heard.size(), 5U);
+  EXPECT_EQ(Results.size(), 5U);
 }
 
 TEST(FleetStateMachineTest, ReplayedBatchExposesNoOlderBundles) {
-  std::size_t Heard = 0;
+  std::size_t Notified = 0;
   FleetStateMachine Machine([&](const Command &, const CommandResult &) {
     // Listeners run after the batch and see its final state.
     EXPECT_EQ(Machine.getBundle()->Version_, BundleVersion(2));
-    ++Heard;
+    ++Notified;
   });
   const auto First = makeBundleText(1, 0, "", 1, 1);
   const auto Second = makeBundleText(2, 1, computeDigest(First).value(), 1, 1);
   Machine.beginBatch();
-  EXPECT_TRUE(applyTo(Machine, makeProposal(First, 1)).Accepted_);
+  EXPECT_TRUE(applyCommand(Machine, makeProposal(First, 1)).Accepted_);
   auto Shown =
       std::async(std::launch::async, [&] { return Machine.getInForce(); });
   // A reader that is not blocked would finish long before.
   EXPECT_EQ(Shown.wait_for(std::chrono::milliseconds(100)),
             std::future_status::timeout);
-  EXPECT_TRUE(applyTo(Machine, makeProposal(Second, 1)).Accepted_);
-  EXPECT_EQ(Heard, 0U);
+  EXPECT_TRUE(applyCommand(Machine, makeProposal(Second, 1)).Accepted_);
+  EXPECT_EQ(Notified, 0U);
   Machine.endBatch();
   EXPECT_EQ(Shown.get()->Version_, BundleVersion(2));
-  EXPECT_EQ(Heard, 2U);
+  EXPECT_EQ(Notified, 2U);
 }
 
 TEST(FleetStateMachineTest, MalformedCommandChangesNothing) {
@@ -191,8 +192,8 @@
   unsigned Restored = 0;
   FleetStateMachine Machine;
   FleetStateMachine Other(nullptr, [&Restored] { ++Restored; });
-  applyTo(Machine, makeProposal(makeBundleText(1, 0, "", 1, 1), 1));
-  applyTo(Other, SubmitJob{JobId("j"), TeamId("t"), "s", {}, 1});
+  applyCommand(Machine, makeProposal(makeBundleText(1, 0, "", 1, 1), 1));
+  applyCommand(Other, SubmitJob{JobId("j"), TeamId("t"), "s", {}, 1});
   const std::string Good = Machine.takeSnapshot();
   const std::string Before = Other.takeSnapshot();
   for (std::size_t Size = 0; Size < Good.size(); Size += 7)
@@ -204,8 +205,8 @@
   EXPECT_EQ(Restored, 1U);
 }
 
-static wire::SignedBundle makeOffered(std::uint64_t Version,
-                                      const std::string &Note = "") {
+static wire::SignedBundle makeSignedBundle(std::uint64_t Version,
+                                           const std::string &Note = "") {
   const auto Text =
       makeBundleText(Version, Version - 1,
                      Version == 1 ? "" : std::string(64, 'a'), 1, 1, Note);
@@ -219,7 +220,7 @@
   for (int Round = 0; Round < 300; ++Round) {
     const std::uint64_t Version = 1 + Random() % 40;
     const bool IsNewer = Version > Highest;
-    EXPECT_EQ(Held.adopt(makeOffered(Version)).value(), IsNewer);
+    EXPECT_EQ(Held.adopt(makeSignedBundle(Version)).value(), IsNewer);
     Highest = std::max(Highest, Version);
     EXPECT_EQ(Held.getVersion().value(), Highest);
     EXPECT_EQ(Held.getBundle()->Version_.value(), Highest);
@@ -238,7 +239,7 @@
     const std::string Long = Value.dump();
     const wire::SignedBundle Lower{BundleVersion(2 * Round + 1),
                                    computeDigest(Long), Long};
-    const wire::SignedBundle Higher = makeOffered(2 * Round + 2);
+    const wire::SignedBundle Higher = makeSignedBundle(2 * Round + 2);
     std::barrier Start(2);
     std::thread Slow([&] {
       Start.arrive_and_wait();
@@ -254,14 +255,14 @@
 
 TEST(ActiveBundleTest, CorruptAndConflictingBundlesAreRejected) {
   ActiveBundle Held;
-  ASSERT_TRUE(Held.adopt(makeOffered(2)).value());
-  auto Damaged = makeOffered(3);
+  ASSERT_TRUE(Held.adopt(makeSignedBundle(2)).value());
+  auto Damaged = makeSignedBundle(3);
   Damaged.Text_ += " ";
   EXPECT_EQ(Held.adopt(Damaged).error().Code_, ErrorCode::Corrupt);
-  auto Renamed = makeOffered(3);
+  auto Renamed = makeSignedBundle(3);
   Renamed.Version_ = BundleVersion(4);
   EXPECT_EQ(Held.adopt(Renamed).error().Code_, ErrorCode::Corrupt);
-  EXPECT_EQ(Held.adopt(makeOffered(2, "other")).error().Code_,
+  EXPECT_EQ(Held.adopt(makeSignedBundle(2, "other")).error().Code_,
             ErrorCode::Conflict);
   EXPECT_EQ(Held.getVersion(), BundleVersion(2));
 }
--- a/tests/fleet/JobAssignerTest.cpp
+++ b/tests/fleet/JobAssignerTest.cpp
@@ -30,12 +30,13 @@
   }
   std::vector<std::string> decide(int Second) {
     std::vector<std::string> Chosen;
-    for (const Command &One : Assigner_.decide(State_.jobs(), at(Second), 10)) {
-      if (const auto *Assign = std::get_if<AssignJob>(&One))
+    for (const Command &Proposed :
+         Assigner_.decide(State_.jobs(), at(Second), 10)) {
+      if (const auto *Assign = std::get_if<AssignJob>(&Proposed))
         Chosen.push_back(Assign->DataCentre_.value());
       else
         Chosen.push_back("release");
-      State_.apply(One);
+      State_.apply(Proposed);
     }
     return Chosen;
   }
--- a/tests/fleet/JobRegistryTest.cpp
+++ b/tests/fleet/JobRegistryTest.cpp
@@ -25,95 +25,96 @@
 }
 
 TEST(JobRegistryTest, ResubmissionIsDetectedAndReusedNameConflicts) {
-  JobRegistry Book;
-  EXPECT_EQ(Book.submit(makeJob(Job)).Error_, "");
-  EXPECT_EQ(Book.submit(makeJob(Job)).Error_, "already_exists");
-  EXPECT_EQ(Book.submit(makeJob(Job, "other")).Error_, "conflict");
-  EXPECT_EQ(Book.jobs().size(), 1U);
+  JobRegistry Registry;
+  EXPECT_EQ(Registry.submit(makeJob(Job)).Error_, "");
+  EXPECT_EQ(Registry.submit(makeJob(Job)).Error_, "already_exists");
+  EXPECT_EQ(Registry.submit(makeJob(Job, "other")).Error_, "conflict");
+  EXPECT_EQ(Registry.jobs().size(), 1U);
 }
 
 TEST(JobRegistryTest, JobIsHeldByOneDataCentreAtATime) {
-  JobRegistry Book;
-  Book.submit(makeJob(Job));
-  EXPECT_EQ(Book.assign({Job, East}).Assignment_, 1U);
-  EXPECT_EQ(Book.assign({Job, West}).Error_, "conflict");
-  EXPECT_EQ(Book.assign({Job, East}).Error_, "already_exists");
-  EXPECT_EQ(Book.find(Job)->DataCentre_, East);
-  EXPECT_EQ(Book.release(makeRelease(1, "half")).Error_, "");
-  EXPECT_EQ(Book.assign({Job, West}).Assignment_, 2U);
-  EXPECT_EQ(Book.find(Job)->Progress_, "half");
+  JobRegistry Registry;
+  Registry.submit(makeJob(Job));
+  EXPECT_EQ(Registry.assign({Job, East}).Assignment_, 1U);
+  EXPECT_EQ(Registry.assign({Job, West}).Error_, "conflict");
+  EXPECT_EQ(Registry.assign({Job, East}).Error_, "already_exists");
+  EXPECT_EQ(Registry.find(Job)->DataCentre_, East);
+  EXPECT_EQ(Registry.release(makeRelease(1, "half")).Error_, "");
+  EXPECT_EQ(Registry.assign({Job, West}).Assignment_, 2U);
+  EXPECT_EQ(Registry.find(Job)->Progress_, "half");
 }
 
 TEST(JobRegistryTest, EarlierHolderCanNeitherReleaseNorEndJob) {
-  JobRegistry Book;
-  Book.submit(makeJob(Job));
-  Book.assign({Job, East});
-  Book.release(makeRelease(1));
-  EXPECT_EQ(Book.release(makeRelease(1)).Error_, "already_exists");
-  EXPECT_EQ(Book.end(makeEnd(1)).Error_, "stale_token");
-  Book.assign({Job, West});
-  EXPECT_EQ(Book.release(makeRelease(1)).Error_, "stale_token");
-  EXPECT_EQ(Book.end(makeEnd(1)).Error_, "stale_token");
-  EXPECT_EQ(Book.end(makeEnd(2)).Error_, "");
-  EXPECT_EQ(Book.end(makeEnd(2)).Error_, "already_exists");
-  EXPECT_EQ(Book.submit(makeJob(Job)).Error_, "already_exists");
-  EXPECT_EQ(Book.assign({Job, East}).Error_, "already_exists");
+  JobRegistry Registry;
+  Registry.submit(makeJob(Job));
+  Registry.assign({Job, East});
+  Registry.release(makeRelease(1));
+  EXPECT_EQ(Registry.release(makeRelease(1)).Error_, "already_exists");
+  EXPECT_EQ(Registry.end(makeEnd(1)).Error_, "stale_token");
+  Registry.assign({Job, West});
+  EXPECT_EQ(Registry.release(makeRelease(1)).Error_, "stale_token");
+  EXPECT_EQ(Registry.end(makeEnd(1)).Error_, "stale_token");
+  EXPECT_EQ(Registry.end(makeEnd(2)).Error_, "");
+  EXPECT_EQ(Registry.end(makeEnd(2)).Error_, "already_exists");
+  EXPECT_EQ(Registry.submit(makeJob(Job)).Error_, "already_exists");
+  EXPECT_EQ(Registry.assign({Job, East}).Error_, "already_exists");
 }
 
 TEST(JobRegistryTest, CancelEndsOnlyUnassignedJobsImmediately) {
-  JobRegistry Book;
-  Book.submit(makeJob(Job));
-  Book.assign({Job, East});
-  EXPECT_EQ(Book.cancel({Job}).Error_, "");
-  EXPECT_TRUE(Book.find(Job)->Cancelling_);
-  EXPECT_FALSE(Book.find(Job)->End_);
-  Book.release(makeRelease(1));
-  EXPECT_EQ(Book.find(Job)->End_, JobEnd::Cancelled);
-  EXPECT_TRUE(Book.unassigned().empty());
+  JobRegistry Registry;
+  Registry.submit(makeJob(Job));
+  Registry.assign({Job, East});
+  EXPECT_EQ(Registry.cancel({Job}).Error_, "");
+  EXPECT_TRUE(Registry.find(Job)->Cancelling_);
+  EXPECT_FALSE(Registry.find(Job)->End_);
+  Registry.release(makeRelease(1));
+  EXPECT_EQ(Registry.find(Job)->End_, JobEnd::Cancelled);
+  EXPECT_TRUE(Registry.unassigned().empty());
   const JobId Waiting("waiting");
-  Book.submit(makeJob(Waiting));
-  Book.cancel({Waiting});
-  EXPECT_EQ(Book.find(Waiting)->End_, JobEnd::Cancelled);
+  Registry.submit(makeJob(Waiting));
+  Registry.cancel({Waiting});
+  EXPECT_EQ(Registry.find(Waiting)->End_, JobEnd::Cancelled);
 }
 
 TEST(JobRegistryTest, NumbersOfOpenAndEndedJobsAreBounded) {
-  JobRegistry Book;
+  JobRegistry Registry;
   for (std::size_t I = 0; I < JobRegistry::MaxEndedJobs + 10; ++I) {
     const JobId Name(std::to_string(I));
-    Book.submit(makeJob(Name, std::string(5000, 'x')));
-    Book.cancel({Name});
+    Registry.submit(makeJob(Name, std::string(5000, 'x')));
+    Registry.cancel({Name});
   }
-  EXPECT_EQ(Book.jobs().size(), JobRegistry::MaxEndedJobs);
-  EXPECT_EQ(Book.find(JobId("9")), nullptr);
-  EXPECT_EQ(Book.find(JobId("10"))->Spec_, "") << "long specs are dropped";
-  EXPECT_EQ(Book.submit(makeJob(JobId("10"), std::string(5000, 'x'))).Error_,
-            "already_exists");
-  EXPECT_EQ(Book.submit(makeJob(JobId("10"))).Error_, "conflict");
+  EXPECT_EQ(Registry.jobs().size(), JobRegistry::MaxEndedJobs);
+  EXPECT_EQ(Registry.find(JobId("9")), nullptr);
+  EXPECT_EQ(Registry.find(JobId("10"))->Spec_, "") << "long specs are dropped";
+  EXPECT_EQ(
+      Registry.submit(makeJob(JobId("10"), std::string(5000, 'x'))).Error_,
+      "already_exists");
+  EXPECT_EQ(Registry.submit(makeJob(JobId("10"))).Error_, "conflict");
   for (std::size_t I = 0; I < JobRegistry::MaxOpenJobs; ++I)
-    Book.submit(makeJob(JobId("open" + std::to_string(I)), ""));
-  EXPECT_EQ(Book.submit(makeJob(JobId("more"))).Error_, "unavailable");
+    Registry.submit(makeJob(JobId("open" + std::to_string(I)), ""));
+  EXPECT_EQ(Registry.submit(makeJob(JobId("more"))).Error_, "unavailable");
 }
 
 TEST(JobRegistryTest, OversizedFieldsAreRejected) {
-  JobRegistry Book;
-  EXPECT_EQ(Book.submit(makeJob(JobId())).Error_, "invalid_argument");
-  EXPECT_EQ(Book.submit(makeJob(JobId(std::string(129, 'x')))).Error_,
+  JobRegistry Registry;
+  EXPECT_EQ(Registry.submit(makeJob(JobId())).Error_, "invalid_argument");
+  EXPECT_EQ(Registry.submit(makeJob(JobId(std::string(129, 'x')))).Error_,
             "invalid_argument");
   const std::string Long(JobRegistry::MaxSpecBytes + 1, 'x');
-  EXPECT_EQ(Book.submit(makeJob(Job, Long)).Error_, "invalid_argument");
-  Book.submit(makeJob(Job));
-  Book.assign({Job, East});
+  EXPECT_EQ(Registry.submit(makeJob(Job, Long)).Error_, "invalid_argument");
+  Registry.submit(makeJob(Job));
+  Registry.assign({Job, East});
   const std::string LongProgress(JobRegistry::MaxProgressBytes + 1, 'x');
-  EXPECT_EQ(Book.release(makeRelease(1, LongProgress)).Error_, "too_large");
+  EXPECT_EQ(Registry.release(makeRelease(1, LongProgress)).Error_, "too_large");
 }
 
 TEST(JobRegistryTest, SnapshotWithWrongEndedJobsIsRejected) {
-  JobRegistry Book;
-  Book.submit(makeJob(Job));
-  Book.submit(makeJob(JobId("ended")));
-  Book.cancel({JobId("ended")});
-  const auto Jobs = Book.jobs();
-  EXPECT_EQ(JobRegistry::restore(Jobs, Book.ended()).value(), Book);
+  JobRegistry Registry;
+  Registry.submit(makeJob(Job));
+  Registry.submit(makeJob(JobId("ended")));
+  Registry.cancel({JobId("ended")});
+  const auto Jobs = Registry.jobs();
+  EXPECT_EQ(JobRegistry::restore(Jobs, Registry.ended()).value(), Registry);
   for (const std::deque<JobId> &Wrong : {std::deque<JobId>{},
                                          {Job},
                                          {JobId("ended"), JobId("none")},
