--- a/include/tulipweir/fleet/AssignmentLease.h
+++ b/include/tulipweir/fleet/AssignmentLease.h
@@ -1,10 +1,10 @@
 //===- AssignmentLease.h - Job leases held by a data centre ----*- C++ -*-===//
 //
-// Every control process of a data centre, leader or not, keeps one and renews
-// it with its own reports, so that a data centre that is cut off keeps its
-// jobs even if its own leader changes. A process that restarts while it is cut
-// off holds no lease until the fleet's leader answers it. AssignmentTimes.h
-// explains why this is safe.
+// Every control process of a data centre, leader or not, keeps its own leases
+// and renews them with its own reports, so that a data centre that is cut off
+// keeps its jobs even if its own leader changes. A process that restarts while
+// it is cut off holds no lease until the fleet's leader answers it.
+// AssignmentTimes.h explains why this is safe.
 //
 //===----------------------------------------------------------------------===//
 
@@ -32,9 +32,10 @@
   /// ignored.
   void recordRenewals(const AssignmentReply &Reply, TimePoint SentAt);
 
-  /// Drops the leases that are not in Standing, the assignments that this
-  /// process's replica of the fleet's state lists for its data centre.
-  void retain(const std::vector<HeldAssignment> &Standing);
+  /// Drops the leases of jobs that are not in Current, which holds the
+  /// assignments that this process's replica of the fleet's state lists for its
+  /// data centre.
+  void retain(const std::vector<HeldAssignment> &Current);
 
   // Queries.
 
@@ -46,10 +47,10 @@
   /// StopLeadTime_ is left, or the lease was never renewed.
   bool isExpiring(const HeldAssignment &Held, TimePoint Now) const;
 
-  /// Returns the assignments in Standing that the next report should renew, at
+  /// Returns the assignments in Current that the next report should renew, at
   /// most Limit, the earliest expiry first.
   std::vector<HeldAssignment>
-  listDue(const std::vector<HeldAssignment> &Standing, TimePoint Now,
+  listDue(const std::vector<HeldAssignment> &Current, TimePoint Now,
           std::size_t Limit) const;
 
 private:
--- a/include/tulipweir/fleet/AssignmentTimes.h
+++ b/include/tulipweir/fleet/AssignmentTimes.h
@@ -2,26 +2,25 @@
 //
 // A batch job is assigned to a data centre under a lease of hours, because
 // regions can lose contact with each other for an hour and work must not stop
-// for that. No job is ever held by two data centres, because:
+// for that. No job is ever held by two data centres, for these reasons:
 //
-// 1. A data centre holds a job only under a renewal, for Ttl_ by its own
-// clock,
-//     counted from the moment at which it sent the report that was answered.
-// 2. The leader counts Ttl_ plus Margin_ by its own clock from the later
-// moment
-//     at which it answered. Margin_ covers clocks that each differ from true
-//     time by up to 1 %.
-// 3. A leader answers only directly after Replica::findLeaseTerm has returned
+//  1. A data centre holds a job only under a renewal, for Ttl_ by its own
+//     clock, counted from the moment at which it sent the report that was
+//     answered.
+//  2. The leader counts Ttl_ plus Margin_ by its own clock from the later
+//     moment at which it answered. Margin_ covers clocks that each differ from
+//     true time by up to 1 %.
+//  3. A leader answers only directly after Replica::findLeaseTerm has returned
 //     the term in which it started, so no later leader was elected before the
 //     report was sent. A new leader counts every assignment as renewed at its
 //     election. A leader that lost its term and was elected again counts as
 //     new: its knowledge is out of date, and another one may have led in
 //     between.
-// 4. A leader starts (JobAssigner::startLeading) only once
+//  4. A leader starts (JobAssigner::startLeading) only once
 //     Replica::confirmLeadership has reported that every committed entry is
 //     applied here, so it never renews an assignment that an earlier leader
 //     moved.
-// 5. Once a leader has proposed to release an assignment, it no longer renews
+//  5. Once a leader has proposed to release an assignment, it no longer renews
 //     it: the proposal may be committed at any later time.
 //
 //===----------------------------------------------------------------------===//
--- a/include/tulipweir/fleet/Bundle.h
+++ b/include/tulipweir/fleet/Bundle.h
@@ -80,8 +80,7 @@
 
 /// Result of a check: either the bundle or every problem in its text.
 struct BundleCheck {
-  std::vector<Bundle>
-      Bundle_; ///< One element if there is no problem, else empty.
+  std::vector<Bundle> Bundle_; ///< One element if there is no problem.
   std::vector<BundleProblem> Problems_;
 };
 
--- a/include/tulipweir/fleet/BundleRegistry.h
+++ b/include/tulipweir/fleet/BundleRegistry.h
@@ -72,6 +72,8 @@
   std::uint64_t nextSequence() const { return NextSequence_; }
 
 private:
+  /// Returns the bundle whose operators must sign Proposed: the one in force,
+  /// or Proposed itself if there is none.
   const Bundle &getDecidingBundle(const Bundle &Proposed) const;
   CommandResult addSignOff(const Digest &BundleDigest, Bundle Proposed,
                            const SignOff &Added, std::uint64_t WallMs);
--- a/include/tulipweir/fleet/JobAssigner.h
+++ b/include/tulipweir/fleet/JobAssigner.h
@@ -31,7 +31,7 @@
   /// Starts a term and forgets everything known from earlier ones. This replica
   /// must lead the fleet log and have applied every entry committed before
   /// (Replica::confirmLeadership). Call it for every term, even if this replica
-  /// also led the one before last.
+  /// led an earlier term.
   void startLeading(TimePoint Now);
   void stopLeading();
 
@@ -84,8 +84,8 @@
   std::optional<TimePoint> LeadingSince_;
   std::map<DataCentreId, DataCentreStatus> DataCentres_;
   std::map<JobId, PendingRelease> PendingReleases_;
-  std::map<JobId, TimePoint>
-      PendingAssignments_; ///< Proposal times of assignments not applied yet.
+  /// Proposal times of assignments that are not applied yet.
+  std::map<JobId, TimePoint> PendingAssignments_;
 };
 
 } // namespace tulipweir::fleet
--- a/src/fleet/AssignmentLease.cpp
+++ b/src/fleet/AssignmentLease.cpp
@@ -21,10 +21,10 @@
   }
 }
 
-void AssignmentLease::retain(const std::vector<HeldAssignment> &Standing) {
+void AssignmentLease::retain(const std::vector<HeldAssignment> &Current) {
   std::map<JobId, Renewal> Kept;
   const std::lock_guard Lock(Mutex_);
-  for (const HeldAssignment &Held : Standing)
+  for (const HeldAssignment &Held : Current)
     if (const Renewal *Latest = find(Held))
       Kept.emplace(Held.Job_, *Latest);
   Renewals_ = std::move(Kept);
@@ -51,12 +51,12 @@
 }
 
 std::vector<HeldAssignment>
-AssignmentLease::listDue(const std::vector<HeldAssignment> &Standing,
+AssignmentLease::listDue(const std::vector<HeldAssignment> &Current,
                          TimePoint Now, std::size_t Limit) const {
   std::vector<std::pair<TimePoint, const HeldAssignment *>> Due;
   {
     const std::lock_guard Lock(Mutex_);
-    for (const HeldAssignment &Held : Standing) {
+    for (const HeldAssignment &Held : Current) {
       const Renewal *Latest = find(Held);
       const TimePoint SentAt = Latest ? Latest->SentAt_ : TimePoint::min();
       if (!Latest || Now >= SentAt + Times_.RenewInterval_)
--- a/src/fleet/BundleCheck.cpp
+++ b/src/fleet/BundleCheck.cpp
@@ -27,8 +27,8 @@
 static constexpr std::int64_t SecondMs = 1000;
 static constexpr std::int64_t HourMs = 3600 * SecondMs;
 static constexpr std::int64_t DayMs = 24 * HourMs;
-static constexpr std::int64_t MaxCpus = 1'000'000;
-static constexpr std::int64_t MaxMemory = 100'000'000;
+static constexpr std::int64_t MaxMilliCpus = 1'000'000;
+static constexpr std::int64_t MaxMemoryMib = 100'000'000;
 static constexpr std::int64_t MaxAccelerators = 10'000;
 
 /// Calls ReadOne for each entry, with a reader at the entry's JSON pointer.
@@ -68,8 +68,8 @@
 
 static Resources readResources(FieldReader &Reader) {
   Resources Amount;
-  Reader.readInteger("milliCpus", Amount.MilliCpus_, {0, MaxCpus});
-  Reader.readInteger("memoryMib", Amount.MemoryMib_, {0, MaxMemory});
+  Reader.readInteger("milliCpus", Amount.MilliCpus_, {0, MaxMilliCpus});
+  Reader.readInteger("memoryMib", Amount.MemoryMib_, {0, MaxMemoryMib});
   Reader.readInteger("accelerators", Amount.Accelerators_,
                      {0, MaxAccelerators});
   return Amount;
--- a/src/fleet/BundleRegistry.cpp
+++ b/src/fleet/BundleRegistry.cpp
@@ -72,15 +72,15 @@
   return "";
 }
 
-/// Every stored sign-off counts, because a new list of operators supersedes all
-/// proposals.
+/// Returns whether the operator has signed the proposal. Every stored sign-off
+/// counts, because a new list of operators supersedes all proposals.
 static bool hasSigned(const ProposedBundle &Proposal,
                       const OperatorId &Operator) {
   return std::ranges::find(Proposal.SignOffs_, Operator, &SignOff::Operator_) !=
          Proposal.SignOffs_.end();
 }
 
-static Bundle parseAccepted(std::string_view Text) {
+static Bundle parseStoredBundle(std::string_view Text) {
   BundleCheck Check = checkBundle(Text);
   assert(Check.Bundle_.size() == 1 && "stored texts have passed the check");
   return std::move(Check.Bundle_.front());
@@ -155,7 +155,7 @@
                   "no proposal has digest " + Request.Digest_.value() +
                       "; propose its file with 'tulipweirctl bundle propose'");
   const ProposedBundle &Proposal = It->second;
-  Bundle Proposed = parseAccepted(Proposal.Text_);
+  Bundle Proposed = parseStoredBundle(Proposal.Text_);
   const auto Reason = findSignOffError(getDecidingBundle(Proposed),
                                        Request.Digest_, Request.SignOff_);
   if (!Reason.empty())
--- a/src/fleet/FieldReader.h
+++ b/src/fleet/FieldReader.h
@@ -57,8 +57,8 @@
     Target = static_cast<Integer>(Wide);
   }
 
-  /// Returns the array, or nullptr if the field is absent, is no array or has
-  /// more than MaxEntries entries.
+  /// Returns the array, or nullptr if the field is absent, is not an array or
+  /// has more than MaxEntries entries.
   const nlohmann::json *findArray(const std::string &Name, Presence Expected,
                                   std::size_t MaxEntries);
   const nlohmann::json *findObject(const std::string &Name);
--- a/src/fleet/JsonText.cpp
+++ b/src/fleet/JsonText.cpp
@@ -102,8 +102,8 @@
   return Extended;
 }
 
-/// Converts the library's byte number, which counts from 1, to a line and
-/// column.
+/// Converts the library's byte number, which counts from 1, to the line and
+/// column that operators look for.
 static std::string formatLineAndColumn(std::string_view Text,
                                        std::size_t Byte) {
   const auto Before = Text.substr(0, Byte == 0 ? 0 : Byte - 1);
--- a/tests/fleet/AssignmentScheduleTest.cpp
+++ b/tests/fleet/AssignmentScheduleTest.cpp
@@ -26,8 +26,8 @@
 using std::chrono::seconds;
 
 static constexpr std::size_t DataCentres = 3;
-static constexpr std::size_t Controls =
-    6; ///< Number N is in data centre N % 3.
+/// Control process N is in data centre N % 3.
+static constexpr std::size_t Controls = 6;
 static constexpr std::size_t Jobs = 4;
 static constexpr Duration Ttl = seconds(1000);
 static constexpr std::size_t Budget = 8;
@@ -58,7 +58,7 @@
 public:
   explicit Schedule(std::uint64_t Seed);
   void run();
-  std::size_t getMoves() const;
+  std::size_t countAssignments() const;
   std::size_t getHeldChecks() const { return HeldChecks_; }
   const std::string &getViolation() const { return Violation_; }
 
@@ -83,7 +83,7 @@
     Events_.emplace(Now_ + Delay, std::move(Event));
   }
 
-  void commit(const Command &Value);
+  void commit(const Command &Request);
   void applyAll(Control &To);
   void changeLeader();
   void replicate(Control &To, std::size_t Number);
@@ -105,9 +105,10 @@
   std::uint64_t Term_ = 0;
   bool Partitioned_[DataCentres] = {};
   std::vector<Command> InFlight_; ///< Proposed by the leader of this term.
-  std::vector<std::pair<std::size_t, HeldAssignment>>
-      Assignments_;                   ///< All ever made.
-  std::set<HeldAssignment> Released_; ///< Released by their holder itself.
+  /// All assignments ever made, with the number of their data centre.
+  std::vector<std::pair<std::size_t, HeldAssignment>> Assignments_;
+  /// Assignments that their data centre has released itself.
+  std::set<HeldAssignment> Released_;
   std::size_t HeldChecks_ = 0;
   std::string Violation_;
 };
@@ -128,13 +129,13 @@
   changeLeader();
 }
 
-void Schedule::commit(const Command &Value) {
-  const CommandResult Result = CommittedState_.apply(Value);
-  Log_.push_back(Value);
+void Schedule::commit(const Command &Request) {
+  const CommandResult Result = CommittedState_.apply(Request);
+  Log_.push_back(Request);
   Control &Leader = Controls_[Leader_];
   if (Leader.Applied_ + 1 == Log_.size())
     applyAll(Leader);
-  const auto *Assign = std::get_if<AssignJob>(&Value);
+  const auto *Assign = std::get_if<AssignJob>(&Request);
   if (!Assign || !Result.Error_.empty())
     return;
   const std::size_t Chosen = Assign->DataCentre_.value().back() - '0';
@@ -156,9 +157,9 @@
   InFlight_.clear();
   ++Term_;
   Leader_ = Random_() % Controls;
-  Control &New = Controls_[Leader_];
-  applyAll(New);
-  New.Assigner_->startLeading(readClock(New));
+  Control &NewLeader = Controls_[Leader_];
+  applyAll(NewLeader);
+  NewLeader.Assigner_->startLeading(readClock(NewLeader));
 }
 
 void Schedule::replicate(Control &To, std::size_t Number) {
@@ -171,14 +172,14 @@
 void Schedule::sendReport(std::size_t From) {
   Control &Sender = Controls_[From];
   const DataCentreId DataCentre = nameDataCentre(From);
-  std::vector<HeldAssignment> Standing;
+  std::vector<HeldAssignment> Current;
   if (const auto Held = Sender.State_.jobs().held().find(DataCentre);
       Held != Sender.State_.jobs().held().end())
     for (const JobId &Job : Held->second)
-      Standing.push_back({Job, Sender.State_.jobs().find(Job)->Assignment_});
+      Current.push_back({Job, Sender.State_.jobs().find(Job)->Assignment_});
   const TimePoint SentAt = readClock(Sender);
   AssignmentReport Report{DataCentre, true, {0.5, 0, 8}, {}};
-  Report.Due_ = Sender.Lease_->listDue(Standing, SentAt, Jobs);
+  Report.Due_ = Sender.Lease_->listDue(Current, SentAt, Jobs);
   if (arePartitioned(From, Sender.KnownLeader_))
     return;
   schedule(makeDelay(), [this, From, To = Sender.KnownLeader_, Report, SentAt] {
@@ -192,8 +193,8 @@
   // that check continues much later with the state it had then.
   if (To != Leader_ || arePartitioned(From, To))
     return;
-  const Duration Frozen = happens(5) ? Ttl * 2 : Duration::zero();
-  schedule(Frozen, [this, From, To, Report, SentAt] {
+  const Duration FreezeTime = happens(5) ? Ttl * 2 : Duration::zero();
+  schedule(FreezeTime, [this, From, To, Report, SentAt] {
     Control &Answering = Controls_[To];
     const auto Reply = Answering.Assigner_->renew(
         Report, Answering.State_.jobs(), readClock(Answering));
@@ -205,18 +206,18 @@
 
 void Schedule::decide() {
   Control &Leader = Controls_[Leader_];
-  for (const Command &Value : Leader.Assigner_->decide(
+  for (const Command &Request : Leader.Assigner_->decide(
            Leader.State_.jobs(), readClock(Leader), Budget)) {
-    InFlight_.push_back(Value);
+    InFlight_.push_back(Request);
     // The worst case is a data centre that reconnects while the release of its
     // jobs is being committed.
-    if (std::holds_alternative<ReleaseJob>(Value) && happens(30))
+    if (std::holds_alternative<ReleaseJob>(Request) && happens(30))
       std::ranges::fill(Partitioned_, false);
-    schedule(makeDelay(), [this, Value, Term = Term_] {
+    schedule(makeDelay(), [this, Request, Term = Term_] {
       if (Term != Term_)
         return;
-      std::erase(InFlight_, Value);
-      commit(Value);
+      std::erase(InFlight_, Request);
+      commit(Request);
     });
   }
 }
@@ -282,19 +283,19 @@
   }
 }
 
-std::size_t Schedule::getMoves() const { return Assignments_.size(); }
+std::size_t Schedule::countAssignments() const { return Assignments_.size(); }
 
 TEST(AssignmentScheduleTest, NoJobIsEverHeldByTwoDataCentres) {
-  std::size_t Moves = 0;
+  std::size_t AssignmentCount = 0;
   std::size_t HeldChecks = 0;
   for (std::uint64_t Seed = 0; Seed < Seeds; ++Seed) {
     Schedule Simulation(Seed);
     Simulation.run();
     ASSERT_EQ(Simulation.getViolation(), "") << "seed " << Seed;
-    Moves += Simulation.getMoves();
+    AssignmentCount += Simulation.countAssignments();
     HeldChecks += Simulation.getHeldChecks();
   }
-  EXPECT_GT(Moves, Seeds * Jobs) << "too few assignments were made";
+  EXPECT_GT(AssignmentCount, Seeds * Jobs) << "too few assignments were made";
   EXPECT_GT(HeldChecks, 100'000U) << "too few held jobs were checked";
-  RecordProperty("moves", static_cast<int>(Moves));
+  RecordProperty("moves", static_cast<int>(AssignmentCount));
 }
--- a/tests/fleet/BundleRegistryTest.cpp
+++ b/tests/fleet/BundleRegistryTest.cpp
@@ -69,7 +69,7 @@
   EXPECT_EQ(inForce(), 1U);
 }
 
-TEST_F(BundleRegistryTest, OperatorsInForceDecideNotProposedOnes) {
+TEST_F(BundleRegistryTest, OperatorsOfBundleInForceDecide) {
   // Operator 4 is only on the proposed list, which would require one sign-off.
   const auto Next = makeBundleText(2, 1, computeDigest(First_).value(), 4, 1);
   EXPECT_EQ(Registry_.propose(makeProposal(Next, 4)).Error_,
--- a/tests/fleet/FleetDifferentialTest.cpp
+++ b/tests/fleet/FleetDifferentialTest.cpp
@@ -45,7 +45,7 @@
 
   /// Returns whether the bundle is or was in force.
   bool addSignature(const Proposal &Proposed, const std::string &Signer);
-  void apply(const Command &Value);
+  void apply(const Command &Request);
   bool matches(const FleetState &Real) const;
 
 private:
@@ -88,17 +88,17 @@
   return false;
 }
 
-void NaiveFleet::apply(const Command &Value) {
-  if (const auto *Submit = std::get_if<SubmitJob>(&Value)) {
+void NaiveFleet::apply(const Command &Request) {
+  if (const auto *Submit = std::get_if<SubmitJob>(&Request)) {
     if (!find(Submit->Job_))
       Jobs_.emplace_back().Name_ = Submit->Job_.value();
-  } else if (const auto *Assign = std::get_if<AssignJob>(&Value)) {
+  } else if (const auto *Assign = std::get_if<AssignJob>(&Request)) {
     Job *Record = find(Assign->Job_);
     if (Record && !Record->Ended_ && Record->Holder_.empty()) {
       Record->Holder_ = Assign->DataCentre_.value();
       ++Record->Assignment_;
     }
-  } else if (const auto *Release = std::get_if<ReleaseJob>(&Value)) {
+  } else if (const auto *Release = std::get_if<ReleaseJob>(&Request)) {
     Job *Record = find(Release->Job_);
     if (Record && !Record->Ended_ && !Record->Holder_.empty() &&
         Record->Assignment_ == Release->Assignment_) {
@@ -110,7 +110,7 @@
         Record->End_ = JobEnd::Cancelled;
       }
     }
-  } else if (const auto *Cancel = std::get_if<CancelJob>(&Value)) {
+  } else if (const auto *Cancel = std::get_if<CancelJob>(&Request)) {
     Job *Record = find(Cancel->Job_);
     if (Record && !Record->Ended_ && Record->Holder_.empty()) {
       Record->Ended_ = true;
@@ -118,7 +118,7 @@
     } else if (Record && !Record->Ended_) {
       Record->Cancelling_ = true;
     }
-  } else if (const auto *End = std::get_if<EndJob>(&Value)) {
+  } else if (const auto *End = std::get_if<EndJob>(&Request)) {
     Job *Record = find(End->Job_);
     if (Record && !Record->Ended_ && !Record->Holder_.empty() &&
         Record->Assignment_ == End->Assignment_) {
@@ -213,9 +213,9 @@
         const auto Result = Real.apply(makeProposal(Proposed.Text_, Signer));
         ASSERT_EQ(Result.Accepted_, Expected) << Seed << ":" << Step;
       } else {
-        const Command Value = makeJobCommand(Random);
-        Naive.apply(Value);
-        Real.apply(Value);
+        const Command Request = makeJobCommand(Random);
+        Naive.apply(Request);
+        Real.apply(Request);
       }
       ASSERT_TRUE(Naive.matches(Real)) << Seed << ":" << Step;
       if (Random() % 10 == 0) {
--- a/tests/fleet/FleetStateMachineTest.cpp
+++ b/tests/fleet/FleetStateMachineTest.cpp
@@ -20,8 +20,8 @@
 using namespace tulipweir::fleet::test;
 
 static CommandResult applyCommand(FleetStateMachine &Machine,
-                                  const Command &Value) {
-  const std::string Bytes = encodeCommand(Value);
+                                  const Command &Request) {
+  const std::string Bytes = encodeCommand(Request);
   return decodeResult(Machine.apply({1, 1, Bytes})).value();
 }
 
@@ -39,14 +39,14 @@
 }
 
 TEST(FleetCodecTest, CommandsRoundTrip) {
-  for (const Command &Value : makeSampleCommands())
-    EXPECT_EQ(decodeCommand(encodeCommand(Value)).value(), Value);
+  for (const Command &Request : makeSampleCommands())
+    EXPECT_EQ(decodeCommand(encodeCommand(Request)).value(), Request);
 }
 
 TEST(FleetCodecTest, TruncatedExtendedAndMutatedBytesDoNotCrash) {
   std::mt19937_64 Random(7);
-  for (const Command &Value : makeSampleCommands()) {
-    const std::string Whole = encodeCommand(Value);
+  for (const Command &Request : makeSampleCommands()) {
+    const std::string Whole = encodeCommand(Request);
     for (std::size_t Size = 0; Size < Whole.size(); ++Size)
       EXPECT_FALSE(decodeCommand(Whole.substr(0, Size)).has_value());
     EXPECT_FALSE(decodeCommand(Whole + "x").has_value());
@@ -62,7 +62,7 @@
   }
 }
 
-TEST(FleetCodecTest, HugeEntryCountIsRejectedWithoutAllocation) {
+TEST(FleetCodecTest, HugeEntryCountIsRejected) {
   const std::string Claim("\xdd\xff\xff\xff\xff", 5);
   EXPECT_EQ(decodeCommand(Claim).error().Code_, ErrorCode::Malformed);
   EXPECT_EQ(decodeState(Claim).error().Code_, ErrorCode::Malformed);
