--- a/include/tulipweir/fleet/FleetState.h
+++ b/include/tulipweir/fleet/FleetState.h
@@ -1,16 +1,16 @@
-//===- FleetState.h - What the fleet's log builds --------------*- C++ -*-===//
+//===- FleetState.h - The fleet's replicated state -------------*- C++ -*-===//
 //
-// Bundles and batch jobs of all data centres. Deterministic; no clock, lock or
-// socket inside. Encoding is in FleetCodec.h.
+// Bundles and batch jobs of all data centres. The state is deterministic and
+// uses no clock, lock or socket. FleetCodec.h defines its encoding.
 //
 //===----------------------------------------------------------------------===//
 
 #ifndef TULIPWEIR_FLEET_FLEETSTATE_H
 #define TULIPWEIR_FLEET_FLEETSTATE_H
 
-#include "tulipweir/fleet/BundleBook.h"
+#include "tulipweir/fleet/BundleRegistry.h"
 #include "tulipweir/fleet/Commands.h"
-#include "tulipweir/fleet/JobBook.h"
+#include "tulipweir/fleet/JobRegistry.h"
 
 #include <utility>
 
@@ -20,20 +20,20 @@
 class FleetState {
 public:
   FleetState() = default;
-  /// From a snapshot.
-  FleetState(BundleBook Bundles, JobBook Jobs)
+  /// Restores the state from the parts of a snapshot.
+  FleetState(BundleRegistry Bundles, JobRegistry Jobs)
       : Bundles_(std::move(Bundles)), Jobs_(std::move(Jobs)) {}
 
-  /// Applies one command. A refused one changes nothing.
-  CommandResult apply(const Command &Value);
+  /// Applies one command. A refused command changes nothing.
+  CommandResult apply(const Command &Request);
 
-  const BundleBook &bundles() const { return Bundles_; }
-  const JobBook &jobs() const { return Jobs_; }
+  const BundleRegistry &bundles() const { return Bundles_; }
+  const JobRegistry &jobs() const { return Jobs_; }
   bool operator==(const FleetState &) const = default;
 
 private:
-  BundleBook Bundles_;
-  JobBook Jobs_;
+  BundleRegistry Bundles_;
+  JobRegistry Jobs_;
 };
 
 } // namespace tulipweir::fleet
--- a/include/tulipweir/fleet/JobAssigner.h
+++ b/include/tulipweir/fleet/JobAssigner.h
@@ -1,8 +1,9 @@
-//===- JobAssigner.h - The fleet leader's view of assignments --*- C++ -*-===//
+//===- JobAssigner.h - Assignment of jobs to data centres ------*- C++ -*-===//
 //
-// Chooses data centres for jobs and takes jobs back from data centres whose
-// leases ran out. Volatile: a new leader begins afresh. No clock, lock or
-// socket inside. The safety argument stands in AssignmentTimes.h.
+// The fleet's leader chooses data centres for jobs and releases the jobs of
+// data centres whose leases have expired. The assigner's state is volatile: a
+// new leader starts without it. It uses no clock, lock or socket.
+// AssignmentTimes.h explains why it is safe.
 //
 //===----------------------------------------------------------------------===//
 
@@ -11,7 +12,7 @@
 
 #include "tulipweir/fleet/AssignmentTimes.h"
 #include "tulipweir/fleet/Commands.h"
-#include "tulipweir/fleet/JobBook.h"
+#include "tulipweir/fleet/JobRegistry.h"
 
 #include <cstddef>
 #include <map>
@@ -27,61 +28,64 @@
 
   // Commands.
 
-  /// This replica leads the fleet log and has applied all that was committed
-  /// before (Replica::confirmLeadership). Forgets all that was known. Call it
-  /// for every term, also when this replica led the one before last.
-  void noteLeading(TimePoint Now);
-  void noteFollowing();
+  /// Starts a term and forgets everything known from earlier ones. This replica
+  /// must lead the fleet log and have applied every entry committed before
+  /// (Replica::confirmLeadership). Call it for every term, even if this replica
+  /// led an earlier term.
+  void startLeading(TimePoint Now);
+  void stopLeading();
 
   /// Answers a control process's report. Call it only directly after
-  /// Replica::findLeaseTerm answered with the term of the latest
-  /// noteLeading, with the state applied here. While not leading nothing is
-  /// renewed.
-  AssignmentReply renew(const AssignmentReport &Report, const JobBook &Jobs,
+  /// Replica::findLeaseTerm has returned the term of the latest startLeading,
+  /// with the state applied on this replica. Renews nothing while not leading.
+  AssignmentReply renew(const AssignmentReport &Report, const JobRegistry &Jobs,
                         TimePoint Now);
 
-  /// At most Budget commands to propose now: assignments of unassigned jobs
-  /// and releases of expired ones. The same one comes again only after
-  /// ProposeAgain_ without effect. Work is proportional to Budget and the
-  /// number of data centres.
-  std::vector<Command> decide(const JobBook &Jobs, TimePoint Now,
+  /// Returns at most Budget commands to propose now: assignments of unassigned
+  /// jobs and releases of jobs with expired leases. A command is repeated only
+  /// if it has had no effect for RetryInterval_. The cost is proportional to
+  /// Budget and the number of data centres.
+  std::vector<Command> decide(const JobRegistry &Jobs, TimePoint Now,
                               std::size_t Budget);
 
   // Queries.
 
   bool isLeading() const { return LeadingSince_.has_value(); }
   bool isReachable(const DataCentreId &DataCentre, TimePoint Now) const;
-  /// When what this data centre holds may be moved; nullopt while following.
+  /// Returns when the jobs of this data centre may be moved; nullopt while not
+  /// leading.
   std::optional<TimePoint> getExpiry(const DataCentreId &DataCentre) const;
 
 private:
-  struct Contact {
+  struct DataCentreStatus {
     TimePoint AnsweredAt_{};
     DataCentreLoad Load_;
     bool HasLoad_ = false;
-    std::uint32_t AssignedSince_ = 0; ///< Since that load was reported.
+    std::uint32_t AssignedSince_ = 0; ///< Since the latest load report.
   };
-  struct Releasing {
+  struct PendingRelease {
     std::uint64_t Assignment_ = 0;
     TimePoint ProposedAt_{};
   };
 
-  void repeatReleases(const JobBook &Jobs, TimePoint Now, std::size_t Budget,
-                      std::vector<Command> &Out);
-  void releaseExpired(const JobBook &Jobs, TimePoint Now, std::size_t Budget,
-                      std::vector<Command> &Out);
-  void forgetAssigned(const JobBook &Jobs, TimePoint Now);
-  void assignWaiting(const JobBook &Jobs, TimePoint Now, std::size_t Budget,
+  void retryReleases(const JobRegistry &Jobs, TimePoint Now, std::size_t Budget,
                      std::vector<Command> &Out);
-  std::optional<DataCentreId>
-  choose(const JobBook &Jobs, const FleetJob &Record, TimePoint Now) const;
-  double scoreOf(const Contact &Known) const;
+  void releaseExpired(const JobRegistry &Jobs, TimePoint Now,
+                      std::size_t Budget, std::vector<Command> &Out);
+  void prunePendingAssignments(const JobRegistry &Jobs, TimePoint Now);
+  void assignWaitingJobs(const JobRegistry &Jobs, TimePoint Now,
+                         std::size_t Budget, std::vector<Command> &Out);
+  std::optional<DataCentreId> chooseDataCentre(const JobRegistry &Jobs,
+                                               const FleetJob &Record,
+                                               TimePoint Now) const;
+  double computeScore(const DataCentreStatus &Status) const;
 
   AssignmentTimes Times_;
   std::optional<TimePoint> LeadingSince_;
-  std::map<DataCentreId, Contact> Contacts_;
-  std::map<JobId, Releasing> Releasing_;
-  std::map<JobId, TimePoint> Assigning_; ///< When each was proposed.
+  std::map<DataCentreId, DataCentreStatus> DataCentres_;
+  std::map<JobId, PendingRelease> PendingReleases_;
+  /// Proposal times of assignments that are not applied yet.
+  std::map<JobId, TimePoint> PendingAssignments_;
 };
 
 } // namespace tulipweir::fleet
--- a/src/fleet/AssignmentTimes.cpp
+++ b/src/fleet/AssignmentTimes.cpp
@@ -1,4 +1,4 @@
-//===- AssignmentTimes.cpp - Long leases of jobs to data centres ----------===//
+//===- AssignmentTimes.cpp - Leases of jobs to data centres --------------===//
 
 #include "tulipweir/fleet/AssignmentTimes.h"
 
@@ -12,14 +12,14 @@
   static constexpr int MarginParts = 40;
   static constexpr int StopParts = 24;
   static constexpr int RenewParts = 8;
-  assert(Ttl > Duration::zero() && "a lease needs a length");
+  assert(Ttl > Duration::zero() && "the lease duration must be positive");
   AssignmentTimes Times;
   Times.Ttl_ = Ttl;
   Times.Margin_ = Ttl / MarginParts;
-  Times.StopBefore_ = Ttl / StopParts;
-  Times.RenewEvery_ = Ttl / RenewParts;
-  Times.ReachableWithin_ = std::min(Times.ReachableWithin_, Ttl);
-  Times.Settle_ = std::min(Times.Settle_, Ttl / RenewParts);
-  Times.ProposeAgain_ = std::min(Times.ProposeAgain_, Ttl / RenewParts);
+  Times.StopLeadTime_ = Ttl / StopParts;
+  Times.RenewInterval_ = Ttl / RenewParts;
+  Times.ReachableTimeout_ = std::min(Times.ReachableTimeout_, Ttl);
+  Times.NewLeaderDelay_ = std::min(Times.NewLeaderDelay_, Ttl / RenewParts);
+  Times.RetryInterval_ = std::min(Times.RetryInterval_, Ttl / RenewParts);
   return Times;
 }
--- a/src/fleet/BundleCheck.cpp
+++ b/src/fleet/BundleCheck.cpp
@@ -1,4 +1,4 @@
-//===- BundleCheck.cpp - Reads and checks a bundle's text -----------------===//
+//===- BundleCheck.cpp - Parsing and checks of a bundle's text -----------===//
 
 #include "FieldReader.h"
 #include "JsonText.h"
@@ -13,7 +13,7 @@
 using namespace tulipweir::fleet;
 using nlohmann::json;
 
-using Problems = std::vector<BundleProblem>;
+using ProblemList = std::vector<BundleProblem>;
 
 static constexpr std::size_t MaxNoteBytes = 1000;
 static constexpr std::size_t MaxOperators = 64;
@@ -21,54 +21,55 @@
 static constexpr std::size_t MaxCallers = 10'000;
 static constexpr std::size_t MaxTeams = 2000;
 static constexpr std::int64_t MaxVersion = 1'000'000'000'000;
-static constexpr std::size_t DigestLetters = 64;
+static constexpr std::size_t DigestHexDigits = 64;
 static constexpr std::size_t MaxProblems = 100;
 
 static constexpr std::int64_t SecondMs = 1000;
 static constexpr std::int64_t HourMs = 3600 * SecondMs;
 static constexpr std::int64_t DayMs = 24 * HourMs;
-static constexpr std::int64_t MaxCpus = 1'000'000;
-static constexpr std::int64_t MaxMemory = 100'000'000;
+static constexpr std::int64_t MaxMilliCpus = 1'000'000;
+static constexpr std::int64_t MaxMemoryMib = 100'000'000;
 static constexpr std::int64_t MaxAccelerators = 10'000;
 
-/// Calls ReadOne for each entry with the entry's place.
+/// Calls ReadOne for each entry, with a reader at the entry's JSON pointer.
 template <class Entry>
-static void readList(FieldReader &Reader, const std::string &Name, Need Needed,
-                     std::size_t MaxEntries, std::vector<Entry> &Target,
-                     Problems &Found, Entry (*ReadOne)(FieldReader &)) {
-  const json *List = Reader.findArray(Name, Needed, MaxEntries);
+static void readList(FieldReader &Reader, const std::string &Name,
+                     Presence Expected, std::size_t MaxEntries,
+                     std::vector<Entry> &Target, ProblemList &Problems,
+                     Entry (*ReadOne)(FieldReader &)) {
+  const json *List = Reader.findArray(Name, Expected, MaxEntries);
   if (!List)
     return;
   for (std::size_t Index = 0; Index < List->size(); ++Index) {
-    const auto Place =
-        appendPointer(Reader.placeOf(Name), std::to_string(Index));
-    FieldReader EntryReader((*List)[Index], Place, Found);
+    const auto Pointer =
+        appendPointer(Reader.makePointer(Name), std::to_string(Index));
+    FieldReader EntryReader((*List)[Index], Pointer, Problems);
     Target.push_back(ReadOne(EntryReader));
-    EntryReader.refuseUnknown();
+    EntryReader.reportUnknownFields();
   }
 }
 
-/// Notes each entry whose key an earlier entry of the list has. Empty keys
-/// were reported already.
+/// Reports each entry whose key equals that of an earlier entry. Empty keys
+/// have been reported before.
 template <class Entry, class KeyOf>
 static void
-refuseRepeats(const std::string &Place, const std::vector<Entry> &Entries,
-              const std::string &What, KeyOf GetKey, Problems &Found) {
+reportDuplicates(const std::string &Pointer, const std::vector<Entry> &Entries,
+                 const std::string &Kind, KeyOf GetKey, ProblemList &Problems) {
   std::set<std::string> Seen;
   for (std::size_t Index = 0; Index < Entries.size(); ++Index) {
     const std::string &Key = GetKey(Entries[Index]);
     if (Key.empty() || Seen.insert(Key).second)
       continue;
-    std::string Text = What;
-    Text.append(" '").append(Key).append("' stands twice in this list");
-    Found.push_back({appendPointer(Place, std::to_string(Index)), Text});
+    std::string Text = Kind;
+    Text.append(" '").append(Key).append("' is listed more than once");
+    Problems.push_back({appendPointer(Pointer, std::to_string(Index)), Text});
   }
 }
 
 static Resources readResources(FieldReader &Reader) {
   Resources Amount;
-  Reader.readInteger("milliCpus", Amount.MilliCpus_, {0, MaxCpus});
-  Reader.readInteger("memoryMib", Amount.MemoryMib_, {0, MaxMemory});
+  Reader.readInteger("milliCpus", Amount.MilliCpus_, {0, MaxMilliCpus});
+  Reader.readInteger("memoryMib", Amount.MemoryMib_, {0, MaxMemoryMib});
   Reader.readInteger("accelerators", Amount.Accelerators_,
                      {0, MaxAccelerators});
   return Amount;
@@ -79,11 +80,13 @@
   std::string Name;
   if (Reader.readName("operator", Name))
     Key.Operator_ = OperatorId(Name);
-  Reader.readText("publicKey", Key.PublicKey_, Need::Required, DigestLetters);
+  Reader.readText("publicKey", Key.PublicKey_, Presence::Required,
+                  DigestHexDigits);
   if (!Key.PublicKey_.empty() && !isPublicKey(Key.PublicKey_))
-    Reader.addProblem("publicKey", "is no Ed25519 public key; 64 lower-case "
-                                   "hexadecimal digits as printed by "
-                                   "'tulipweirctl keygen' are allowed");
+    Reader.addProblem("publicKey",
+                      "is not an Ed25519 public key; 64 lower-case "
+                      "hexadecimal digits as printed by "
+                      "'tulipweirctl keygen' are expected");
   return Key;
 }
 
@@ -97,28 +100,28 @@
   Reader.readMillis("targetP99Ms", Service.TargetP99_, {1, HourMs});
   Reader.readInteger("queueLimit", Service.QueueLimit_, {0, 100'000});
   Reader.readInteger("maxBodyBytes", Service.MaxBodyBytes_, {0, 64LL << 20});
-  Reader.readSwitch("hedgingAllowed", Service.HedgingAllowed_);
+  Reader.readBool("hedgingAllowed", Service.HedgingAllowed_);
   return Service;
 }
 
 static void checkDeadlines(FieldReader &Reader, const ServiceConfig &Service) {
   if (Service.DefaultDeadline_ > Service.MaxDeadline_)
     Reader.addProblem("defaultDeadlineMs",
-                      "is longer than maxDeadlineMs; at most that is allowed");
+                      "must not be longer than maxDeadlineMs");
 }
 
 static CallerLimit readCallerLimit(FieldReader &Reader) {
   static constexpr double MaxRate = 10'000'000;
   CallerLimit Limit;
   std::string Name;
-  Reader.readText("caller", Name, Need::Required, 128);
+  Reader.readText("caller", Name, Presence::Required, 128);
   Limit.Caller_ = CallerId(Name);
   if (Name.empty())
-    Reader.addProblem("caller", "is empty; a caller's name is allowed, or "
-                                "\"*\" for every caller not named");
+    Reader.addProblem("caller", "is empty; a caller's name is expected, or "
+                                "\"*\" for every caller not listed");
   Reader.readNumber("requestsPerSecond", Limit.RequestsPerSecond_, {0, MaxRate},
-                    Need::Required);
-  Reader.readNumber("burst", Limit.Burst_, {0, MaxRate}, Need::Required);
+                    Presence::Required);
+  Reader.readNumber("burst", Limit.Burst_, {0, MaxRate}, Presence::Required);
   return Limit;
 }
 
@@ -139,10 +142,10 @@
       Policy.TailWeight_ + Policy.ThroughputWeight_ + Policy.EvictionWeight_;
   if (Sum <= 0)
     Reader.addProblem("tailWeight", "and the other two weights are all 0; at "
-                                    "least one above 0 is needed");
+                                    "least one must be above 0");
 }
 
-static decide::Policy readPolicy(FieldReader &Reader, Problems &Found) {
+static decide::Policy readPolicy(FieldReader &Reader, ProblemList &Problems) {
   decide::Policy Policy;
   readWeights(Reader, Policy);
   Reader.readInteger("urgentPriority", Policy.UrgentPriority_, {1, 1'000'000});
@@ -154,19 +157,19 @@
   Reader.readInteger("quarantineJobs", Policy.QuarantineJobs_, {2, 20});
   Reader.readMillis("quarantineMs", Policy.QuarantineTime_, {SecondMs, DayMs});
   Reader.readMillis("ageingStepMs", Policy.AgeingStep_, {SecondMs, HourMs});
-  readList(Reader, "quotas", Need::Optional, MaxTeams, Policy.Quotas_, Found,
-           readQuota);
-  refuseRepeats(
-      Reader.placeOf("quotas"), Policy.Quotas_, "team",
+  readList(Reader, "quotas", Presence::Optional, MaxTeams, Policy.Quotas_,
+           Problems, readQuota);
+  reportDuplicates(
+      Reader.makePointer("quotas"), Policy.Quotas_, "team",
       [](const decide::TeamQuota &Quota) -> const std::string & {
         return Quota.Team_.value();
       },
-      Found);
+      Problems);
   return Policy;
 }
 
 static bool isDigest(std::string_view Text) {
-  return Text.size() == DigestLetters &&
+  return Text.size() == DigestHexDigits &&
          Text.find_first_not_of("0123456789abcdef") == std::string_view::npos;
 }
 
@@ -174,42 +177,43 @@
   std::int64_t Version = 0;
   std::int64_t Parent = 0;
   std::string ParentDigest;
-  Reader.readInteger("version", Version, {1, MaxVersion}, Need::Required);
-  Reader.readInteger("parentVersion", Parent, {0, MaxVersion}, Need::Required);
-  Reader.readText("parentDigest", ParentDigest, Need::Required, DigestLetters);
+  Reader.readInteger("version", Version, {1, MaxVersion}, Presence::Required);
+  Reader.readInteger("parentVersion", Parent, {0, MaxVersion},
+                     Presence::Required);
+  Reader.readText("parentDigest", ParentDigest, Presence::Required,
+                  DigestHexDigits);
   if (Version > 0 && Version <= Parent)
-    Reader.addProblem("version",
-                      "is not above parentVersion; versions only rise");
+    Reader.addProblem("version", "must be greater than parentVersion");
   if (Parent == 0 && !ParentDigest.empty())
     Reader.addProblem("parentDigest", "is set, but parentVersion 0 means that "
-                                      "there is no parent; \"\" is allowed");
+                                      "there is no parent; \"\" is expected");
   if (Parent > 0 && !isDigest(ParentDigest))
     Reader.addProblem("parentDigest",
-                      "is no digest; the 64 hexadecimal digits shown by "
-                      "'tulipweirctl bundle current' are allowed");
+                      "is not a digest; the 64 hexadecimal digits shown by "
+                      "'tulipweirctl bundle current' are expected");
   Target.Version_ = BundleVersion(static_cast<std::uint64_t>(Version));
   Target.ParentVersion_ = BundleVersion(static_cast<std::uint64_t>(Parent));
   Target.ParentDigest_ = Digest(ParentDigest);
 }
 
 static void readOperators(FieldReader &Reader, Bundle &Target,
-                          Problems &Found) {
-  readList(Reader, "operators", Need::Required, MaxOperators, Target.Operators_,
-           Found, readOperator);
-  const auto Place = Reader.placeOf("operators");
-  refuseRepeats(
-      Place, Target.Operators_, "operator",
+                          ProblemList &Problems) {
+  readList(Reader, "operators", Presence::Required, MaxOperators,
+           Target.Operators_, Problems, readOperator);
+  const auto Pointer = Reader.makePointer("operators");
+  reportDuplicates(
+      Pointer, Target.Operators_, "operator",
       [](const OperatorKey &Key) -> const std::string & {
         return Key.Operator_.value();
       },
-      Found);
-  // One person under two names would count twice.
-  refuseRepeats(
-      Place, Target.Operators_, "public key",
+      Problems);
+  // One person listed under two names could sign off twice.
+  reportDuplicates(
+      Pointer, Target.Operators_, "public key",
       [](const OperatorKey &Key) -> const std::string & {
         return Key.PublicKey_;
       },
-      Found);
+      Problems);
   Reader.readInteger("signOffsNeeded", Target.SignOffsNeeded_,
                      {1, static_cast<std::int64_t>(MaxOperators)});
   if (Target.SignOffsNeeded_ > Target.Operators_.size())
@@ -217,74 +221,76 @@
                       "is " + std::to_string(Target.SignOffsNeeded_) +
                           ", but there are " +
                           std::to_string(Target.Operators_.size()) +
-                          " operators; no bundle could follow this one");
+                          " operators; no later bundle could be accepted");
 }
 
-static void readServices(FieldReader &Reader, Bundle &Target, Problems &Found) {
-  const json *List = Reader.findArray("services", Need::Required, MaxServices);
+static void readServices(FieldReader &Reader, Bundle &Target,
+                         ProblemList &Problems) {
+  const json *List =
+      Reader.findArray("services", Presence::Required, MaxServices);
   if (!List)
     return;
   for (std::size_t Index = 0; Index < List->size(); ++Index) {
-    const auto Place =
-        appendPointer(Reader.placeOf("services"), std::to_string(Index));
-    FieldReader Entry((*List)[Index], Place, Found);
+    const auto Pointer =
+        appendPointer(Reader.makePointer("services"), std::to_string(Index));
+    FieldReader Entry((*List)[Index], Pointer, Problems);
     ServiceConfig Service = readService(Entry);
     checkDeadlines(Entry, Service);
     if (const json *Share = Entry.findObject("share")) {
-      FieldReader ShareReader(*Share, Entry.placeOf("share"), Found);
+      FieldReader ShareReader(*Share, Entry.makePointer("share"), Problems);
       Service.Share_ = readResources(ShareReader);
-      ShareReader.refuseUnknown();
+      ShareReader.reportUnknownFields();
     }
-    Entry.refuseUnknown();
+    Entry.reportUnknownFields();
     Target.Services_.push_back(std::move(Service));
   }
-  refuseRepeats(
-      Reader.placeOf("services"), Target.Services_, "service",
+  reportDuplicates(
+      Reader.makePointer("services"), Target.Services_, "service",
       [](const ServiceConfig &Service) -> const std::string & {
         return Service.Service_.value();
       },
-      Found);
+      Problems);
 }
 
 static void readCallerLimits(FieldReader &Reader, Bundle &Target,
-                             Problems &Found) {
-  readList(Reader, "callerLimits", Need::Optional, MaxCallers,
-           Target.CallerLimits_, Found, readCallerLimit);
-  refuseRepeats(
-      Reader.placeOf("callerLimits"), Target.CallerLimits_, "caller",
+                             ProblemList &Problems) {
+  readList(Reader, "callerLimits", Presence::Optional, MaxCallers,
+           Target.CallerLimits_, Problems, readCallerLimit);
+  reportDuplicates(
+      Reader.makePointer("callerLimits"), Target.CallerLimits_, "caller",
       [](const CallerLimit &Limit) -> const std::string & {
         return Limit.Caller_.value();
       },
-      Found);
+      Problems);
 }
 
-static Bundle readBundle(FieldReader &Reader, Problems &Found) {
+static Bundle readBundle(FieldReader &Reader, ProblemList &Problems) {
   Bundle Target;
   readVersions(Reader, Target);
-  Reader.readText("note", Target.Note_, Need::Required, MaxNoteBytes);
-  readOperators(Reader, Target, Found);
-  readServices(Reader, Target, Found);
-  readCallerLimits(Reader, Target, Found);
+  Reader.readText("note", Target.Note_, Presence::Required, MaxNoteBytes);
+  readOperators(Reader, Target, Problems);
+  readServices(Reader, Target, Problems);
+  readCallerLimits(Reader, Target, Problems);
   Reader.readNumber("retryBudget", Target.RetryBudget_, {0, 1});
   Reader.readMillis("requestRetentionMs", Target.RequestRetention_,
                     {60 * SecondMs, 30 * DayMs});
   if (const json *Policy = Reader.findObject("policy")) {
-    FieldReader PolicyReader(*Policy, Reader.placeOf("policy"), Found);
-    Target.Policy_ = readPolicy(PolicyReader, Found);
-    PolicyReader.refuseUnknown();
+    FieldReader PolicyReader(*Policy, Reader.makePointer("policy"), Problems);
+    Target.Policy_ = readPolicy(PolicyReader, Problems);
+    PolicyReader.reportUnknownFields();
   }
   for (const ServiceConfig &Service : Target.Services_)
     Target.Policy_.Targets_.push_back({Service.Service_, Service.TargetP99_});
-  Reader.refuseUnknown();
+  Reader.reportUnknownFields();
   return Target;
 }
 
-static void limitProblems(Problems &Found) {
-  if (Found.size() <= MaxProblems)
+static void truncateProblems(ProblemList &Problems) {
+  if (Problems.size() <= MaxProblems)
     return;
-  const std::size_t Left = Found.size() - MaxProblems;
-  Found.resize(MaxProblems);
-  Found.push_back({"", std::to_string(Left) + " more problems"});
+  const std::size_t Remaining = Problems.size() - MaxProblems;
+  Problems.resize(MaxProblems);
+  Problems.push_back({"", std::to_string(Remaining) + " more problems"});
 }
 
 BundleCheck fleet::checkBundle(std::string_view Text) {
@@ -300,7 +306,7 @@
     return Check;
   FieldReader Reader(*Value, "", Check.Problems_);
   Bundle Checked = readBundle(Reader, Check.Problems_);
-  limitProblems(Check.Problems_);
+  truncateProblems(Check.Problems_);
   if (Check.Problems_.empty())
     Check.Bundle_.push_back(std::move(Checked));
   return Check;
--- a/src/fleet/BundleHistory.cpp
+++ b/src/fleet/BundleHistory.cpp
@@ -1,4 +1,4 @@
-//===- BundleHistory.cpp - Every bundle that was accepted -----------------===//
+//===- BundleHistory.cpp - History of accepted bundles -------------------===//
 
 #include "tulipweir/fleet/BundleHistory.h"
 
@@ -11,7 +11,7 @@
 
 static constexpr int HexBase = 16;
 
-static ArchivedBundle makeArchived(const AcceptedBundle &Full) {
+static ArchivedBundle archiveRecord(const AcceptedBundle &Full) {
   ArchivedBundle Short;
   Short.Version_ = Full.Version_.value();
   Short.WallMs_ = Full.WallMs_;
@@ -24,7 +24,7 @@
   return Short;
 }
 
-static AcceptedBundle makeAccepted(const ArchivedBundle &Short) {
+static AcceptedBundle expandRecord(const ArchivedBundle &Short) {
   static constexpr char Digits[] = "0123456789abcdef";
   AcceptedBundle Full;
   Full.Version_ = BundleVersion(Short.Version_);
@@ -40,13 +40,13 @@
 
 void BundleHistory::append(AcceptedBundle Accepted) {
   assert((!latest() || latest()->Version_ < Accepted.Version_) &&
-         "bundle versions only rise");
+         "bundle versions must increase");
   Recent_.push_back(std::move(Accepted));
-  if (Recent_.size() > TextsKept)
-    Recent_[Recent_.size() - 1 - TextsKept].Text_.clear();
-  if (Recent_.size() <= DetailsKept)
+  if (Recent_.size() > MaxTexts)
+    Recent_[Recent_.size() - 1 - MaxTexts].Text_.clear();
+  if (Recent_.size() <= MaxDetailedRecords)
     return;
-  Archive_.push_back(makeArchived(Recent_.front()));
+  Archive_.push_back(archiveRecord(Recent_.front()));
   Recent_.pop_front();
 }
 
@@ -56,31 +56,33 @@
 
 std::optional<AcceptedBundle>
 BundleHistory::findVersion(BundleVersion Version) const {
-  const auto Found =
+  const auto It =
       std::ranges::lower_bound(Recent_, Version, {}, &AcceptedBundle::Version_);
-  if (Found != Recent_.end() && Found->Version_ == Version)
-    return *Found;
+  if (It != Recent_.end() && It->Version_ == Version)
+    return *It;
   const auto Old = std::ranges::lower_bound(Archive_, Version.value(), {},
                                             &ArchivedBundle::Version_);
   if (Old != Archive_.end() && Old->Version_ == Version.value())
-    return makeAccepted(*Old);
+    return expandRecord(*Old);
   return std::nullopt;
 }
 
-const AcceptedBundle *BundleHistory::findDigest(const Digest &Value) const {
-  const auto Found = std::find_if(
-      Recent_.rbegin(), Recent_.rend(),
-      [&](const AcceptedBundle &One) { return One.Digest_ == Value; });
-  return Found == Recent_.rend() ? nullptr : &*Found;
+const AcceptedBundle *
+BundleHistory::findDigest(const Digest &BundleDigest) const {
+  const auto It = std::find_if(Recent_.rbegin(), Recent_.rend(),
+                               [&](const AcceptedBundle &Accepted) {
+                                 return Accepted.Digest_ == BundleDigest;
+                               });
+  return It == Recent_.rend() ? nullptr : &*It;
 }
 
 std::vector<AcceptedBundle> BundleHistory::list(std::size_t Limit) const {
   std::vector<AcceptedBundle> Listed;
-  for (auto One = Recent_.rbegin();
-       One != Recent_.rend() && Listed.size() < Limit; ++One)
-    Listed.push_back(*One);
-  for (auto One = Archive_.rbegin();
-       One != Archive_.rend() && Listed.size() < Limit; ++One)
-    Listed.push_back(makeAccepted(*One));
+  for (auto It = Recent_.rbegin();
+       It != Recent_.rend() && Listed.size() < Limit; ++It)
+    Listed.push_back(*It);
+  for (auto It = Archive_.rbegin();
+       It != Archive_.rend() && Listed.size() < Limit; ++It)
+    Listed.push_back(expandRecord(*It));
   return Listed;
 }
--- a/src/fleet/FleetCodec.cpp
+++ b/src/fleet/FleetCodec.cpp
@@ -1,4 +1,4 @@
-//===- FleetCodec.cpp - The fleet's values as bytes -----------------------===//
+//===- FleetCodec.cpp - Binary encoding of the fleet's values ------------===//
 
 #include "tulipweir/fleet/FleetCodec.h"
 #include "Pack.h"
@@ -12,7 +12,7 @@
 
 static constexpr std::uint32_t SnapshotFormat = 1;
 
-// Fields in the order of their declaration; the order is the format.
+// Fields are listed in the order of their declaration, which is the encoding.
 
 namespace tulipweir::fleet {
 
@@ -62,7 +62,7 @@
       V.Message_, V.EndedWallMs_);
 }
 
-template <class F> static void forEachField(AssignmentHeld &V, F Use) {
+template <class F> static void forEachField(HeldAssignment &V, F Use) {
   Use(V.Job_, V.Assignment_);
 }
 template <class F> static void forEachField(DataCentreLoad &V, F Use) {
@@ -77,7 +77,7 @@
 
 namespace {
 
-/// All parts of a FleetState, as a snapshot holds them.
+/// The parts of a FleetState in the order of a snapshot.
 struct Snapshot {
   std::uint32_t Format_ = SnapshotFormat;
   std::vector<ArchivedBundle> Archive_;
@@ -119,7 +119,7 @@
   }
 }
 
-/// A command is its kind's number, then its fields.
+/// A command is encoded as the number of its kind and its fields.
 template <> struct fleet::pack::Format<Command> {
   static void write(Packer &Out, const Command &Value) {
     Out.pack_array(2);
@@ -187,7 +187,7 @@
 
 std::string fleet::encodeState(const FleetState &Value) {
   Snapshot Parts;
-  const BundleBook &Bundles = Value.bundles();
+  const BundleRegistry &Bundles = Value.bundles();
   Parts.Archive_ = Bundles.history().archive();
   Parts.Recent_ = Bundles.history().recent();
   Parts.Proposals_ = Bundles.proposals();
@@ -222,13 +222,14 @@
   if (!Decoded)
     return std::move(Decoded).as_failure();
   Snapshot &Parts = Decoded.value();
-  auto Bundles = BundleBook::restore(
+  auto Bundles = BundleRegistry::restore(
       BundleHistory(std::move(Parts.Archive_), std::move(Parts.Recent_)),
       std::move(Parts.Proposals_), std::move(Parts.Superseded_),
       Parts.NextSequence_);
   if (!Bundles)
     return std::move(Bundles).as_failure();
-  auto Jobs = JobBook::restore(std::move(Parts.Jobs_), std::move(Parts.Ended_));
+  auto Jobs =
+      JobRegistry::restore(std::move(Parts.Jobs_), std::move(Parts.Ended_));
   if (!Jobs)
     return std::move(Jobs).as_failure();
   return FleetState(std::move(Bundles.value()), std::move(Jobs.value()));
--- a/src/fleet/JsonText.cpp
+++ b/src/fleet/JsonText.cpp
@@ -1,4 +1,4 @@
-//===- JsonText.cpp - Strict reading of JSON with comments ----------------===//
+//===- JsonText.cpp - Strict JSON parser with comments -------------------===//
 
 #include "JsonText.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Follows the parser's events and notes keys that stand twice.
+/// Follows the parser's events and reports duplicate keys of an object.
 class DuplicateFinder {
 public:
   explicit DuplicateFinder(std::vector<BundleProblem> &Problems)
@@ -32,9 +32,9 @@
     std::set<std::string> Keys_;
   };
 
-  void enter(bool IsArray);
-  void noteKey(const std::string &Key);
-  std::string placeOfNext();
+  void pushLevel(bool IsArray);
+  void recordKey(const std::string &Key);
+  std::string advancePointer();
 
   std::vector<BundleProblem> &Problems_;
   std::vector<Level> Levels_;
@@ -42,7 +42,7 @@
 
 } // namespace
 
-std::string DuplicateFinder::placeOfNext() {
+std::string DuplicateFinder::advancePointer() {
   if (Levels_.empty())
     return "";
   Level &Top = Levels_.back();
@@ -51,59 +51,61 @@
   return appendPointer(Top.Pointer_, Top.Key_);
 }
 
-void DuplicateFinder::enter(bool IsArray) {
+void DuplicateFinder::pushLevel(bool IsArray) {
   Level Entered;
-  Entered.Pointer_ = placeOfNext();
+  Entered.Pointer_ = advancePointer();
   Entered.IsArray_ = IsArray;
   Levels_.push_back(std::move(Entered));
 }
 
-void DuplicateFinder::noteKey(const std::string &Key) {
+void DuplicateFinder::recordKey(const std::string &Key) {
   Level &Top = Levels_.back();
   Top.Key_ = Key;
   if (!Top.Keys_.insert(Key).second)
     Problems_.push_back({appendPointer(Top.Pointer_, Key),
-                         "stands twice; each field is allowed once"});
+                         "is duplicated; each field is allowed once"});
 }
 
 bool DuplicateFinder::onEvent(json::parse_event_t Event, const json &Parsed) {
   switch (Event) {
   case json::parse_event_t::object_start:
-    enter(false);
+    pushLevel(false);
     break;
   case json::parse_event_t::array_start:
-    enter(true);
+    pushLevel(true);
     break;
   case json::parse_event_t::object_end:
   case json::parse_event_t::array_end:
     Levels_.pop_back();
     break;
   case json::parse_event_t::key:
-    noteKey(Parsed.get_ref<const std::string &>());
+    recordKey(Parsed.get_ref<const std::string &>());
     break;
   case json::parse_event_t::value:
-    placeOfNext();
+    advancePointer();
     break;
   }
   return true;
 }
 
 std::string fleet::appendPointer(const std::string &Pointer,
-                                 std::string_view Step) {
-  std::string Longer = Pointer + "/";
-  for (const char Letter : Step) {
-    if (Letter == '~')
-      Longer += "~0";
-    else if (Letter == '/')
-      Longer += "~1";
+                                 std::string_view Token) {
+  std::string Extended = Pointer + "/";
+  for (const char Character : Token) {
+    if (Character == '~')
+      Extended += "~0";
+    else if (Character == '/')
+      Extended += "~1";
     else
-      Longer += Letter;
+      Extended += Character;
   }
-  return Longer;
+  return Extended;
 }
 
-/// The library counts bytes from 1; operators look for a line.
-static std::string makeLineAndColumn(std::string_view Text, std::size_t Byte) {
+/// Converts the library's byte number, which counts from 1, to the line and
+/// column that operators look for.
+static std::string formatLineAndColumn(std::string_view Text,
+                                       std::size_t Byte) {
   const auto Before = Text.substr(0, Byte == 0 ? 0 : Byte - 1);
   const auto Line = 1 + std::ranges::count(Before, '\n');
   const std::size_t LineStart = Before.rfind('\n');
@@ -113,7 +115,7 @@
   return std::to_string(Line) + ":" + std::to_string(Column);
 }
 
-/// Drops the library's own position and number from its message.
+/// Removes the library's own error number and position from its message.
 static std::string shortenMessage(std::string Message) {
   const std::size_t Colon = Message.find(": ");
   return Colon == std::string::npos ? Message : Message.substr(Colon + 2);
@@ -121,10 +123,10 @@
 
 static bool isTooDeep(std::string_view Text) {
   std::size_t Depth = 0;
-  for (const char Letter : Text) {
-    if (Letter == '[' || Letter == '{')
+  for (const char Character : Text) {
+    if (Character == '[' || Character == '{')
       ++Depth;
-    if ((Letter == ']' || Letter == '}') && Depth > 0)
+    if ((Character == ']' || Character == '}') && Depth > 0)
       --Depth;
     if (Depth > MaxNesting)
       return true;
@@ -146,10 +148,10 @@
   try {
     return json::parse(Text, OnEvent, true, true);
   } catch (const json::parse_error &Caught) {
-    Problems.push_back({makeLineAndColumn(Text, Caught.byte),
+    Problems.push_back({formatLineAndColumn(Text, Caught.byte),
                         "is not JSON: " + shortenMessage(Caught.what())});
   } catch (const json::exception &Caught) {
-    Problems.push_back({"1:1", "is not JSON that we can hold: " +
+    Problems.push_back({"1:1", "is JSON that cannot be represented: " +
                                    shortenMessage(Caught.what())});
   }
   return std::nullopt;
--- a/tests/fleet/AssignmentScheduleTest.cpp
+++ b/tests/fleet/AssignmentScheduleTest.cpp
@@ -1,9 +1,10 @@
 //===- AssignmentScheduleTest.cpp -----------------------------------------===//
 //
-// Seeded schedules over three data centres with two control processes each:
-// clocks that drift, cuts, messages that arrive hours late, leaders that
-// change, and frozen ones that answer what they had checked before. Whatever
-// happens, no job is ever held by two data centres.
+// Runs seeded schedules over three data centres with two control processes each
+// and checks that no job is ever held by two data centres. The schedules
+// contain clock drift, partitions, messages delayed by more than a lease,
+// leader changes and leaders that freeze between their leadership check and
+// their answer.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +26,8 @@
 using std::chrono::seconds;
 
 static constexpr std::size_t DataCentres = 3;
-static constexpr std::size_t Controls = 6; ///< Number N is in data centre N%3.
+/// Control process N is in data centre N % 3.
+static constexpr std::size_t Controls = 6;
 static constexpr std::size_t Jobs = 4;
 static constexpr Duration Ttl = seconds(1000);
 static constexpr std::size_t Budget = 8;
@@ -41,11 +43,11 @@
 
 namespace {
 
-/// One control process with its own clock and copy of the fleet's state.
+/// A control process with its own clock and replica of the fleet's state.
 struct Control {
   double Rate_ = 1;
   Duration Offset_{};
-  std::size_t Believed_ = 0; ///< Who leads, as far as it heard.
+  std::size_t KnownLeader_ = 0; ///< The latest leader it knows of.
   std::size_t Applied_ = 0;
   FleetState State_;
   std::unique_ptr<JobAssigner> Assigner_;
@@ -56,31 +58,32 @@
 public:
   explicit Schedule(std::uint64_t Seed);
   void run();
-  std::size_t getMoves() const;
+  std::size_t countAssignments() const;
   std::size_t getHeldChecks() const { return HeldChecks_; }
   const std::string &getViolation() const { return Violation_; }
 
 private:
-  TimePoint readClock(const Control &Of) const {
-    const double Local = static_cast<double>(Now_.count()) * Of.Rate_;
-    return TimePoint(Of.Offset_ + Duration(static_cast<std::int64_t>(Local)));
+  TimePoint readClock(const Control &Owner) const {
+    const double Local = static_cast<double>(Now_.count()) * Owner.Rate_;
+    return TimePoint(Owner.Offset_ +
+                     Duration(static_cast<std::int64_t>(Local)));
   }
-  bool chance(unsigned Percent) { return Random_() % 100 < Percent; }
-  bool areCut(std::size_t A, std::size_t B) const {
+  bool happens(unsigned Percent) { return Random_() % 100 < Percent; }
+  bool arePartitioned(std::size_t A, std::size_t B) const {
     return A % DataCentres != B % DataCentres &&
-           (Cut_[A % DataCentres] || Cut_[B % DataCentres]);
+           (Partitioned_[A % DataCentres] || Partitioned_[B % DataCentres]);
   }
-  /// Mostly short; some span an election, few span a lease.
+  /// Most delays are short; some span an election, few span a lease.
   Duration makeDelay() {
-    const Duration Long = chance(20) ? Ttl * 2 : Ttl / 4;
-    const Duration Most = chance(10) ? Long : Ttl / 1000;
-    return Duration(static_cast<std::int64_t>(Random_() % Most.count()));
+    const Duration LongDelay = happens(20) ? Ttl * 2 : Ttl / 4;
+    const Duration MaxDelay = happens(10) ? LongDelay : Ttl / 1000;
+    return Duration(static_cast<std::int64_t>(Random_() % MaxDelay.count()));
   }
-  void later(Duration Delay, std::function<void()> Event) {
+  void schedule(Duration Delay, std::function<void()> Event) {
     Events_.emplace(Now_ + Delay, std::move(Event));
   }
 
-  void commit(const Command &Value);
+  void commit(const Command &Request);
   void applyAll(Control &To);
   void changeLeader();
   void replicate(Control &To, std::size_t Number);
@@ -88,7 +91,7 @@
   void receiveReport(std::size_t From, std::size_t To,
                      const AssignmentReport &Report, TimePoint SentAt);
   void decide();
-  void releaseSome();
+  void releaseFirstHeldJob();
   void check();
   bool isHeldBy(std::size_t DataCentre, const JobId &Job) const;
 
@@ -97,13 +100,15 @@
   std::multimap<Duration, std::function<void()>> Events_;
   std::vector<Control> Controls_;
   std::vector<Command> Log_;
-  FleetState Truth_;
+  FleetState CommittedState_;
   std::size_t Leader_ = 0;
   std::uint64_t Term_ = 0;
-  bool Cut_[DataCentres] = {};
+  bool Partitioned_[DataCentres] = {};
   std::vector<Command> InFlight_; ///< Proposed by the leader of this term.
-  std::vector<std::pair<std::size_t, AssignmentHeld>> Given_; ///< Ever.
-  std::set<AssignmentHeld> Stopped_; ///< Their holder gave them back itself.
+  /// All assignments ever made, with the number of their data centre.
+  std::vector<std::pair<std::size_t, HeldAssignment>> Assignments_;
+  /// Assignments that their data centre has released itself.
+  std::set<HeldAssignment> Released_;
   std::size_t HeldChecks_ = 0;
   std::string Violation_;
 };
@@ -112,11 +117,11 @@
 
 Schedule::Schedule(std::uint64_t Seed) : Random_(Seed), Controls_(Controls) {
   const auto Times = AssignmentTimes::makeFor(Ttl);
-  for (Control &One : Controls_) {
-    One.Rate_ = Random_() % 2 ? 0.99 : 1.01;
-    One.Offset_ = seconds(Random_() % 1'000'000);
-    One.Assigner_ = std::make_unique<JobAssigner>(Times);
-    One.Lease_ = std::make_unique<AssignmentLease>(Times);
+  for (Control &Process : Controls_) {
+    Process.Rate_ = Random_() % 2 ? 0.99 : 1.01;
+    Process.Offset_ = seconds(Random_() % 1'000'000);
+    Process.Assigner_ = std::make_unique<JobAssigner>(Times);
+    Process.Lease_ = std::make_unique<AssignmentLease>(Times);
   }
   for (std::size_t I = 0; I < Jobs; ++I)
     commit(SubmitJob{nameJob(I), TeamId("t"), "s",
@@ -124,17 +129,17 @@
   changeLeader();
 }
 
-void Schedule::commit(const Command &Value) {
-  const CommandResult Result = Truth_.apply(Value);
-  Log_.push_back(Value);
+void Schedule::commit(const Command &Request) {
+  const CommandResult Result = CommittedState_.apply(Request);
+  Log_.push_back(Request);
   Control &Leader = Controls_[Leader_];
   if (Leader.Applied_ + 1 == Log_.size())
     applyAll(Leader);
-  const auto *Assign = std::get_if<AssignJob>(&Value);
+  const auto *Assign = std::get_if<AssignJob>(&Request);
   if (!Assign || !Result.Error_.empty())
     return;
   const std::size_t Chosen = Assign->DataCentre_.value().back() - '0';
-  Given_.push_back({Chosen, {Assign->Job_, Result.Assignment_}});
+  Assignments_.push_back({Chosen, {Assign->Job_, Result.Assignment_}});
 }
 
 void Schedule::applyAll(Control &To) {
@@ -142,93 +147,95 @@
     To.State_.apply(Log_[To.Applied_++]);
 }
 
-/// What the old leader had proposed is committed in part; the new one begins
-/// once it has applied that. The old one does not notice.
+/// Commits a random prefix of the old leader's proposals; the new leader starts
+/// once it has applied them. The old leader does not notice the change.
 void Schedule::changeLeader() {
-  const std::size_t Survive =
+  const std::size_t CommittedCount =
       InFlight_.empty() ? 0 : Random_() % (InFlight_.size() + 1);
-  for (std::size_t I = 0; I < Survive; ++I)
+  for (std::size_t I = 0; I < CommittedCount; ++I)
     commit(InFlight_[I]);
   InFlight_.clear();
   ++Term_;
   Leader_ = Random_() % Controls;
-  Control &New = Controls_[Leader_];
-  applyAll(New);
-  New.Assigner_->noteLeading(readClock(New));
+  Control &NewLeader = Controls_[Leader_];
+  applyAll(NewLeader);
+  NewLeader.Assigner_->startLeading(readClock(NewLeader));
 }
 
 void Schedule::replicate(Control &To, std::size_t Number) {
-  if (areCut(Number, Leader_) || chance(50))
+  if (arePartitioned(Number, Leader_) || happens(50))
     return;
-  To.Believed_ = Leader_;
+  To.KnownLeader_ = Leader_;
   applyAll(To);
 }
 
 void Schedule::sendReport(std::size_t From) {
   Control &Sender = Controls_[From];
-  const DataCentreId Own = nameDataCentre(From);
-  std::vector<AssignmentHeld> Standing;
-  if (const auto Held = Sender.State_.jobs().held().find(Own);
+  const DataCentreId DataCentre = nameDataCentre(From);
+  std::vector<HeldAssignment> Current;
+  if (const auto Held = Sender.State_.jobs().held().find(DataCentre);
       Held != Sender.State_.jobs().held().end())
     for (const JobId &Job : Held->second)
-      Standing.push_back({Job, Sender.State_.jobs().find(Job)->Assignment_});
+      Current.push_back({Job, Sender.State_.jobs().find(Job)->Assignment_});
   const TimePoint SentAt = readClock(Sender);
-  AssignmentReport Report{Own, true, {0.5, 0, 8}, {}};
-  Report.Due_ = Sender.Lease_->listDue(Standing, SentAt, Jobs);
-  if (areCut(From, Sender.Believed_))
+  AssignmentReport Report{DataCentre, true, {0.5, 0, 8}, {}};
+  Report.Due_ = Sender.Lease_->listDue(Current, SentAt, Jobs);
+  if (arePartitioned(From, Sender.KnownLeader_))
     return;
-  later(makeDelay(), [this, From, To = Sender.Believed_, Report, SentAt] {
+  schedule(makeDelay(), [this, From, To = Sender.KnownLeader_, Report, SentAt] {
     receiveReport(From, To, Report, SentAt);
   });
 }
 
 void Schedule::receiveReport(std::size_t From, std::size_t To,
                              const AssignmentReport &Report, TimePoint SentAt) {
-  // Replica::holdsLeaderLease; a process that is frozen right after it goes on
-  // long afterwards with the state of then.
-  if (To != Leader_ || areCut(From, To))
+  // Stands for Replica::holdsLeaderLease. A process that is frozen right after
+  // that check continues much later with the state it had then.
+  if (To != Leader_ || arePartitioned(From, To))
     return;
-  const Duration Frozen = chance(5) ? Ttl * 2 : Duration::zero();
-  later(Frozen, [this, From, To, Report, SentAt] {
+  const Duration FreezeTime = happens(5) ? Ttl * 2 : Duration::zero();
+  schedule(FreezeTime, [this, From, To, Report, SentAt] {
     Control &Answering = Controls_[To];
     const auto Reply = Answering.Assigner_->renew(
         Report, Answering.State_.jobs(), readClock(Answering));
-    later(makeDelay(), [this, From, Reply, SentAt] {
-      Controls_[From].Lease_->noteRenewed(Reply, SentAt);
+    schedule(makeDelay(), [this, From, Reply, SentAt] {
+      Controls_[From].Lease_->recordRenewals(Reply, SentAt);
     });
   });
 }
 
 void Schedule::decide() {
   Control &Leader = Controls_[Leader_];
-  for (const Command &Value : Leader.Assigner_->decide(
+  for (const Command &Request : Leader.Assigner_->decide(
            Leader.State_.jobs(), readClock(Leader), Budget)) {
-    InFlight_.push_back(Value);
-    // The worst moment to come back: while the release is on its way.
-    if (std::holds_alternative<ReleaseJob>(Value) && chance(30))
-      std::ranges::fill(Cut_, false);
-    later(makeDelay(), [this, Value, Term = Term_] {
+    InFlight_.push_back(Request);
+    // The worst case is a data centre that reconnects while the release of its
+    // jobs is being committed.
+    if (std::holds_alternative<ReleaseJob>(Request) && happens(30))
+      std::ranges::fill(Partitioned_, false);
+    schedule(makeDelay(), [this, Request, Term = Term_] {
       if (Term != Term_)
         return;
-      std::erase(InFlight_, Value);
-      commit(Value);
+      std::erase(InFlight_, Request);
+      commit(Request);
     });
   }
 }
 
-/// A data centre stops a job and gives it back of its own accord.
-void Schedule::releaseSome() {
-  for (const auto &[DataCentre, Held] : Truth_.jobs().held()) {
+/// A data centre stops a job and releases it without being asked to.
+void Schedule::releaseFirstHeldJob() {
+  for (const auto &[DataCentre, Held] : CommittedState_.jobs().held()) {
     const JobId Job = *Held.begin();
-    const std::uint64_t Assignment = Truth_.jobs().find(Job)->Assignment_;
-    Stopped_.insert({Job, Assignment});
+    const std::uint64_t Assignment =
+        CommittedState_.jobs().find(Job)->Assignment_;
+    Released_.insert({Job, Assignment});
     return commit(ReleaseJob{Job, Assignment, false, ""});
   }
 }
 
 bool Schedule::isHeldBy(std::size_t DataCentre, const JobId &Job) const {
-  for (const auto &[Chosen, Held] : Given_) {
-    if (Chosen != DataCentre || Held.Job_ != Job || Stopped_.contains(Held))
+  for (const auto &[Chosen, Held] : Assignments_) {
+    if (Chosen != DataCentre || Held.Job_ != Job || Released_.contains(Held))
       continue;
     for (std::size_t I = DataCentre; I < Controls; I += DataCentres)
       if (Controls_[I].Lease_->covers(Held, readClock(Controls_[I])))
@@ -267,28 +274,28 @@
     }
     decide();
     if (Random_() % 200 == 0)
-      Cut_[Random_() % DataCentres] ^= true;
+      Partitioned_[Random_() % DataCentres] ^= true;
     if (Random_() % 700 == 0)
       changeLeader();
     if (Random_() % 300 == 0)
-      releaseSome();
+      releaseFirstHeldJob();
     check();
   }
 }
 
-std::size_t Schedule::getMoves() const { return Given_.size(); }
+std::size_t Schedule::countAssignments() const { return Assignments_.size(); }
 
 TEST(AssignmentScheduleTest, NoJobIsEverHeldByTwoDataCentres) {
-  std::size_t Moves = 0;
+  std::size_t AssignmentCount = 0;
   std::size_t HeldChecks = 0;
   for (std::uint64_t Seed = 0; Seed < Seeds; ++Seed) {
-    Schedule Tried(Seed);
-    Tried.run();
-    ASSERT_EQ(Tried.getViolation(), "") << "seed " << Seed;
-    Moves += Tried.getMoves();
-    HeldChecks += Tried.getHeldChecks();
+    Schedule Simulation(Seed);
+    Simulation.run();
+    ASSERT_EQ(Simulation.getViolation(), "") << "seed " << Seed;
+    AssignmentCount += Simulation.countAssignments();
+    HeldChecks += Simulation.getHeldChecks();
   }
-  EXPECT_GT(Moves, Seeds * Jobs) << "jobs hardly ever moved";
-  EXPECT_GT(HeldChecks, 100'000U) << "jobs were hardly ever held";
-  RecordProperty("moves", static_cast<int>(Moves));
+  EXPECT_GT(AssignmentCount, Seeds * Jobs) << "too few assignments were made";
+  EXPECT_GT(HeldChecks, 100'000U) << "too few held jobs were checked";
+  RecordProperty("moves", static_cast<int>(AssignmentCount));
 }
--- a/tests/fleet/BundleCheckTest.cpp
+++ b/tests/fleet/BundleCheckTest.cpp
@@ -15,7 +15,7 @@
 using testing::Contains;
 using testing::Field;
 
-/// A bundle in which every field that exists is set.
+/// Returns a bundle in which every known field is set.
 static json makeFullBundle() {
   json Value = makeBundleJson(2, 1, std::string(64, 'a'), 3, 2);
   Value["services"] = {
@@ -59,7 +59,7 @@
 
 TEST(BundleCheckTest, EveryFieldIsRead) {
   const BundleCheck Check = checkBundle(makeFullBundle().dump());
-  ASSERT_EQ(Check.Bundle_.size(), 1U) << Check.Problems_.front().Place_;
+  ASSERT_EQ(Check.Bundle_.size(), 1U) << Check.Problems_.front().Location_;
   const Bundle &Read = Check.Bundle_.front();
   EXPECT_EQ(Read.Version_, BundleVersion(2));
   EXPECT_EQ(Read.SignOffsNeeded_, 2U);
@@ -81,7 +81,7 @@
   EXPECT_EQ(Read.Policy_.Targets_.at(0).P99_, std::chrono::milliseconds(80));
 }
 
-TEST(BundleCheckTest, LeftOutFieldsHaveTheDocumentedDefaults) {
+TEST(BundleCheckTest, OmittedFieldsHaveDocumentedDefaults) {
   const auto Check = checkBundle(makeBundleText(1, 0, ""));
   ASSERT_EQ(Check.Bundle_.size(), 1U);
   EXPECT_EQ(Check.Bundle_[0].Policy_, decide::Policy());
@@ -94,15 +94,15 @@
 }
 
 namespace {
-struct BadField {
+struct InvalidField {
   const char *Pointer_;
   json Value_;
 };
 } // namespace
 
-/// Each line breaks one rule; the problem must name that very place.
-TEST(BundleCheckTest, EachBrokenRuleIsReportedAtItsPlace) {
-  const BadField Lines[] = {
+/// Each line violates one rule; the problem must name exactly that location.
+TEST(BundleCheckTest, EachInvalidFieldIsReportedAtItsLocation) {
+  const InvalidField Lines[] = {
       {"/version", 0},
       {"/version", "2"},
       {"/version", 2.5},
@@ -112,7 +112,7 @@
       {"/parentDigest", std::string(64, 'G')},
       {"/note", 5},
       {"/note", std::string(1001, 'x')},
-      {"/signOffsNeeded", 4}, // Of three operators.
+      {"/signOffsNeeded", 4}, // There are three operators.
       {"/signOffsNeeded", 0},
       {"/operators", json::object()},
       {"/operators/0", 7},
@@ -123,7 +123,7 @@
       {"/services/0/service", std::string(65, 'a')},
       {"/services/0/queueLimit", 100001},
       {"/services/0/queueLimit", 18446744073709551615ULL},
-      {"/services/0/defaultDeadlineMs", 5001}, // Over its maximum.
+      {"/services/0/defaultDeadlineMs", 5001}, // Above its maximum.
       {"/services/0/targetP99Ms", 0},
       {"/services/0/hedgingAllowed", 1},
       {"/services/0/share", json::array()},
@@ -146,34 +146,34 @@
       {"/policy/a~1b", 1}, // An unknown field with a slash in its name.
       {"/extra", {}},
   };
-  for (const BadField &Line : Lines) {
+  for (const InvalidField &Line : Lines) {
     json Value = makeFullBundle();
     Value[json::json_pointer(Line.Pointer_)] = Line.Value_;
     EXPECT_THAT(findProblems(Value.dump()),
-                Contains(Field(&BundleProblem::Place_, Line.Pointer_)))
+                Contains(Field(&BundleProblem::Location_, Line.Pointer_)))
         << Line.Pointer_ << " = " << Line.Value_;
   }
 }
 
-TEST(BundleCheckTest, RequiredFieldsAreMissed) {
+TEST(BundleCheckTest, MissingRequiredFieldsAreReported) {
   for (const char *Name : {"version", "parentVersion", "parentDigest", "note",
                            "operators", "services"}) {
     json Value = makeFullBundle();
     Value.erase(Name);
     EXPECT_THAT(
         findProblems(Value.dump()),
-        Contains(Field(&BundleProblem::Place_, std::string("/") + Name)));
+        Contains(Field(&BundleProblem::Location_, std::string("/") + Name)));
   }
 }
 
-TEST(BundleCheckTest, RepeatedEntriesAndSharedKeysAreRefused) {
+TEST(BundleCheckTest, DuplicateEntriesAndSharedKeysAreRejected) {
   json Value = makeFullBundle();
   Value["services"][1]["service"] = "booking";
   Value["operators"][1]["operator"] = "op1";
   Value["operators"][2]["publicKey"] = Value["operators"][0]["publicKey"];
   const auto Problems = findProblems(Value.dump());
   for (const char *Place : {"/services/1", "/operators/1", "/operators/2"})
-    EXPECT_THAT(Problems, Contains(Field(&BundleProblem::Place_, Place)));
+    EXPECT_THAT(Problems, Contains(Field(&BundleProblem::Location_, Place)));
 }
 
 TEST(BundleCheckTest, AllProblemsAreReportedAtOnce) {
@@ -185,29 +185,29 @@
   EXPECT_EQ(findProblems(Value.dump()).size(), 4U);
 }
 
-TEST(BundleCheckTest, AKeyThatStandsTwiceIsRefusedAtItsPlace) {
+TEST(BundleCheckTest, DuplicateKeyIsReportedAtItsLocation) {
   std::string Text = makeFullBundle().dump();
-  const std::string Once = "\"queueLimit\":32";
-  Text.replace(Text.find(Once), Once.size(), Once + "," + Once);
-  EXPECT_THAT(findProblems(Text), Contains(Field(&BundleProblem::Place_,
+  const std::string Entry = "\"queueLimit\":32";
+  Text.replace(Text.find(Entry), Entry.size(), Entry + "," + Entry);
+  EXPECT_THAT(findProblems(Text), Contains(Field(&BundleProblem::Location_,
                                                  "/services/0/queueLimit")));
 }
 
-TEST(BundleCheckTest, SyntaxErrorsCarryLineAndColumn) {
+TEST(BundleCheckTest, SyntaxErrorHasLineAndColumn) {
   const auto Problems = findProblems("{\n  \"version\": 1,\n  oops\n}");
   ASSERT_EQ(Problems.size(), 1U);
-  EXPECT_EQ(Problems[0].Place_, "3:3");
+  EXPECT_EQ(Problems[0].Location_, "3:3");
 }
 
-TEST(BundleCheckTest, HugeAndDeepTextsAreRefused) {
+TEST(BundleCheckTest, OversizedAndDeeplyNestedTextsAreRejected) {
   EXPECT_EQ(findProblems(std::string(MaxBundleBytes + 1, ' ')).size(), 1U);
   EXPECT_EQ(findProblems(std::string(200'000, '[')).size(), 1U);
   EXPECT_FALSE(findProblems("{\"version\": 1e400}").empty());
 }
 
-// Fuzzing, with fixed seeds.
+// Fuzz tests with fixed seeds.
 
-/// What an accepted text may contain, written down a second time.
+/// Specifies the types of an accepted text independently of the checked code.
 static bool isWellTyped(const std::string &Pattern, const json &Leaf) {
   static const std::regex Texts(
       "/note|/parentDigest|/operators/N/(operator|publicKey)"
@@ -232,21 +232,21 @@
   return Pattern == "/services/N/hedgingAllowed" && Leaf.is_boolean();
 }
 
-/// The first ill-typed leaf of an accepted text, or nothing.
+/// Returns the first leaf with a wrong type in an accepted text, or "".
 static std::string findIllTyped(const json &Value, const std::string &Pattern) {
   if (!Value.is_structured())
     return isWellTyped(Pattern, Value) ? "" : Pattern;
   for (const auto &Item : Value.items()) {
     std::string Longer = Pattern;
     Longer.append("/").append(Value.is_array() ? "N" : Item.key());
-    auto Found = findIllTyped(Item.value(), Longer);
-    if (!Found.empty())
-      return Found;
+    auto Path = findIllTyped(Item.value(), Longer);
+    if (!Path.empty())
+      return Path;
   }
   return "";
 }
 
-static void expectSoundVerdict(const std::string &Text) {
+static void expectConsistentResult(const std::string &Text) {
   const BundleCheck Check = checkBundle(Text);
   ASSERT_NE(Check.Bundle_.empty(), Check.Problems_.empty()) << Text;
   if (Check.Bundle_.empty())
@@ -255,30 +255,30 @@
   ASSERT_EQ(findIllTyped(Read, ""), "") << Text;
 }
 
-TEST(BundleFuzzTest, MutatedBytesNeverPassIllTyped) {
+TEST(BundleFuzzTest, MutatedTextIsNeverAcceptedWithWrongTypes) {
   const std::string Whole = makeFullBundle().dump();
-  static constexpr char Likely[] = "{}[]\",:0123456789.-eE/*\\ntf \xff\0";
+  static constexpr char SpecialBytes[] = "{}[]\",:0123456789.-eE/*\\ntf \xff\0";
   std::mt19937_64 Random(4711);
   std::size_t Accepted = 0;
   for (int Round = 0; Round < 6000; ++Round) {
     std::string Text = Whole;
     for (unsigned Change = 0; Change < 1 + Round % 3U; ++Change) {
       const std::size_t At = Random() % Text.size();
-      const char Letter = Likely[Random() % (sizeof(Likely) - 1)];
+      const char Byte = SpecialBytes[Random() % (sizeof(SpecialBytes) - 1)];
       if (Random() % 3 == 0)
         Text.erase(At, 1 + Random() % 8);
       else if (Random() % 2 == 0)
-        Text.insert(At, 1, Letter);
+        Text.insert(At, 1, Byte);
       else
-        Text[At] = Letter;
+        Text[At] = Byte;
     }
-    expectSoundVerdict(Text);
+    expectConsistentResult(Text);
     Accepted += checkBundle(Text).Bundle_.size();
   }
-  EXPECT_GT(Accepted, 0U) << "the mutations never leave a valid bundle";
+  EXPECT_GT(Accepted, 0U) << "no mutation left a valid bundle";
 }
 
-TEST(BundleFuzzTest, SwappedValuesNeverPassIllTyped) {
+TEST(BundleFuzzTest, ReplacedValueIsNeverAcceptedWithWrongType) {
   const json Flat = makeFullBundle().flatten();
   const json Values = {nullptr,
                        true,
@@ -302,16 +302,16 @@
     auto Leaf = Flat.begin();
     std::advance(Leaf, Random() % Flat.size());
     Value[json::json_pointer(Leaf.key())] = Values[Random() % Values.size()];
-    expectSoundVerdict(Value.dump());
+    expectConsistentResult(Value.dump());
   }
 }
 
-TEST(BundleFuzzTest, RandomBytesAreRefused) {
+TEST(BundleFuzzTest, RandomBytesAreRejected) {
   std::mt19937_64 Random(99);
   for (int Round = 0; Round < 2000; ++Round) {
     std::string Text(Random() % 200, '\0');
-    for (char &Letter : Text)
-      Letter = static_cast<char>(Random());
+    for (char &Byte : Text)
+      Byte = static_cast<char>(Random());
     EXPECT_TRUE(checkBundle(Text).Bundle_.empty());
   }
 }
