--- a/include/tulipweir/entry/AnnouncementBatcher.h
+++ b/include/tulipweir/entry/AnnouncementBatcher.h
@@ -25,11 +25,11 @@
   /// New measures of services and usage go out at least this often.
   Duration Refresh_ = std::chrono::seconds(10);
   /// Without anything new a whole announcement goes out at least this often.
-  Duration LongestRefresh_ = std::chrono::seconds(60);
+  Duration FullRefresh_ = std::chrono::seconds(60);
 };
 
 /// What a batcher works with; the references outlive it.
-struct BatcherParts {
+struct BatcherDependencies {
   EntryIdentity Identity_;
   ControlClient &Control_;
   Timers &Timers_;
@@ -40,15 +40,15 @@
 /// Thread-safe.
 class AnnouncementBatcher {
 public:
-  explicit AnnouncementBatcher(const BatcherParts &Parts);
+  explicit AnnouncementBatcher(const BatcherDependencies &Deps);
   ~AnnouncementBatcher();
   AnnouncementBatcher(const AnnouncementBatcher &) = delete;
   AnnouncementBatcher &operator=(const AnnouncementBatcher &) = delete;
 
   /// Passes the announcement on and calls Done once, within Timeout and a
   /// batching period.
-  void announce(const wire::Announcement &Value, Duration Timeout,
-                ControlDone<wire::Announcement> Done);
+  void announce(const wire::Announcement &Announcement, Duration Timeout,
+                ControlCallback<wire::Announcement> Done);
 
 private:
   class Queue;
--- a/include/tulipweir/entry/CallersApi.h
+++ b/include/tulipweir/entry/CallersApi.h
@@ -24,7 +24,7 @@
 using RandomBits = std::function<std::uint64_t()>;
 
 /// What the callers' side needs; all of it outlives the API.
-struct CallersParts {
+struct CallersApiDependencies {
   const EntryIdentity &Identity_;
   const EntryFlags &Flags_;
   const ConfigurationHolder &Configuration_;
@@ -40,7 +40,7 @@
 /// Thread-safe.
 class CallersApi {
 public:
-  explicit CallersApi(CallersParts Parts);
+  explicit CallersApi(CallersApiDependencies Deps);
 
   void handleService(net::HttpRequest Request, net::HttpRespond Respond);
   void handleTicket(const net::HttpRequest &Request,
@@ -50,11 +50,12 @@
 
 private:
   std::string makeRequestId();
-  std::optional<FinalResult> refuseByState(const Configuration *Held) const;
-  std::optional<FinalResult> refuseByLimit(const ServiceRequest &Request,
-                                           const Configuration &Held) const;
+  std::optional<FinalResult>
+  refuseWithoutBundle(const Configuration *Config) const;
+  std::optional<FinalResult> refuseOverLimit(const ServiceRequest &Request,
+                                             const Configuration &Config) const;
 
-  const CallersParts Parts_;
+  const CallersApiDependencies Deps_;
   const std::string IdPrefix_;
   std::atomic<std::uint64_t> Requests_{0};
   std::atomic<std::uint64_t> InProgress_{0};
--- a/include/tulipweir/entry/Configuration.h
+++ b/include/tulipweir/entry/Configuration.h
@@ -42,7 +42,7 @@
 
 private:
   mutable std::mutex Mutex_;
-  std::shared_ptr<const Configuration> Held_;
+  std::shared_ptr<const Configuration> Current_;
 };
 
 } // namespace tulipweir::entry
--- a/include/tulipweir/entry/ControlClient.h
+++ b/include/tulipweir/entry/ControlClient.h
@@ -17,7 +17,7 @@
 namespace tulipweir::entry {
 
 template <class Request>
-using ControlDone = std::function<void(Outcome<typename Request::Reply>)>;
+using ControlCallback = std::function<void(Outcome<typename Request::Reply>)>;
 
 /// Finds the leader by itself. Each call ends exactly once, within Timeout:
 /// with the leader's reply; with Unavailable if it certainly had no effect;
@@ -27,23 +27,23 @@
 public:
   virtual ~ControlClient() = default;
   virtual void report(const wire::EntryReport &Report, Duration Timeout,
-                      ControlDone<wire::EntryReport> Done) = 0;
+                      ControlCallback<wire::EntryReport> Done) = 0;
   virtual void announce(const wire::Announcement &Announcement,
                         Duration Timeout,
-                        ControlDone<wire::Announcement> Done) = 0;
+                        ControlCallback<wire::Announcement> Done) = 0;
   /// Fails with VersionMismatch where nobody knows batches; announcements then
   /// go one by one.
   virtual void announceBatch(const wire::AnnouncementBatch &Batch,
                              Duration Timeout,
-                             ControlDone<wire::AnnouncementBatch> Done);
+                             ControlCallback<wire::AnnouncementBatch> Done);
   virtual void begin(const wire::BeginRequest &Request, Duration Timeout,
-                     ControlDone<wire::BeginRequest> Done) = 0;
+                     ControlCallback<wire::BeginRequest> Done) = 0;
   virtual void finish(const wire::FinishRequest &Request, Duration Timeout,
-                      ControlDone<wire::FinishRequest> Done) = 0;
+                      ControlCallback<wire::FinishRequest> Done) = 0;
   virtual void abandon(const wire::AbandonRequest &Request, Duration Timeout,
-                       ControlDone<wire::AbandonRequest> Done) = 0;
+                       ControlCallback<wire::AbandonRequest> Done) = 0;
   virtual void callOperator(const wire::OperatorCall &Call, Duration Timeout,
-                            ControlDone<wire::OperatorCall> Done) = 0;
+                            ControlCallback<wire::OperatorCall> Done) = 0;
 };
 
 } // namespace tulipweir::entry
--- a/include/tulipweir/entry/Entry.h
+++ b/include/tulipweir/entry/Entry.h
@@ -20,7 +20,7 @@
 namespace tulipweir::entry {
 
 /// What an entry is made of; all of it outlives the entry.
-struct EntryParts {
+struct EntryDependencies {
   EntryIdentity Identity_;
   /// Control processes by data centre, the own one among them.
   std::map<DataCentreId, std::shared_ptr<ControlClient>> Controls_;
@@ -39,7 +39,7 @@
 /// Thread-safe.
 class Entry {
 public:
-  explicit Entry(EntryParts Parts);
+  explicit Entry(EntryDependencies Deps);
 
   // Commands.
 
@@ -50,8 +50,8 @@
   /// Readiness is taken back; requests that come are still served.
   void beginStop();
   /// Gives the grants back, once nothing is in progress.
-  void giveBack(std::function<void()> Done) {
-    Reporter_.giveBack(std::move(Done));
+  void releaseGrants(std::function<void()> Done) {
+    Reporter_.releaseGrants(std::move(Done));
   }
 
   // Queries.
--- a/include/tulipweir/entry/EntryMetrics.h
+++ b/include/tulipweir/entry/EntryMetrics.h
@@ -20,16 +20,16 @@
 public:
   explicit EntryMetrics(net::Metrics &To);
 
-  void countResult(const FinalResult &Result, Duration Took);
-  std::uint64_t getResults(RequestReason Reason) const;
+  void countResult(const FinalResult &Result, Duration Latency);
+  std::uint64_t getResultCount(RequestReason Reason) const;
 
   net::Counter &Tries_;         ///< Requests sent to backend servers.
   net::Counter &Retries_;       ///< Tries after a first one.
   net::Counter &Hedges_;        ///< Tries beside a running one.
   net::Counter &RetriesDenied_; ///< By the budget.
   net::Counter &WrongIds_;      ///< Answers that belonged to another request.
-  net::Counter &Attached_;      ///< Resends that joined a running request.
-  net::Counter &RecordsFailed_; ///< Ends that could not be recorded.
+  net::Counter &AttachedRequests_; ///< Resends that joined a running request.
+  net::Counter &RecordsFailed_;    ///< Ends that could not be recorded.
   net::Counter &Announcements_;
   net::Counter &AnnouncementsFailed_;
   net::Counter &Reports_;
--- a/include/tulipweir/entry/EntryState.h
+++ b/include/tulipweir/entry/EntryState.h
@@ -29,7 +29,7 @@
 struct EntryFlags {
   std::atomic<bool> Stopping_{false};
   /// Until when the last reply's grants hold.
-  std::atomic<TimePoint> GrantsUntil_{TimePoint::min()};
+  std::atomic<TimePoint> GrantsExpireAt_{TimePoint::min()};
 };
 
 } // namespace tulipweir::entry
--- a/include/tulipweir/entry/KeyedSender.h
+++ b/include/tulipweir/entry/KeyedSender.h
@@ -20,7 +20,7 @@
 namespace tulipweir::entry {
 
 /// What the keyed sending needs; all of it outlives the sender.
-struct KeyedParts {
+struct KeyedSenderDependencies {
   Sender &Plain_; ///< Sends once the record allows it.
   RequestTable &Table_;
   const RecordHomes &Homes_;
@@ -33,18 +33,18 @@
 
 class KeyedSender final : public Sender {
 public:
-  explicit KeyedSender(const KeyedParts &Parts) : Parts_(Parts) {}
+  explicit KeyedSender(const KeyedSenderDependencies &Deps) : Deps_(Deps) {}
   /// Request must have a key.
-  void send(SharedRequest Request, FinalDone Done) override;
+  void send(SharedRequest Request, ResultCallback Done) override;
 
   /// Ends and abandons that are still being recorded; a planned stop waits
   /// for them.
-  std::uint64_t getUnrecorded() const { return *Unrecorded_; }
+  std::uint64_t getPendingRecordCount() const { return *PendingRecords_; }
 
 private:
-  const KeyedParts Parts_;
+  const KeyedSenderDependencies Deps_;
   std::atomic<std::uint64_t> Nonces_{0};
-  const std::shared_ptr<std::atomic<std::uint64_t>> Unrecorded_ =
+  const std::shared_ptr<std::atomic<std::uint64_t>> PendingRecords_ =
       std::make_shared<std::atomic<std::uint64_t>>(0);
 };
 
--- a/include/tulipweir/entry/LeaderClient.h
+++ b/include/tulipweir/entry/LeaderClient.h
@@ -37,31 +37,32 @@
   ~LeaderClient() override;
 
   void report(const wire::EntryReport &Report, Duration Timeout,
-              ControlDone<wire::EntryReport> Done) override;
+              ControlCallback<wire::EntryReport> Done) override;
   void announce(const wire::Announcement &Announcement, Duration Timeout,
-                ControlDone<wire::Announcement> Done) override;
+                ControlCallback<wire::Announcement> Done) override;
   void announceBatch(const wire::AnnouncementBatch &Batch, Duration Timeout,
-                     ControlDone<wire::AnnouncementBatch> Done) override;
+                     ControlCallback<wire::AnnouncementBatch> Done) override;
   void begin(const wire::BeginRequest &Request, Duration Timeout,
-             ControlDone<wire::BeginRequest> Done) override;
+             ControlCallback<wire::BeginRequest> Done) override;
   void finish(const wire::FinishRequest &Request, Duration Timeout,
-              ControlDone<wire::FinishRequest> Done) override;
+              ControlCallback<wire::FinishRequest> Done) override;
   void abandon(const wire::AbandonRequest &Request, Duration Timeout,
-               ControlDone<wire::AbandonRequest> Done) override;
+               ControlCallback<wire::AbandonRequest> Done) override;
   void callOperator(const wire::OperatorCall &Call, Duration Timeout,
-                    ControlDone<wire::OperatorCall> Done) override;
+                    ControlCallback<wire::OperatorCall> Done) override;
 
   /// The name of the process that last answered as leader; empty before.
   std::string getLeaderName() const;
 
 private:
   struct Call;
-  class Shared;
+  class Impl;
 
   template <class Request>
-  void send(const Request &Value, Duration Timeout, ControlDone<Request> Done);
+  void send(const Request &Value, Duration Timeout,
+            ControlCallback<Request> Done);
 
-  std::shared_ptr<Shared> Shared_;
+  std::shared_ptr<Impl> Impl_;
 };
 
 } // namespace tulipweir::entry
--- a/include/tulipweir/entry/Reporter.h
+++ b/include/tulipweir/entry/Reporter.h
@@ -23,7 +23,7 @@
 namespace tulipweir::entry {
 
 /// What the reporter needs; all of it outlives the reporter.
-struct ReporterParts {
+struct ReporterDependencies {
   const EntryIdentity &Identity_;
   EntryFlags &Flags_;
   ConfigurationHolder &Configuration_;
@@ -38,7 +38,7 @@
 /// Thread-safe.
 class Reporter {
 public:
-  explicit Reporter(const ReporterParts &Parts);
+  explicit Reporter(const ReporterDependencies &Deps);
   ~Reporter();
   Reporter(const Reporter &) = delete;
   Reporter &operator=(const Reporter &) = delete;
@@ -47,7 +47,7 @@
   void start();
   /// Ends the periodic reports and gives the grants back; calls Done once the
   /// leader has heard it, or cannot be reached.
-  void giveBack(std::function<void()> Done);
+  void releaseGrants(std::function<void()> Done);
   /// Whether the last report was replied to.
   bool hasLeader() const;
 
--- a/include/tulipweir/entry/RequestSender.h
+++ b/include/tulipweir/entry/RequestSender.h
@@ -22,18 +22,18 @@
 
 namespace tulipweir::entry {
 
-using FinalDone = std::function<void(FinalResult)>;
+using ResultCallback = std::function<void(FinalResult)>;
 using SharedRequest = std::shared_ptr<const ServiceRequest>;
 
 /// Sends a request somewhere and reports its end exactly once. Thread-safe.
 class Sender {
 public:
   virtual ~Sender() = default;
-  virtual void send(SharedRequest Request, FinalDone Done) = 0;
+  virtual void send(SharedRequest Request, ResultCallback Done) = 0;
 };
 
 /// What the sending needs; all of it outlives the sender.
-struct SenderParts {
+struct RequestSenderDependencies {
   Router &Router_;
   BackendClient &Client_;
   Timers &Timers_;
@@ -43,11 +43,11 @@
 
 class RequestSender final : public Sender {
 public:
-  explicit RequestSender(const SenderParts &Parts) : Parts_(Parts) {}
-  void send(SharedRequest Request, FinalDone Done) override;
+  explicit RequestSender(const RequestSenderDependencies &Deps) : Deps_(Deps) {}
+  void send(SharedRequest Request, ResultCallback Done) override;
 
 private:
-  SenderParts Parts_;
+  RequestSenderDependencies Deps_;
 };
 
 } // namespace tulipweir::entry
--- a/include/tulipweir/entry/RequestTable.h
+++ b/include/tulipweir/entry/RequestTable.h
@@ -30,7 +30,7 @@
 
 /// Called with the owner's result, or with null when the waiter's own deadline
 /// passed first.
-using TableWaiter = std::function<void(const FinalResult *)>;
+using AttachedCallback = std::function<void(const FinalResult *)>;
 
 /// Thread-safe. Calls waiters without a lock held.
 class RequestTable {
@@ -40,7 +40,7 @@
   // Commands.
 
   JoinResult join(const RequestKey &Key, const Digest &Digest,
-                  TimePoint Deadline, TableWaiter Waiter);
+                  TimePoint Deadline, AttachedCallback Callback);
   /// The owner's end: frees the key and calls who attached.
   void end(const RequestKey &Key, const FinalResult &Result);
   /// Calls, with null, those whose deadline passed.
@@ -48,21 +48,21 @@
 
   // Queries.
 
-  std::size_t getOwners() const;
-  std::size_t getWaiters() const;
+  std::size_t getOwnerCount() const;
+  std::size_t getWaiterCount() const;
 
 private:
   struct Attached {
     TimePoint Deadline_;
-    TableWaiter Waiter_;
+    AttachedCallback Callback_;
   };
-  struct Held {
+  struct KeyState {
     Digest Digest_;
-    std::vector<Attached> Attached_;
+    std::vector<Attached> AttachedRequests_;
   };
   struct Shard {
     mutable std::mutex Mutex_;
-    std::unordered_map<RequestKey, Held> Held_;
+    std::unordered_map<RequestKey, KeyState> Keys_;
   };
 
   Shard &findShard(const RequestKey &Key);
--- a/include/tulipweir/entry/ServerSlots.h
+++ b/include/tulipweir/entry/ServerSlots.h
@@ -28,14 +28,14 @@
 
   /// Takes over the share of a newer report. Until is when the grant runs out
   /// unless it is renewed.
-  void setGrant(const wire::Route &Route, TimePoint Until);
+  void setGrant(const wire::Route &Route, TimePoint ExpiresAt);
   /// The grant is as it was, until later.
-  void renew(TimePoint Until) { Until_ = Until; }
+  void renew(TimePoint ExpiresAt) { ExpiresAt_ = ExpiresAt; }
   /// The server takes nothing new from now on, whatever was granted.
   void setDraining() { Draining_ = true; }
   /// Takes one slot if the grant holds and one is free.
-  bool tryTake(TimePoint Now);
-  void giveBack();
+  bool tryAcquire(TimePoint Now);
+  void releaseSlot();
 
   // Queries.
 
@@ -45,8 +45,8 @@
   const std::vector<ServiceId> &services() const { return Services_; }
   /// Usable slots: each request needs a slot and a connection.
   std::uint32_t getLimit() const;
-  wire::GrantHeld getHeld() const;
-  TimePoint getUntil() const { return Until_; }
+  wire::GrantHeld toGrantHeld() const;
+  TimePoint getExpiry() const { return ExpiresAt_; }
   bool isDraining() const { return Draining_; }
 
 private:
@@ -57,7 +57,7 @@
   std::atomic<std::uint32_t> Slots_{0};
   std::atomic<std::uint32_t> Connections_{0};
   std::atomic<std::uint32_t> InFlight_{0};
-  std::atomic<TimePoint> Until_{TimePoint::min()};
+  std::atomic<TimePoint> ExpiresAt_{TimePoint::min()};
   std::atomic<bool> Draining_{false};
 };
 
--- a/include/tulipweir/entry/ServiceGate.h
+++ b/include/tulipweir/entry/ServiceGate.h
@@ -28,16 +28,16 @@
 namespace tulipweir::entry {
 
 /// A slot of one server, taken for one try.
-using TakenSlot = std::shared_ptr<ServerSlots>;
+using AcquiredSlot = std::shared_ptr<ServerSlots>;
 /// A slot, or why there is none and when to come back.
-struct GateAnswer {
-  TakenSlot Slot_; ///< Null when refused.
+struct SlotResult {
+  AcquiredSlot Slot_; ///< Null when refused.
   RequestReason Reason_ = RequestReason::NoServers;
   Duration RetryAfter_{};
 };
-using GateDone = std::function<void(GateAnswer)>;
+using SlotCallback = std::function<void(SlotResult)>;
 /// A server not to be used, since it was tried before.
-using ExceptServer = std::optional<BackendServerId>;
+using ExcludedServer = std::optional<BackendServerId>;
 
 /// What a gate looks like, for dumps.
 struct GateView {
@@ -63,23 +63,25 @@
   void setServers(const std::vector<std::shared_ptr<ServerSlots>> &Servers);
   /// Gives Done a slot now, or later, or a refusal now. Waiting is refused at
   /// once when it cannot end before the deadline.
-  void enter(TimePoint Deadline, const ExceptServer &Except, GateDone Done);
+  void acquireSlot(TimePoint Deadline, const ExcludedServer &Excluded,
+                   SlotCallback Done);
   /// A slot that is free now, without waiting; null if there is none.
-  TakenSlot tryEnter(const ExceptServer &Except);
+  AcquiredSlot tryAcquireSlot(const ExcludedServer &Excluded);
   /// A first try earns its part of a retry; retries and hedges earn none.
-  void noteFirstTry();
+  void countFirstTry();
   /// Spends one retry or hedge if the budget has it.
   bool trySpendRetry();
   /// Another service of the server took a slot there: counts it as in use.
   /// False if this gate does not know the server; then nothing was counted.
-  bool noteTaken(const BackendServerId &Server);
+  bool recordSlotTaken(const BackendServerId &Server);
   /// Counts a slot that this gate gave, or noted as taken, as free again. The
   /// latency is learned from, unless Result is absent: the end of that try
   /// says nothing about the server as this service sees it.
-  void noteEnded(const BackendServerId &Server,
-                 std::optional<decide::RequestResult> Result, Duration Latency);
+  void recordSlotReleased(const BackendServerId &Server,
+                          std::optional<decide::RequestResult> Result,
+                          Duration Latency);
   /// Hands free slots to those who wait.
-  void drain();
+  void dispatchQueue();
   /// Refuses those who wait and cannot make their deadline any more.
   void sweep();
   /// Forgets who waits without calling them, for the end of the process: they
@@ -90,26 +92,26 @@
 
   const ServiceId &service() const { return Service_; }
   /// How long one request takes in the mean; zero before the first.
-  Duration getServiceTime() const;
+  Duration getMeanLatency() const;
   std::size_t getWaiting() const;
   GateView getView() const;
 
 private:
   struct Waiter {
     TimePoint Deadline_;
-    ExceptServer Except_;
-    GateDone Done_;
+    ExcludedServer Excluded_;
+    SlotCallback Done_;
   };
-  struct Handed {
-    GateDone Done_;
-    GateAnswer Answer_;
+  struct QueueResult {
+    SlotCallback Done_;
+    SlotResult Answer_;
   };
 
-  TakenSlot takeSlot(TimePoint Now, const ExceptServer &Except);
-  decide::SlotView viewSlots() const;
+  AcquiredSlot chooseSlot(TimePoint Now, const ExcludedServer &Excluded);
+  decide::SlotView getSlotView() const;
   bool canServe(TimePoint Now) const;
   /// One waiter with its slot or its refusal; nullopt: nothing can be done.
-  std::optional<Handed> takeNext(TimePoint Now);
+  std::optional<QueueResult> dequeueNext(TimePoint Now);
 
   const ServiceId Service_;
   const Clock &Clock_;
--- a/include/tulipweir/entry/ServiceRequest.h
+++ b/include/tulipweir/entry/ServiceRequest.h
@@ -61,7 +61,8 @@
 inline constexpr const char *ServicePrefix = "/v1/services/";
 
 /// Reads a call below ServicePrefix against the bundle in force. Its deadline
-/// is at most MaxRequest after Now, whatever the caller and the bundle say.
+/// is at most MaxRequest after Now, whatever the caller and the bundle
+/// say.
 ReadResult readServiceRequest(net::HttpRequest Request,
                               const Configuration &Config, std::string Id,
                               TimePoint Now, Duration MaxRequest);
--- a/src/entry/AnnouncementBatcher.cpp
+++ b/src/entry/AnnouncementBatcher.cpp
@@ -15,14 +15,14 @@
 using wire::BatchVerdict;
 
 /// A batch goes out early once it has so many announcements.
-static constexpr std::size_t MaxWaiting = 512;
+static constexpr std::size_t MaxBatchSize = 512;
 /// Longer ones go alone, so that a batch always fits in a frame and nobody's
 /// heartbeat is lost by a neighbour's length.
-static constexpr std::size_t MaxBytesOfOne = 8192;
-static constexpr Duration ForgetAfter = std::chrono::minutes(2);
+static constexpr std::size_t MaxBatchedBytes = 8192;
+static constexpr Duration AcknowledgedTtl = std::chrono::minutes(2);
 
 /// The code with that stable name; Internal for an unknown one.
-static ErrorCode findCode(const std::string &Name) {
+static ErrorCode findErrorCode(const std::string &Name) {
   constexpr int Last = static_cast<int>(ErrorCode::Internal);
   for (int Code = 0; Code <= Last; ++Code)
     if (getErrorName(static_cast<ErrorCode>(Code)) == Name)
@@ -32,54 +32,53 @@
 
 namespace {
 /// One announcement until it is answered.
-struct Waiting {
-  wire::Announcement Value_;
+struct PendingAnnouncement {
+  wire::Announcement Announcement_;
   TimePoint Deadline_;
-  ControlDone<wire::Announcement> Done_;
+  ControlCallback<wire::Announcement> Done_;
   bool Full_ = false;        ///< The leader asked for it.
   std::uint64_t Number_ = 0; ///< Of it, or of what its digest stands on.
 };
 
 /// What was sent, in the order of the batch's positions.
-struct Sent {
+struct OutgoingBatch {
   wire::AnnouncementBatch Batch_;
-  std::vector<Waiting> Items_;
-  std::vector<Waiting> Alone_; ///< Not in the batch.
+  std::vector<PendingAnnouncement> Items_;
+  std::vector<PendingAnnouncement> Individual_; ///< Not in the batch.
 };
 
 /// A whole announcement that the leader has heard.
-struct Heard {
+struct AcknowledgedAnnouncement {
   std::uint64_t Number_ = 0;
-  wire::Announcement Value_;
-  TimePoint SaidAt_;
+  wire::Announcement Announcement_;
+  TimePoint AcknowledgedAt_;
 };
 } // namespace
 
 class AnnouncementBatcher::Queue : public std::enable_shared_from_this<Queue> {
 public:
-  explicit Queue(const BatcherParts &Parts) : Parts_(Parts) {}
+  explicit Queue(const BatcherDependencies &Deps) : Deps_(Deps) {}
 
-  TimePoint now() const { return Parts_.Clock_.now(); }
+  TimePoint now() const { return Deps_.Clock_.now(); }
 
-  void add(Waiting Item) {
+  void add(PendingAnnouncement Item) {
     const std::lock_guard Lock(Mutex_);
-    const bool Urgent = !findHeard(Item);
-    Waiting_.push_back(std::move(Item));
+    const bool Urgent = !findDigestBase(Item);
+    Pending_.push_back(std::move(Item));
     const Duration Delay =
-        Urgent ? Parts_.Settings_.UrgentPeriod_ : Parts_.Settings_.Period_;
-    wakeAt(Waiting_.size() >= MaxWaiting ? Parts_.Clock_.now()
-                                         : Parts_.Clock_.now() + Delay);
+        Urgent ? Deps_.Settings_.UrgentPeriod_ : Deps_.Settings_.Period_;
+    scheduleFlush(Pending_.size() >= MaxBatchSize ? Deps_.Clock_.now()
+                                                  : Deps_.Clock_.now() + Delay);
   }
 
 private:
   /// Sees that a batch goes out by then. The lock is held.
-  void wakeAt(TimePoint Due) {
-    if (Due >= Due_)
+  void scheduleFlush(TimePoint Due) {
+    if (Due >= FlushAt_)
       return;
-    Due_ = Due;
-    const Duration Delay =
-        std::max(Duration::zero(), Due - Parts_.Clock_.now());
-    Parts_.Timers_.runAfter(Delay, [Weak = weak_from_this(), Due] {
+    FlushAt_ = Due;
+    const Duration Delay = std::max(Duration::zero(), Due - Deps_.Clock_.now());
+    Deps_.Timers_.runAfter(Delay, [Weak = weak_from_this(), Due] {
       if (const std::shared_ptr<Queue> Self = Weak.lock())
         Self->flush(Due);
     });
@@ -87,92 +86,95 @@
 
   /// What the item may be a digest of; nullptr if it has to go whole. The lock
   /// is held.
-  const Heard *findHeard(const Waiting &Item) const {
-    const auto Found = Heard_.find(Item.Value_.Server_);
-    if (Item.Full_ || Found == Heard_.end())
+  const AcknowledgedAnnouncement *
+  findDigestBase(const PendingAnnouncement &Item) const {
+    const auto It = Acknowledged_.find(Item.Announcement_.Server_);
+    if (Item.Full_ || It == Acknowledged_.end())
       return nullptr;
-    const Heard &Last = Found->second;
-    const Duration Age = Parts_.Clock_.now() - Last.SaidAt_;
-    const bool Due = Age >= Parts_.Settings_.LongestRefresh_ ||
-                     (Age >= Parts_.Settings_.Refresh_ &&
-                      wire::hasNewMeasures(Item.Value_, Last.Value_));
-    if (Due || !wire::saysTheSame(Item.Value_, Last.Value_) ||
-        wire::hasTailMoved(Item.Value_, Last.Value_))
+    const AcknowledgedAnnouncement &Last = It->second;
+    const Duration Age = Deps_.Clock_.now() - Last.AcknowledgedAt_;
+    const bool Due =
+        Age >= Deps_.Settings_.FullRefresh_ ||
+        (Age >= Deps_.Settings_.Refresh_ &&
+         wire::hasNewMeasures(Item.Announcement_, Last.Announcement_));
+    if (Due || !wire::saysTheSame(Item.Announcement_, Last.Announcement_) ||
+        wire::hasTailMoved(Item.Announcement_, Last.Announcement_))
       return nullptr;
     return &Last;
   }
 
   void flush(TimePoint Due) {
-    std::shared_ptr<Sent> Out;
+    std::shared_ptr<OutgoingBatch> Outgoing;
     {
       const std::lock_guard Lock(Mutex_);
       // An earlier batch took what this timer was for.
-      if (Due != Due_)
+      if (Due != FlushAt_)
         return;
-      Due_ = TimePoint::max();
-      Out = takeBatch();
+      FlushAt_ = TimePoint::max();
+      Outgoing = takeBatch();
     }
-    sendSingly(std::move(Out->Alone_));
-    if (Out->Items_.empty())
+    sendIndividually(std::move(Outgoing->Individual_));
+    if (Outgoing->Items_.empty())
       return;
-    Parts_.Control_.announceBatch(
-        Out->Batch_, findTimeout(Out->Items_),
+    Deps_.Control_.announceBatch(
+        Outgoing->Batch_, findTimeout(Outgoing->Items_),
         [Self = shared_from_this(),
-         Out](const Outcome<AnnouncementBatchReply> &Reply) {
-          Self->onReply(std::move(Out->Items_), Reply);
+         Outgoing](const Outcome<AnnouncementBatchReply> &Reply) {
+          Self->onReply(std::move(Outgoing->Items_), Reply);
         });
   }
 
-  Duration findTimeout(const std::vector<Waiting> &Items) const {
+  Duration findTimeout(const std::vector<PendingAnnouncement> &Items) const {
     TimePoint Last = TimePoint::min();
-    for (const Waiting &Each : Items)
+    for (const PendingAnnouncement &Each : Items)
       Last = std::max(Last, Each.Deadline_);
-    return std::max(Duration(1), Last - Parts_.Clock_.now());
+    return std::max(Duration(1), Last - Deps_.Clock_.now());
   }
 
   /// The lock is held.
-  std::shared_ptr<Sent> takeBatch() {
-    forgetUnused();
-    auto Out = std::make_shared<Sent>();
-    Out->Batch_.Entry_ = Parts_.Identity_.Entry_;
-    Out->Batch_.Incarnation_ = Parts_.Identity_.Incarnation_;
-    std::vector<std::pair<wire::AnnouncementDigest, Waiting>> Digests;
-    for (Waiting &Item : Waiting_) {
-      if (const Heard *Last = findHeard(Item)) {
+  std::shared_ptr<OutgoingBatch> takeBatch() {
+    pruneAcknowledged();
+    auto Outgoing = std::make_shared<OutgoingBatch>();
+    Outgoing->Batch_.Entry_ = Deps_.Identity_.Entry_;
+    Outgoing->Batch_.Incarnation_ = Deps_.Identity_.Incarnation_;
+    std::vector<std::pair<wire::AnnouncementDigest, PendingAnnouncement>>
+        Digests;
+    for (PendingAnnouncement &Item : Pending_) {
+      if (const AcknowledgedAnnouncement *Last = findDigestBase(Item)) {
         const std::uint64_t Later =
-            Item.Value_.Sequence_ - Last->Value_.Sequence_;
+            Item.Announcement_.Sequence_ - Last->Announcement_.Sequence_;
         const wire::AnnouncementDigest Digest{Last->Number_, Later};
         Digests.emplace_back(Digest, std::move(Item));
         continue;
       }
-      if (wire::encode(Item.Value_).size() > MaxBytesOfOne) {
-        Out->Alone_.push_back(std::move(Item));
+      if (wire::encode(Item.Announcement_).size() > MaxBatchedBytes) {
+        Outgoing->Individual_.push_back(std::move(Item));
         continue;
       }
-      Item.Number_ = ++LastNumber_;
-      Out->Batch_.Full_.push_back({Item.Number_, Item.Value_});
-      Out->Items_.push_back(std::move(Item));
+      Item.Number_ = ++LastFullNumber_;
+      Outgoing->Batch_.Full_.push_back({Item.Number_, Item.Announcement_});
+      Outgoing->Items_.push_back(std::move(Item));
     }
-    Waiting_.clear();
+    Pending_.clear();
     std::sort(Digests.begin(), Digests.end(),
               [](const auto &A, const auto &B) { return A.first < B.first; });
     std::vector<wire::AnnouncementDigest> Packed;
     for (auto &[Digest, Item] : Digests) {
       Item.Number_ = 0;
       Packed.push_back(Digest);
-      Out->Items_.push_back(std::move(Item));
+      Outgoing->Items_.push_back(std::move(Item));
     }
-    Out->Batch_.Digests_ = wire::packDigests(Packed);
-    return Out;
+    Outgoing->Batch_.Digests_ = wire::packDigests(Packed);
+    return Outgoing;
   }
 
-  void onReply(std::vector<Waiting> Items,
+  void onReply(std::vector<PendingAnnouncement> Items,
                const Outcome<AnnouncementBatchReply> &Reply) {
     if (!Reply && Reply.error().Code_ == ErrorCode::VersionMismatch)
-      return sendSingly(std::move(Items));
+      return sendIndividually(std::move(Items));
     if (!Reply) {
-      forget(Items);
-      for (const Waiting &Each : Items)
+      forgetAcknowledged(Items);
+      for (const PendingAnnouncement &Each : Items)
         Each.Done_(Reply.as_failure());
       return;
     }
@@ -180,40 +182,42 @@
     for (const BatchException &Each : Reply.value().Exceptions_)
       Exceptions[Each.Position_] = &Each;
     for (std::uint32_t Position = 0; Position < Items.size(); ++Position) {
-      const auto Found = Exceptions.find(Position);
+      const auto It = Exceptions.find(Position);
       const BatchException *Exception =
-          Found == Exceptions.end() ? nullptr : Found->second;
+          It == Exceptions.end() ? nullptr : It->second;
       answer(std::move(Items[Position]), Reply.value(), Exception);
     }
   }
 
   /// Whether the leader heard these whole ones is open, and so what it still
   /// holds of earlier ones.
-  void forget(const std::vector<Waiting> &Items) {
+  void forgetAcknowledged(const std::vector<PendingAnnouncement> &Items) {
     const std::lock_guard Lock(Mutex_);
-    for (const Waiting &Each : Items)
+    for (const PendingAnnouncement &Each : Items)
       if (Each.Number_ != 0)
-        Heard_.erase(Each.Value_.Server_);
+        Acknowledged_.erase(Each.Announcement_.Server_);
   }
 
   /// By the message that controls of earlier versions know too.
-  void sendSingly(std::vector<Waiting> Items) {
-    for (Waiting &Each : Items) {
-      const Duration Left = Each.Deadline_ - Parts_.Clock_.now();
-      Parts_.Control_.announce(Each.Value_, std::max(Duration(1), Left),
-                               std::move(Each.Done_));
+  void sendIndividually(std::vector<PendingAnnouncement> Items) {
+    for (PendingAnnouncement &Each : Items) {
+      const Duration Remaining = Each.Deadline_ - Deps_.Clock_.now();
+      Deps_.Control_.announce(Each.Announcement_,
+                              std::max(Duration(1), Remaining),
+                              std::move(Each.Done_));
     }
   }
 
-  void answer(Waiting Item, const AnnouncementBatchReply &Reply,
+  void answer(PendingAnnouncement Item, const AnnouncementBatchReply &Reply,
               const BatchException *Exception) {
     if (Exception && Exception->Verdict_ == BatchVerdict::Refused)
-      return Item.Done_(fail(findCode(Exception->Error_), Exception->Message_));
+      return Item.Done_(
+          fail(findErrorCode(Exception->Error_), Exception->Message_));
     if (Exception && Exception->Verdict_ == BatchVerdict::SendFull)
       return sendFull(std::move(Item));
-    noteHeard(Item);
+    recordAcknowledged(Item);
     wire::AnnouncementReply Answer = wire::makeUsualReply(
-        Item.Value_, Reply.LeaseTtlMs_, Reply.HeartbeatMs_);
+        Item.Announcement_, Reply.LeaseTtlMs_, Reply.HeartbeatMs_);
     if (Exception) {
       Answer.Commands_ = Exception->Commands_;
       Answer.Renewals_ = Exception->Renewals_;
@@ -221,55 +225,55 @@
     Item.Done_(std::move(Answer));
   }
 
-  void sendFull(Waiting Item) {
-    if (Item.Full_ || Parts_.Clock_.now() >= Item.Deadline_)
+  void sendFull(PendingAnnouncement Item) {
+    if (Item.Full_ || Deps_.Clock_.now() >= Item.Deadline_)
       return Item.Done_(
           fail(ErrorCode::Unavailable, "the leader asks for it once more"));
     Item.Full_ = true;
     const std::lock_guard Lock(Mutex_);
-    Waiting_.push_back(std::move(Item));
-    wakeAt(Parts_.Clock_.now() + Parts_.Settings_.UrgentPeriod_);
+    Pending_.push_back(std::move(Item));
+    scheduleFlush(Deps_.Clock_.now() + Deps_.Settings_.UrgentPeriod_);
   }
 
-  void noteHeard(const Waiting &Item) {
+  void recordAcknowledged(const PendingAnnouncement &Item) {
     if (Item.Number_ == 0)
       return;
     const std::lock_guard Lock(Mutex_);
-    Heard &Last = Heard_[Item.Value_.Server_];
+    AcknowledgedAnnouncement &Last = Acknowledged_[Item.Announcement_.Server_];
     if (Item.Number_ > Last.Number_)
-      Last = {Item.Number_, Item.Value_, Parts_.Clock_.now()};
+      Last = {Item.Number_, Item.Announcement_, Deps_.Clock_.now()};
   }
 
   /// The lock is held.
-  void forgetUnused() {
-    const TimePoint Now = Parts_.Clock_.now();
-    if (Now - SweptAt_ < ForgetAfter)
+  void pruneAcknowledged() {
+    const TimePoint Now = Deps_.Clock_.now();
+    if (Now - PrunedAt_ < AcknowledgedTtl)
       return;
-    SweptAt_ = Now;
-    std::erase_if(Heard_, [Now](const auto &Entry) {
-      return Now - Entry.second.SaidAt_ >= ForgetAfter;
+    PrunedAt_ = Now;
+    std::erase_if(Acknowledged_, [Now](const auto &Entry) {
+      return Now - Entry.second.AcknowledgedAt_ >= AcknowledgedTtl;
     });
   }
 
-  const BatcherParts Parts_;
+  const BatcherDependencies Deps_;
   std::mutex Mutex_;
-  std::vector<Waiting> Waiting_; ///< Guarded by Mutex_, as below.
-  std::map<BackendServerId, Heard> Heard_;
-  TimePoint Due_ = TimePoint::max(); ///< Of the next batch.
-  std::uint64_t LastNumber_ = 0;
-  TimePoint SweptAt_{};
+  std::vector<PendingAnnouncement> Pending_; ///< Guarded by Mutex_, as below.
+  std::map<BackendServerId, AcknowledgedAnnouncement> Acknowledged_;
+  TimePoint FlushAt_ = TimePoint::max(); ///< Of the next batch.
+  std::uint64_t LastFullNumber_ = 0;
+  TimePoint PrunedAt_{};
 };
 
-AnnouncementBatcher::AnnouncementBatcher(const BatcherParts &Parts)
-    : Queue_(std::make_shared<Queue>(Parts)) {}
+AnnouncementBatcher::AnnouncementBatcher(const BatcherDependencies &Deps)
+    : Queue_(std::make_shared<Queue>(Deps)) {}
 
 AnnouncementBatcher::~AnnouncementBatcher() = default;
 
-void AnnouncementBatcher::announce(const wire::Announcement &Value,
+void AnnouncementBatcher::announce(const wire::Announcement &Announcement,
                                    Duration Timeout,
-                                   ControlDone<wire::Announcement> Done) {
-  Waiting Item;
-  Item.Value_ = Value;
+                                   ControlCallback<wire::Announcement> Done) {
+  PendingAnnouncement Item;
+  Item.Announcement_ = Announcement;
   Item.Deadline_ = Queue_->now() + Timeout;
   Item.Done_ = std::move(Done);
   Queue_->add(std::move(Item));
--- a/src/entry/AnnouncementJson.cpp
+++ b/src/entry/AnnouncementJson.cpp
@@ -21,9 +21,9 @@
 static constexpr std::uint64_t MaxPercent = 100;
 
 // In the order of the enum constants.
-static constexpr const char *StateWords[] = {"running", "finished", "failed",
+static constexpr const char *StateNames[] = {"running", "finished", "failed",
                                              "stopped", "checkpointed"};
-static constexpr const char *KindWords[] = {"start", "stop", "checkpoint",
+static constexpr const char *KindNames[] = {"start", "stop", "checkpoint",
                                             "throttle"};
 
 static void readResources(JsonReader &From, Resources &Target) {
@@ -33,10 +33,10 @@
                   Limits::MaxAccelerators);
 }
 
-static json toJson(const Resources &Value) {
-  return {{"milliCpus", Value.MilliCpus_},
-          {"memoryMib", Value.MemoryMib_},
-          {"accelerators", Value.Accelerators_}};
+static json toJson(const Resources &Amount) {
+  return {{"milliCpus", Amount.MilliCpus_},
+          {"memoryMib", Amount.MemoryMib_},
+          {"accelerators", Amount.Accelerators_}};
 }
 
 // Reads the three fields that name one attempt under its lease.
@@ -71,7 +71,7 @@
 static wire::AttemptReport readAttempt(JsonReader &From) {
   wire::AttemptReport Report;
   readLease(From, Report.Task_, Report.Attempt_, Report.Token_);
-  From.readWord("state", Report.State_, StateWords);
+  From.readWord("state", Report.State_, StateNames);
   From.readText("checkpoint", Report.Checkpoint_, Limits::MaxTextBytes);
   From.readText("message", Report.Message_, Limits::MaxTextBytes);
   From.readObject(
@@ -82,14 +82,14 @@
 }
 
 static json toJson(const wire::AttemptReport &Report) {
-  json Value = leaseToJson(Report.Task_, Report.Attempt_, Report.Token_);
-  Value["state"] = StateWords[static_cast<std::size_t>(Report.State_)];
-  Value["checkpoint"] = Report.Checkpoint_;
-  Value["message"] = Report.Message_;
-  Value["usage"] = toJson(Report.Usage_);
-  Value["usageAgeMs"] = Report.UsageAgeMs_;
-  Value["progressMs"] = Report.ProgressMs_;
-  return Value;
+  json Result = leaseToJson(Report.Task_, Report.Attempt_, Report.Token_);
+  Result["state"] = StateNames[static_cast<std::size_t>(Report.State_)];
+  Result["checkpoint"] = Report.Checkpoint_;
+  Result["message"] = Report.Message_;
+  Result["usage"] = toJson(Report.Usage_);
+  Result["usageAgeMs"] = Report.UsageAgeMs_;
+  Result["progressMs"] = Report.ProgressMs_;
+  return Result;
 }
 
 static wire::ServiceReport readServiceReport(JsonReader &From) {
@@ -112,7 +112,7 @@
 
 static wire::TaskCommand readCommand(JsonReader &From) {
   wire::TaskCommand Command;
-  From.readWord("kind", Command.Kind_, KindWords);
+  From.readWord("kind", Command.Kind_, KindNames);
   readLease(From, Command.Task_, Command.Attempt_, Command.Token_);
   From.readText("payload", Command.Payload_, Limits::MaxTextBytes);
   From.readText("checkpoint", Command.Checkpoint_, Limits::MaxTextBytes);
@@ -124,13 +124,13 @@
 }
 
 static json toJson(const wire::TaskCommand &Command) {
-  json Value = leaseToJson(Command.Task_, Command.Attempt_, Command.Token_);
-  Value["kind"] = KindWords[static_cast<std::size_t>(Command.Kind_)];
-  Value["payload"] = Command.Payload_;
-  Value["checkpoint"] = Command.Checkpoint_;
-  Value["reservation"] = toJson(Command.Reservation_);
-  Value["throttlePercent"] = Command.ThrottlePercent_;
-  return Value;
+  json Result = leaseToJson(Command.Task_, Command.Attempt_, Command.Token_);
+  Result["kind"] = KindNames[static_cast<std::size_t>(Command.Kind_)];
+  Result["payload"] = Command.Payload_;
+  Result["checkpoint"] = Command.Checkpoint_;
+  Result["reservation"] = toJson(Command.Reservation_);
+  Result["throttlePercent"] = Command.ThrottlePercent_;
+  return Result;
 }
 
 // Reads a list of objects, each with Read.
@@ -138,29 +138,30 @@
 static void readObjects(JsonReader &From, const char *Name,
                         std::size_t MaxCount, std::vector<Element> &Target,
                         FirstError &Problem, Reader Read) {
-  From.readList(Name, MaxCount, [&](const json &Value, std::string Place) {
-    JsonReader Inner(Value, std::move(Place), Problem);
-    Target.push_back(Read(Inner));
-    Inner.finish();
-  });
+  From.readList(Name, MaxCount,
+                [&](const json &ElementJson, std::string Place) {
+                  JsonReader Inner(ElementJson, std::move(Place), Problem);
+                  Target.push_back(Read(Inner));
+                  Inner.finish();
+                });
 }
 
 template <class Element>
 static json listToJson(const std::vector<Element> &Elements) {
   json List = json::array();
-  for (const Element &One : Elements)
-    List.push_back(toJson(One));
+  for (const Element &Item : Elements)
+    List.push_back(toJson(Item));
   return List;
 }
 
 // Parses Text and reads its fields with Read(reader, problem).
 template <class Message, class Reader>
 static Outcome<Message> parse(std::string_view Text, Reader Read) {
-  const json Value = json::parse(Text, nullptr, /*allow_exceptions=*/false);
-  if (Value.is_discarded())
+  const json Document = json::parse(Text, nullptr, /*allow_exceptions=*/false);
+  if (Document.is_discarded())
     return fail(ErrorCode::Malformed, "the body is no JSON");
   FirstError Problem;
-  JsonReader From(Value, "", Problem);
+  JsonReader From(Document, "", Problem);
   Message Result = Read(From, Problem);
   From.finish();
   if (Problem)
@@ -169,82 +170,83 @@
 }
 
 // Invalid UTF-8 in opaque text is replaced, since JSON cannot carry it.
-static std::string dump(const json &Value) {
-  return Value.dump(-1, ' ', false, json::error_handler_t::replace);
+static std::string dump(const json &Document) {
+  return Document.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
 static wire::Announcement readAnnouncement(JsonReader &From,
                                            FirstError &Problem) {
-  wire::Announcement Value;
-  From.readId("server", Value.Server_, Limits::MaxNameBytes, true);
-  From.readId("boot", Value.Boot_, Limits::MaxNameBytes, true);
-  From.readId("dataCentre", Value.DataCentre_, Limits::MaxNameBytes, true);
-  From.readId("rack", Value.Rack_, Limits::MaxNameBytes);
-  From.readText("address", Value.Address_, Limits::MaxNameBytes, true);
+  wire::Announcement Announcement;
+  From.readId("server", Announcement.Server_, Limits::MaxNameBytes, true);
+  From.readId("boot", Announcement.Boot_, Limits::MaxNameBytes, true);
+  From.readId("dataCentre", Announcement.DataCentre_, Limits::MaxNameBytes,
+              true);
+  From.readId("rack", Announcement.Rack_, Limits::MaxNameBytes);
+  From.readText("address", Announcement.Address_, Limits::MaxNameBytes, true);
   From.readObject("capacity", [&](JsonReader &Inner) {
-    readResources(Inner, Value.Capacity_);
+    readResources(Inner, Announcement.Capacity_);
   });
-  From.readList("services", Limits::MaxServices,
-                [&](const json &Element, const std::string &Place) {
-                  const bool Fits =
-                      Element.is_string() &&
-                      Element.get_ref<const std::string &>().size() <=
-                          Limits::MaxNameBytes;
-                  if (Fits)
-                    Value.Services_.emplace_back(Element.get<std::string>());
-                  else
-                    From.report(ErrorCode::InvalidArgument, Place.substr(1),
-                                "must be a service's name");
-                });
-  From.readNumber("slots", Value.Slots_, Limits::MaxSlots);
-  From.readNumber("connections", Value.Connections_, Limits::MaxSlots);
-  From.readBool("draining", Value.Draining_);
-  From.readNumber("sequence", Value.Sequence_, MaxExact);
-  readObjects(From, "attempts", Limits::MaxAttempts, Value.Attempts_, Problem,
-              readAttempt);
+  From.readList(
+      "services", Limits::MaxServices,
+      [&](const json &Element, const std::string &Place) {
+        const bool Valid = Element.is_string() &&
+                           Element.get_ref<const std::string &>().size() <=
+                               Limits::MaxNameBytes;
+        if (Valid)
+          Announcement.Services_.emplace_back(Element.get<std::string>());
+        else
+          From.report(ErrorCode::InvalidArgument, Place.substr(1),
+                      "must be a service's name");
+      });
+  From.readNumber("slots", Announcement.Slots_, Limits::MaxSlots);
+  From.readNumber("connections", Announcement.Connections_, Limits::MaxSlots);
+  From.readBool("draining", Announcement.Draining_);
+  From.readNumber("sequence", Announcement.Sequence_, MaxExact);
+  readObjects(From, "attempts", Limits::MaxAttempts, Announcement.Attempts_,
+              Problem, readAttempt);
   readObjects(From, "serviceReports", Limits::MaxServices,
-              Value.ServiceReports_, Problem, readServiceReport);
-  return Value;
+              Announcement.ServiceReports_, Problem, readServiceReport);
+  return Announcement;
 }
 
 Outcome<wire::Announcement> entry::parseAnnouncement(std::string_view Text) {
   return parse<wire::Announcement>(Text, readAnnouncement);
 }
 
-std::string entry::renderAnnouncement(const wire::Announcement &Value) {
+std::string entry::renderAnnouncement(const wire::Announcement &Announcement) {
   json Services = json::array();
-  for (const ServiceId &Service : Value.Services_)
+  for (const ServiceId &Service : Announcement.Services_)
     Services.push_back(Service.value());
-  return dump({{"server", Value.Server_.value()},
-               {"boot", Value.Boot_.value()},
-               {"dataCentre", Value.DataCentre_.value()},
-               {"rack", Value.Rack_.value()},
-               {"address", Value.Address_},
-               {"capacity", toJson(Value.Capacity_)},
+  return dump({{"server", Announcement.Server_.value()},
+               {"boot", Announcement.Boot_.value()},
+               {"dataCentre", Announcement.DataCentre_.value()},
+               {"rack", Announcement.Rack_.value()},
+               {"address", Announcement.Address_},
+               {"capacity", toJson(Announcement.Capacity_)},
                {"services", Services},
-               {"slots", Value.Slots_},
-               {"connections", Value.Connections_},
-               {"draining", Value.Draining_},
-               {"sequence", Value.Sequence_},
-               {"attempts", listToJson(Value.Attempts_)},
-               {"serviceReports", listToJson(Value.ServiceReports_)}});
+               {"slots", Announcement.Slots_},
+               {"connections", Announcement.Connections_},
+               {"draining", Announcement.Draining_},
+               {"sequence", Announcement.Sequence_},
+               {"attempts", listToJson(Announcement.Attempts_)},
+               {"serviceReports", listToJson(Announcement.ServiceReports_)}});
 }
 
 static wire::AnnouncementReply readReply(JsonReader &From,
                                          FirstError &Problem) {
-  wire::AnnouncementReply Value;
-  From.readNumber("leaseTtlMs", Value.LeaseTtlMs_, MaxU32, true);
-  From.readNumber("heartbeatMs", Value.HeartbeatMs_, MaxU32, true);
-  readObjects(From, "commands", Limits::MaxAttempts, Value.Commands_, Problem,
+  wire::AnnouncementReply Reply;
+  From.readNumber("leaseTtlMs", Reply.LeaseTtlMs_, MaxU32, true);
+  From.readNumber("heartbeatMs", Reply.HeartbeatMs_, MaxU32, true);
+  readObjects(From, "commands", Limits::MaxAttempts, Reply.Commands_, Problem,
               readCommand);
-  readObjects(From, "renewals", Limits::MaxAttempts, Value.Renewals_, Problem,
+  readObjects(From, "renewals", Limits::MaxAttempts, Reply.Renewals_, Problem,
               [](JsonReader &Inner) {
                 wire::LeaseRenewal Renewal;
                 readLease(Inner, Renewal.Task_, Renewal.Attempt_,
                           Renewal.Token_);
                 return Renewal;
               });
-  return Value;
+  return Reply;
 }
 
 Outcome<wire::AnnouncementReply>
@@ -253,13 +255,13 @@
 }
 
 std::string
-entry::renderAnnouncementReply(const wire::AnnouncementReply &Value) {
+entry::renderAnnouncementReply(const wire::AnnouncementReply &Reply) {
   json Renewals = json::array();
-  for (const wire::LeaseRenewal &Renewal : Value.Renewals_)
+  for (const wire::LeaseRenewal &Renewal : Reply.Renewals_)
     Renewals.push_back(
         leaseToJson(Renewal.Task_, Renewal.Attempt_, Renewal.Token_));
-  return dump({{"leaseTtlMs", Value.LeaseTtlMs_},
-               {"heartbeatMs", Value.HeartbeatMs_},
-               {"commands", listToJson(Value.Commands_)},
+  return dump({{"leaseTtlMs", Reply.LeaseTtlMs_},
+               {"heartbeatMs", Reply.HeartbeatMs_},
+               {"commands", listToJson(Reply.Commands_)},
                {"renewals", Renewals}});
 }
--- a/src/entry/AnswerCheck.cpp
+++ b/src/entry/AnswerCheck.cpp
@@ -10,8 +10,8 @@
 static constexpr unsigned BusyStatus = 503;
 static constexpr unsigned FirstFailedStatus = 500;
 
-static TryVerdict checkFailure(const net::HttpResult &Result) {
-  TryVerdict Verdict;
+static TryResult checkFailure(const net::HttpResult &Result) {
+  TryResult Verdict;
   if (Result.Stage_ == net::HttpStage::NothingSent) {
     Verdict.End_ = TryEnd::NotRun;
     Verdict.Reason_ = RequestReason::ServersRefused;
@@ -25,12 +25,12 @@
   return Verdict;
 }
 
-TryVerdict entry::checkAnswer(const net::HttpResult &Result,
-                              std::string_view RequestId) {
+TryResult entry::checkAnswer(const net::HttpResult &Result,
+                             std::string_view RequestId) {
   if (!Result.Response_)
     return checkFailure(Result);
   const net::HttpResponse &Response = Result.Response_.value();
-  TryVerdict Verdict;
+  TryResult Verdict;
   // The id comes first: a refusal of another request says nothing of ours.
   if (Response.findHeader(header::RequestId) != RequestId) {
     Verdict.Reason_ = RequestReason::AnswerInvalid;
@@ -42,12 +42,12 @@
   if (Busy) {
     Verdict.End_ = TryEnd::NotRun;
     Verdict.Reason_ = RequestReason::ServersRefused;
-    Verdict.ForChooser_ = decide::RequestResult::Busy;
+    Verdict.ServerResult_ = decide::RequestResult::Busy;
     return Verdict;
   }
   Verdict.End_ = TryEnd::Whole;
   Verdict.Reason_ = RequestReason::Answered;
   if (Response.Status_ < FirstFailedStatus)
-    Verdict.ForChooser_ = decide::RequestResult::Served;
+    Verdict.ServerResult_ = decide::RequestResult::Served;
   return Verdict;
 }
--- a/src/entry/AnswerCheck.h
+++ b/src/entry/AnswerCheck.h
@@ -22,15 +22,15 @@
   MayHaveRun ///< Anything else.
 };
 
-struct TryVerdict {
+struct TryResult {
   TryEnd End_ = TryEnd::MayHaveRun;
   RequestReason Reason_ = RequestReason::AnswerLost;
-  decide::RequestResult ForChooser_ = decide::RequestResult::Failed;
+  decide::RequestResult ServerResult_ = decide::RequestResult::Failed;
   bool WrongId_ = false; ///< The answer belongs to another request.
 };
 
-TryVerdict checkAnswer(const net::HttpResult &Result,
-                       std::string_view RequestId);
+TryResult checkAnswer(const net::HttpResult &Result,
+                      std::string_view RequestId);
 
 } // namespace tulipweir::entry
 
--- a/src/entry/CallerLimits.cpp
+++ b/src/entry/CallerLimits.cpp
@@ -9,18 +9,19 @@
 // that they cannot fill the memory.
 static constexpr std::size_t MaxBucketsPerShard = 10'000;
 
-static const CallerId &everyOther() {
-  static const CallerId Name("*");
-  return Name;
+static const CallerId &getWildcardCaller() {
+  static const CallerId BucketName("*");
+  return BucketName;
 }
 
 static const fleet::CallerLimit *findLimit(const Configuration &Config,
                                            const CallerId &Caller) {
-  const auto Named = Config.CallerLimits_.find(Caller);
-  if (Named != Config.CallerLimits_.end())
-    return &Named->second;
-  const auto Others = Config.CallerLimits_.find(everyOther());
-  return Others == Config.CallerLimits_.end() ? nullptr : &Others->second;
+  const auto NamedIt = Config.CallerLimits_.find(Caller);
+  if (NamedIt != Config.CallerLimits_.end())
+    return &NamedIt->second;
+  const auto WildcardIt = Config.CallerLimits_.find(getWildcardCaller());
+  return WildcardIt == Config.CallerLimits_.end() ? nullptr
+                                                  : &WildcardIt->second;
 }
 
 std::optional<Duration> CallerLimits::tryTake(const CallerId &Caller,
@@ -30,20 +31,21 @@
   if (!Limit)
     return std::nullopt;
   const BundleVersion &Version = Config.Bundle_.Version_;
-  Shard &Home = Shards_[std::hash<CallerId>()(Caller) % ShardCount];
-  std::lock_guard Lock(Home.Mutex_);
-  const bool Full = Home.Buckets_.size() >= MaxBucketsPerShard &&
-                    !Home.Buckets_.contains(Caller);
-  const CallerId &Name = Full ? everyOther() : Caller;
-  const auto [Found, Inserted] = Home.Buckets_.try_emplace(
-      Name, Bucket{Version, decide::TokenBucket(Limit->RequestsPerSecond_,
-                                                Limit->Burst_, Now)});
-  Bucket &Value = Found->second;
-  if (Value.Version_ != Version) {
-    Value.Tokens_.setLimits(Limit->RequestsPerSecond_, Limit->Burst_, Now);
-    Value.Version_ = Version;
+  Shard &CallerShard = Shards_[std::hash<CallerId>()(Caller) % ShardCount];
+  std::lock_guard Lock(CallerShard.Mutex_);
+  const bool ShardIsFull = CallerShard.Buckets_.size() >= MaxBucketsPerShard &&
+                           !CallerShard.Buckets_.contains(Caller);
+  const CallerId &BucketName = ShardIsFull ? getWildcardCaller() : Caller;
+  const auto [It, Inserted] = CallerShard.Buckets_.try_emplace(
+      BucketName, Bucket{Version, decide::TokenBucket(Limit->RequestsPerSecond_,
+                                                      Limit->Burst_, Now)});
+  Bucket &CallerBucket = It->second;
+  if (CallerBucket.Version_ != Version) {
+    CallerBucket.Tokens_.setLimits(Limit->RequestsPerSecond_, Limit->Burst_,
+                                   Now);
+    CallerBucket.Version_ = Version;
   }
-  if (Value.Tokens_.tryTake(Now))
+  if (CallerBucket.Tokens_.tryTake(Now))
     return std::nullopt;
-  return Value.Tokens_.timeUntil(Now);
+  return CallerBucket.Tokens_.timeUntil(Now);
 }
--- a/src/entry/CallersApi.cpp
+++ b/src/entry/CallersApi.cpp
@@ -13,33 +13,33 @@
 using namespace tulipweir::entry;
 using std::chrono::milliseconds;
 
-static constexpr Duration NotServingRetry = milliseconds(1000);
+static constexpr Duration NotServingRetryAfter = milliseconds(1000);
 static constexpr unsigned MethodNotAllowed = 405;
 static constexpr unsigned ServiceUnavailable = 503;
 
-CallersApi::CallersApi(CallersParts Parts)
-    : Parts_(std::move(Parts)),
-      IdPrefix_(Parts_.Identity_.Entry_.value() + "-" +
-                std::to_string(Parts_.Identity_.Incarnation_) + "-") {}
+CallersApi::CallersApi(CallersApiDependencies Deps)
+    : Deps_(std::move(Deps)),
+      IdPrefix_(Deps_.Identity_.Entry_.value() + "-" +
+                std::to_string(Deps_.Identity_.Incarnation_) + "-") {}
 
 std::string CallersApi::makeRequestId() {
   return IdPrefix_ + std::to_string(++Requests_);
 }
 
 std::optional<FinalResult>
-CallersApi::refuseByState(const Configuration *Held) const {
-  if (Held)
+CallersApi::refuseWithoutBundle(const Configuration *Config) const {
+  if (Config)
     return std::nullopt;
   return FinalResult::makeNotRun(RequestReason::NotServing,
                                  "this entry holds no bundle yet",
-                                 NotServingRetry);
+                                 NotServingRetryAfter);
 }
 
 std::optional<FinalResult>
-CallersApi::refuseByLimit(const ServiceRequest &Request,
-                          const Configuration &Held) const {
+CallersApi::refuseOverLimit(const ServiceRequest &Request,
+                            const Configuration &Config) const {
   const std::optional<Duration> Wait =
-      Parts_.Limits_.tryTake(Request.Caller_, Held, Request.ArrivedAt_);
+      Deps_.Limits_.tryTake(Request.Caller_, Config, Request.ArrivedAt_);
   if (!Wait)
     return std::nullopt;
   return FinalResult::makeNotRun(RequestReason::CallerLimit,
@@ -53,7 +53,7 @@
 
 // Before its record was asked, nothing is known of earlier attempts under the
 // key, so "not run" would say too much. A malformed request has no key.
-static FinalResult softenForKey(FinalResult Refusal) {
+static FinalResult makeUnknownForKey(FinalResult Refusal) {
   if (Refusal.Reason_ == RequestReason::BadRequest)
     return Refusal;
   Refusal.Outcome_ = RequestOutcome::Unknown;
@@ -64,32 +64,33 @@
 
 void CallersApi::handleService(net::HttpRequest Request,
                                net::HttpRespond Respond) {
-  const TimePoint Now = Parts_.Clock_.now();
+  const TimePoint Now = Deps_.Clock_.now();
   std::string Id = makeRequestId();
   const bool Keyed = hasKey(Request);
   ++InProgress_;
-  FinalDone Done = [this, Now, Id,
-                    Respond = std::move(Respond)](FinalResult Result) {
-    Parts_.Metrics_.countResult(Result, Parts_.Clock_.now() - Now);
+  ResultCallback Done = [this, Now, Id,
+                         Respond = std::move(Respond)](FinalResult Result) {
+    Deps_.Metrics_.countResult(Result, Deps_.Clock_.now() - Now);
     Respond(renderResult(Result, Id));
     --InProgress_;
   };
   const auto Refuse = [&](FinalResult Refusal) {
-    Done(Keyed ? softenForKey(std::move(Refusal)) : std::move(Refusal));
+    Done(Keyed ? makeUnknownForKey(std::move(Refusal)) : std::move(Refusal));
   };
-  const std::shared_ptr<const Configuration> Held = Parts_.Configuration_.get();
-  if (std::optional<FinalResult> Refusal = refuseByState(Held.get()))
+  const std::shared_ptr<const Configuration> Config =
+      Deps_.Configuration_.get();
+  if (std::optional<FinalResult> Refusal = refuseWithoutBundle(Config.get()))
     return Refuse(std::move(*Refusal));
-  ReadResult Read = readServiceRequest(std::move(Request), *Held, std::move(Id),
-                                       Now, Parts_.MaxRequest_);
+  ReadResult Read = readServiceRequest(std::move(Request), *Config,
+                                       std::move(Id), Now, Deps_.MaxRequest_);
   if (auto *Refusal = std::get_if<FinalResult>(&Read))
     return Refuse(std::move(*Refusal));
-  const auto Checked = std::make_shared<const ServiceRequest>(
+  const auto Parsed = std::make_shared<const ServiceRequest>(
       std::move(std::get<ServiceRequest>(Read)));
-  if (std::optional<FinalResult> Refusal = refuseByLimit(*Checked, *Held))
+  if (std::optional<FinalResult> Refusal = refuseOverLimit(*Parsed, *Config))
     return Refuse(std::move(*Refusal));
-  Sender &To = Checked->Key_ ? Parts_.Keyed_ : Parts_.Plain_;
-  To.send(Checked, std::move(Done));
+  Sender &To = Parsed->Key_ ? Deps_.Keyed_ : Deps_.Plain_;
+  To.send(Parsed, std::move(Done));
 }
 
 void CallersApi::handleTicket(const net::HttpRequest &Request,
@@ -98,8 +99,9 @@
     return Respond(net::HttpResponse::makeJson(
         MethodNotAllowed,
         R"({"error":"bad-request","message":"POST takes a ticket"})"));
-  const std::shared_ptr<const Configuration> Held = Parts_.Configuration_.get();
-  if (!Held) {
+  const std::shared_ptr<const Configuration> Config =
+      Deps_.Configuration_.get();
+  if (!Config) {
     net::HttpResponse Refusal = net::HttpResponse::makeJson(
         ServiceUnavailable,
         R"({"error":"not-serving","message":"no bundle yet"})");
@@ -107,10 +109,10 @@
     return Respond(std::move(Refusal));
   }
   const Ticket Issued =
-      Ticket::makeFor(Parts_.Identity_.DataCentre_, Parts_.Clock_.wallNow(),
-                      Parts_.Random_(), Parts_.Random_());
-  const auto Retention =
-      std::chrono::duration_cast<milliseconds>(Held->Bundle_.RequestRetention_);
+      Ticket::makeFor(Deps_.Identity_.DataCentre_, Deps_.Clock_.wallNow(),
+                      Deps_.Random_(), Deps_.Random_());
+  const auto Retention = std::chrono::duration_cast<milliseconds>(
+      Config->Bundle_.RequestRetention_);
   const nlohmann::json Body = {{"ticket", Issued.toString()},
                                {"expiresInMs", Retention.count()}};
   Respond(net::HttpResponse::makeJson(200, Body.dump()));
--- a/src/entry/Configuration.cpp
+++ b/src/entry/Configuration.cpp
@@ -30,8 +30,8 @@
 
 const fleet::ServiceConfig *
 Configuration::findService(const ServiceId &Service) const {
-  const auto Found = Services_.find(Service);
-  return Found == Services_.end() ? nullptr : &Found->second;
+  const auto It = Services_.find(Service);
+  return It == Services_.end() ? nullptr : &It->second;
 }
 
 Outcome<bool> ConfigurationHolder::adopt(const wire::SignedBundle &Signed) {
@@ -43,18 +43,18 @@
   auto Next = std::make_shared<const Configuration>(std::move(Checked.value()));
   std::lock_guard Lock(Mutex_);
   // Another thread may have adopted a newer one meanwhile.
-  if (Held_ && Held_->Bundle_.Version_ >= Next->Bundle_.Version_)
+  if (Current_ && Current_->Bundle_.Version_ >= Next->Bundle_.Version_)
     return false;
-  Held_ = std::move(Next);
+  Current_ = std::move(Next);
   return true;
 }
 
 std::shared_ptr<const Configuration> ConfigurationHolder::get() const {
   std::lock_guard Lock(Mutex_);
-  return Held_;
+  return Current_;
 }
 
 BundleVersion ConfigurationHolder::getVersion() const {
   std::lock_guard Lock(Mutex_);
-  return Held_ ? Held_->Bundle_.Version_ : BundleVersion();
+  return Current_ ? Current_->Bundle_.Version_ : BundleVersion();
 }
--- a/src/entry/ControlClient.cpp
+++ b/src/entry/ControlClient.cpp
@@ -5,7 +5,8 @@
 using namespace tulipweir;
 using namespace tulipweir::entry;
 
-void ControlClient::announceBatch(const wire::AnnouncementBatch &, Duration,
-                                  ControlDone<wire::AnnouncementBatch> Done) {
+void ControlClient::announceBatch(
+    const wire::AnnouncementBatch &, Duration,
+    ControlCallback<wire::AnnouncementBatch> Done) {
   Done(fail(ErrorCode::VersionMismatch, "batches are not known"));
 }
--- a/src/entry/ControlProxy.cpp
+++ b/src/entry/ControlProxy.cpp
@@ -16,9 +16,9 @@
 
 static constexpr Duration AnnounceTimeout = milliseconds(1500);
 static constexpr Duration OperatorTimeout = seconds(10);
-static constexpr std::int64_t LongestWaitMs = 60'000;
+static constexpr std::int64_t MaxWaitMs = 60'000;
 
-static unsigned findStatus(ErrorCode Code) {
+static unsigned getHttpStatus(ErrorCode Code) {
   switch (Code) {
   case ErrorCode::InvalidArgument:
   case ErrorCode::Malformed:
@@ -48,12 +48,13 @@
   return 500;
 }
 
-static net::HttpResponse renderProblem(const Error &Problem) {
+static net::HttpResponse renderError(const Error &Problem) {
   const nlohmann::json Body = {{"error", getErrorName(Problem.Code_)},
                                {"message", Problem.Message_}};
   using Handler = nlohmann::json::error_handler_t;
-  net::HttpResponse Response = net::HttpResponse::makeJson(
-      findStatus(Problem.Code_), Body.dump(-1, ' ', false, Handler::replace));
+  net::HttpResponse Response =
+      net::HttpResponse::makeJson(getHttpStatus(Problem.Code_),
+                                  Body.dump(-1, ' ', false, Handler::replace));
   if (Response.Status_ == 503 || Response.Status_ == 504)
     Response.Headers_.push_back({"Retry-After", "1"});
   return Response;
@@ -63,26 +64,27 @@
                                       net::HttpRespond Respond) {
   const auto Refuse = [&](ErrorCode Code, std::string Message) {
     Metrics_.AnnouncementsFailed_.add();
-    Respond(renderProblem(Error::make(Code, std::move(Message))));
+    Respond(renderError(Error::make(Code, std::move(Message))));
   };
   if (Request.Method_ != "POST")
     return Refuse(ErrorCode::InvalidArgument, "POST an announcement");
   const Outcome<wire::Announcement> Parsed = parseAnnouncement(Request.Body_);
   if (!Parsed)
     return Refuse(Parsed.error().Code_, Parsed.error().Message_);
-  const wire::Announcement &Value = Parsed.value();
-  if (Value.DataCentre_ != Identity_.DataCentre_)
+  const wire::Announcement &Announcement = Parsed.value();
+  if (Announcement.DataCentre_ != Identity_.DataCentre_)
     return Refuse(ErrorCode::InvalidArgument,
                   "this entry is of data centre " +
                       Identity_.DataCentre_.value() +
                       "; announce to an entry of your own");
-  if (const auto Address = net::Endpoint::parse(Value.Address_); !Address)
+  if (const auto Address = net::Endpoint::parse(Announcement.Address_);
+      !Address)
     return Refuse(ErrorCode::InvalidArgument,
                   "/address: " + Address.error().Message_);
   // No need to wait for the leader's next table.
-  if (Value.Draining_)
-    Router_.noteDraining(Value.Server_, Value.Boot_);
-  Batcher_.announce(Value, AnnounceTimeout,
+  if (Announcement.Draining_)
+    Router_.markDraining(Announcement.Server_, Announcement.Boot_);
+  Batcher_.announce(Announcement, AnnounceTimeout,
                     [this, Respond = std::move(Respond)](
                         const Outcome<wire::AnnouncementReply> &Reply) {
                       if (!Reply) {
@@ -91,7 +93,7 @@
                         // A backend server has to come back either way.
                         if (Problem.Code_ == ErrorCode::Timeout)
                           Problem.Code_ = ErrorCode::Unavailable;
-                        return Respond(renderProblem(Problem));
+                        return Respond(renderError(Problem));
                       }
                       Metrics_.Announcements_.add();
                       Respond(net::HttpResponse::makeJson(
@@ -104,7 +106,7 @@
   const std::string Text = Request.findQuery("waitMs");
   std::int64_t WaitMs = 0;
   std::from_chars(Text.data(), Text.data() + Text.size(), WaitMs);
-  WaitMs = std::clamp<std::int64_t>(WaitMs, 0, LongestWaitMs);
+  WaitMs = std::clamp<std::int64_t>(WaitMs, 0, MaxWaitMs);
   return OperatorTimeout + milliseconds(WaitMs);
 }
 
@@ -120,7 +122,7 @@
       Call, Timeout,
       [Respond = std::move(Respond)](Outcome<wire::OperatorAnswer> Reply) {
         if (!Reply)
-          return Respond(renderProblem(Reply.error()));
+          return Respond(renderError(Reply.error()));
         Respond(net::HttpResponse::makeJson(Reply.value().Status_,
                                             std::move(Reply.value().Body_)));
       });
--- a/src/entry/Entry.cpp
+++ b/src/entry/Entry.cpp
@@ -14,31 +14,31 @@
 
 static constexpr Duration SweepPeriod = milliseconds(5);
 
-Entry::Entry(EntryParts Parts)
-    : Identity_(Parts.Identity_), Timers_(Parts.Timers_), Clock_(Parts.Clock_),
-      Metrics_(Parts.Metrics_), Homes_(Parts.Controls_),
-      Router_(Parts.Clock_, Parts.Random_()),
-      Plain_({Router_, Parts.Backend_, Parts.Timers_, Parts.Clock_, Metrics_}),
-      Keyed_({Plain_, Table_, Homes_, Parts.Timers_, Parts.Clock_, Metrics_,
+Entry::Entry(EntryDependencies Deps)
+    : Identity_(Deps.Identity_), Timers_(Deps.Timers_), Clock_(Deps.Clock_),
+      Metrics_(Deps.Metrics_), Homes_(Deps.Controls_),
+      Router_(Deps.Clock_, Deps.Random_()),
+      Plain_({Router_, Deps.Backend_, Deps.Timers_, Deps.Clock_, Metrics_}),
+      Keyed_({Plain_, Table_, Homes_, Deps.Timers_, Deps.Clock_, Metrics_,
               Identity_.Entry_, Identity_.Incarnation_}),
       Callers_({Identity_, Flags_, Configuration_, Limits_, Plain_, Keyed_,
-                Parts.Clock_, Parts.Random_, Metrics_, Parts.MaxRequest_}),
+                Deps.Clock_, Deps.Random_, Metrics_, Deps.MaxRequest_}),
       Batcher_({Identity_, *Homes_.findClient(Identity_.DataCentre_),
-                Parts.Timers_, Parts.Clock_, Parts.Batching_}),
+                Deps.Timers_, Deps.Clock_, Deps.Batching_}),
       Proxy_(Identity_, *Homes_.findClient(Identity_.DataCentre_), Batcher_,
              Router_, Metrics_),
       Reporter_({Identity_, Flags_, Configuration_, Router_,
-                 *Homes_.findClient(Identity_.DataCentre_), Parts.Timers_,
-                 Parts.Clock_, Metrics_, Parts.ReportPeriod_}) {
-  Parts.Metrics_.addGauge(
+                 *Homes_.findClient(Identity_.DataCentre_), Deps.Timers_,
+                 Deps.Clock_, Metrics_, Deps.ReportPeriod_}) {
+  Deps.Metrics_.addGauge(
       "tulipweir_entry_in_progress", "Requests and records under way",
       [this] { return static_cast<double>(getInProgress()); });
-  Parts.Metrics_.addGauge("tulipweir_entry_bundle_version",
-                          "Version of the bundle in force here", [this] {
-                            return static_cast<double>(
-                                Configuration_.getVersion().value());
-                          });
-  Parts.Metrics_.addGauge(
+  Deps.Metrics_.addGauge("tulipweir_entry_bundle_version",
+                         "Version of the bundle in force here", [this] {
+                           return static_cast<double>(
+                               Configuration_.getVersion().value());
+                         });
+  Deps.Metrics_.addGauge(
       "tulipweir_entry_servers", "Backend servers in the routes",
       [this] { return static_cast<double>(Router_.getServerCount()); });
 }
@@ -79,7 +79,7 @@
     return "stopping";
   if (!Configuration_.get())
     return "no bundle from a control process yet";
-  if (Clock_.now() >= Flags_.GrantsUntil_.load())
+  if (Clock_.now() >= Flags_.GrantsExpireAt_.load())
     return "the grants ran out: no leader answers";
   if (Router_.lacksSlots())
     return "no slot of any backend server yet";
@@ -87,7 +87,7 @@
 }
 
 std::uint64_t Entry::getInProgress() const {
-  return Callers_.getInProgress() + Keyed_.getUnrecorded();
+  return Callers_.getInProgress() + Keyed_.getPendingRecordCount();
 }
 
 static json toJson(const decide::ChooserServerView &View) {
@@ -115,12 +115,12 @@
           {"servers", Servers}};
 }
 
-static json toJson(const wire::GrantHeld &Held) {
-  return {{"server", Held.Server_.value()},
-          {"boot", Held.Boot_.value()},
-          {"slots", Held.Slots_},
-          {"connections", Held.Connections_},
-          {"inFlight", Held.InFlight_}};
+static json toJson(const wire::GrantHeld &Snapshot) {
+  return {{"server", Snapshot.Server_.value()},
+          {"boot", Snapshot.Boot_.value()},
+          {"slots", Snapshot.Slots_},
+          {"connections", Snapshot.Connections_},
+          {"inFlight", Snapshot.InFlight_}};
 }
 
 std::string Entry::dump() const {
@@ -128,13 +128,14 @@
   for (const GateView &View : Router_.listViews())
     Gates.push_back(toJson(View));
   json Grants = json::array();
-  const RoutesHeld Held = Router_.getHeld();
-  for (const wire::GrantHeld &Each : Held.Grants_)
-    Grants.push_back(toJson(Each));
-  json Ended = json::object();
+  const RoutingSnapshot Snapshot = Router_.getSnapshot();
+  for (const wire::GrantHeld &Grant : Snapshot.Grants_)
+    Grants.push_back(toJson(Grant));
+  json ResultCounts = json::object();
   for (std::size_t Index = 0; Index < RequestReasonCount; ++Index) {
     const auto Reason = static_cast<RequestReason>(Index);
-    Ended[std::string(getReasonName(Reason))] = Metrics_.getResults(Reason);
+    ResultCounts[std::string(getReasonName(Reason))] =
+        Metrics_.getResultCount(Reason);
   }
   const json State = {{"entry", Identity_.Entry_.value()},
                       {"dataCentre", Identity_.DataCentre_.value()},
@@ -142,13 +143,13 @@
                       {"incarnation", Identity_.Incarnation_},
                       {"unready", explainUnready()},
                       {"bundleVersion", Configuration_.getVersion().value()},
-                      {"routesVersion", Held.Version_},
+                      {"routesVersion", Snapshot.Version_},
                       {"leaderAnswers", Reporter_.hasLeader()},
                       {"inProgress", Callers_.getInProgress()},
-                      {"recordsUnderWay", Keyed_.getUnrecorded()},
-                      {"keysHeld", Table_.getOwners()},
-                      {"keysAttached", Table_.getWaiters()},
-                      {"ended", Ended},
+                      {"recordsUnderWay", Keyed_.getPendingRecordCount()},
+                      {"keysHeld", Table_.getOwnerCount()},
+                      {"keysAttached", Table_.getWaiterCount()},
+                      {"ended", ResultCounts},
                       {"gates", Gates},
                       {"grants", Grants}};
   using Handler = json::error_handler_t;
--- a/src/entry/EntryMetrics.cpp
+++ b/src/entry/EntryMetrics.cpp
@@ -16,8 +16,8 @@
                                    "Retries and hedges over the budget")),
       WrongIds_(To.addCounter("tulipweir_entry_wrong_ids_total",
                               "Answers that belonged to another request")),
-      Attached_(To.addCounter("tulipweir_entry_attached_total",
-                              "Resends that joined a running request")),
+      AttachedRequests_(To.addCounter("tulipweir_entry_attached_total",
+                                      "Resends that joined a running request")),
       RecordsFailed_(To.addCounter("tulipweir_entry_records_failed_total",
                                    "Ends that could not be recorded")),
       Announcements_(To.addCounter("tulipweir_entry_announcements_total",
@@ -51,11 +51,11 @@
   }
 }
 
-void EntryMetrics::countResult(const FinalResult &Result, Duration Took) {
+void EntryMetrics::countResult(const FinalResult &Result, Duration Latency) {
   ByReason_[static_cast<std::size_t>(Result.Reason_)]->add();
-  ByOutcome_[static_cast<std::size_t>(Result.Outcome_)]->record(Took);
+  ByOutcome_[static_cast<std::size_t>(Result.Outcome_)]->record(Latency);
 }
 
-std::uint64_t EntryMetrics::getResults(RequestReason Reason) const {
+std::uint64_t EntryMetrics::getResultCount(RequestReason Reason) const {
   return ByReason_[static_cast<std::size_t>(Reason)]->value();
 }
--- a/src/entry/FinalResult.cpp
+++ b/src/entry/FinalResult.cpp
@@ -84,7 +84,7 @@
 
 // Retry-After is in whole seconds; rounding down would bring callers too soon.
 // What is under a millisecond does not count, or 1 s and 1 ns would become 2.
-static std::string toRetrySeconds(Duration RetryAfter) {
+static std::string formatRetryAfter(Duration RetryAfter) {
   using std::chrono::seconds;
   const auto Whole = std::chrono::floor<std::chrono::milliseconds>(RetryAfter);
   const auto Rounded = std::chrono::ceil<seconds>(Whole);
@@ -121,6 +121,6 @@
     Response.Headers_.push_back({"X-Tulipweir-Record", "missing"});
   if (Result.RetryAfter_ > Duration::zero())
     Response.Headers_.push_back(
-        {"Retry-After", toRetrySeconds(Result.RetryAfter_)});
+        {"Retry-After", formatRetryAfter(Result.RetryAfter_)});
   return Response;
 }
--- a/src/entry/HeaderFilter.cpp
+++ b/src/entry/HeaderFilter.cpp
@@ -17,7 +17,7 @@
     "host",       "keep-alive",       "proxy-connection",
     "te",         "trailer",          "proxy-authorization",
     "upgrade",    "transfer-encoding"};
-static constexpr std::string_view OwnPrefix = "x-tulipweir-";
+static constexpr std::string_view TulipweirPrefix = "x-tulipweir-";
 
 static std::string toLower(std::string_view Text) {
   std::string Result(Text);
@@ -30,7 +30,7 @@
 
 bool entry::isPassedOn(const net::HttpHeader &Header) {
   const std::string Name = toLower(Header.Name_);
-  if (Name.starts_with(OwnPrefix))
+  if (Name.starts_with(TulipweirPrefix))
     return false;
   return std::find(HopHeaders.begin(), HopHeaders.end(), Name) ==
          HopHeaders.end();
--- a/src/entry/KeyedSender.cpp
+++ b/src/entry/KeyedSender.cpp
@@ -14,27 +14,27 @@
 using wire::RequestDisposition;
 
 static constexpr Duration BeginTimeout = milliseconds(1500);
-static constexpr Duration FirstAskPause = milliseconds(10);
-static constexpr Duration LastAskPause = milliseconds(200);
+static constexpr Duration MinBeginBackoff = milliseconds(10);
+static constexpr Duration MaxBeginBackoff = milliseconds(200);
 // The answer waits for its record this long at most.
-static constexpr Duration RecordPatience = seconds(1);
-static constexpr Duration RecordRetry = seconds(1);
-static constexpr Duration RunningRetry = milliseconds(500);
+static constexpr Duration MaxRecordWait = seconds(1);
+static constexpr Duration RecordRetryAfter = seconds(1);
+static constexpr Duration RunningRetryAfter = milliseconds(500);
 
-static FinalResult makeUnreachable() {
+static FinalResult makeHomeUnreachable() {
   return FinalResult::makeUnknown(
       RequestReason::HomeUnreachable,
       "the key's record is in a data centre that this entry cannot reach; "
       "this attempt was not run, an earlier one with this key may have been",
-      RecordRetry);
+      RecordRetryAfter);
 }
 
-static FinalResult makeUnavailable() {
+static FinalResult makeRecordUnavailable() {
   return FinalResult::makeUnknown(
       RequestReason::RecordUnavailable,
       "the key's record could not be asked; this attempt was not run, an "
       "earlier one with this key may have been",
-      RecordRetry);
+      RecordRetryAfter);
 }
 
 static FinalResult makeRunningElsewhere() {
@@ -42,7 +42,7 @@
       RequestReason::RunningElsewhere,
       "an earlier attempt with this key is still running; ask again with the "
       "same key",
-      RunningRetry);
+      RunningRetryAfter);
 }
 
 static FinalResult makeConflict() {
@@ -62,13 +62,13 @@
   return Result;
 }
 
-static wire::StoredAnswer store(const net::HttpResponse &Answer) {
+static wire::StoredAnswer toStoredAnswer(const net::HttpResponse &Answer) {
   return {Answer.Status_, std::string(Answer.findHeader("Content-Type")),
           Answer.Body_};
 }
 
 // Ends that are about the owner's own deadline and say nothing to others.
-static bool isOwnersOwn(RequestReason Reason) {
+static bool isSpecificToOwner(RequestReason Reason) {
   return Reason == RequestReason::TooLate ||
          Reason == RequestReason::DeadlinePassed ||
          Reason == RequestReason::RunningElsewhere;
@@ -80,54 +80,54 @@
 /// here needs a lock but the race between record and patience.
 class KeyedRequest : public std::enable_shared_from_this<KeyedRequest> {
 public:
-  KeyedRequest(const KeyedParts &Parts,
-               std::shared_ptr<std::atomic<std::uint64_t>> Unrecorded,
-               std::uint64_t Nonce, SharedRequest Request, FinalDone Done)
-      : Parts_(Parts), Unrecorded_(std::move(Unrecorded)), Nonce_(Nonce),
+  KeyedRequest(const KeyedSenderDependencies &Deps,
+               std::shared_ptr<std::atomic<std::uint64_t>> PendingRecords,
+               std::uint64_t Nonce, SharedRequest Request, ResultCallback Done)
+      : Deps_(Deps), PendingRecords_(std::move(PendingRecords)), Nonce_(Nonce),
         Request_(std::move(Request)), Done_(std::move(Done)) {}
 
   void start() {
-    const DataCentreId &HomeName =
-        Request_->TicketHome_ ? *Request_->TicketHome_
-                              : Parts_.Homes_.findHome(*Request_->Key_);
-    Home_ = Parts_.Homes_.findClient(HomeName);
+    const DataCentreId &HomeName = Request_->TicketHome_
+                                       ? *Request_->TicketHome_
+                                       : Deps_.Homes_.findHome(*Request_->Key_);
+    Home_ = Deps_.Homes_.findClient(HomeName);
     if (!Home_)
-      return Done_(makeUnreachable());
+      return Done_(makeHomeUnreachable());
     join();
   }
 
 private:
   void join() {
-    const JoinResult Joined = Parts_.Table_.join(
+    const JoinResult Joined = Deps_.Table_.join(
         *Request_->Key_, Request_->Digest_, Request_->Deadline_,
         [Self = shared_from_this()](const FinalResult *Result) {
-          Self->onAttached(Result);
+          Self->onOwnerEnd(Result);
         });
     if (Joined == JoinResult::Conflict)
       return Done_(makeConflict());
     if (Joined == JoinResult::Owner)
-      return ask();
-    Parts_.Metrics_.Attached_.add();
+      return sendBegin();
+    Deps_.Metrics_.AttachedRequests_.add();
   }
 
-  void onAttached(const FinalResult *Result) {
+  void onOwnerEnd(const FinalResult *Result) {
     if (!Result)
       return Done_(makeRunningElsewhere());
-    const bool TimeLeft = Parts_.Clock_.now() < Request_->Deadline_;
-    if (isOwnersOwn(Result->Reason_) && TimeLeft)
+    const bool HasTime = Deps_.Clock_.now() < Request_->Deadline_;
+    if (isSpecificToOwner(Result->Reason_) && HasTime)
       return join();
     Done_(*Result);
   }
 
   wire::BeginRequest makeBegin() const {
-    const auto Left = std::chrono::duration_cast<WallTime>(Request_->Deadline_ -
-                                                           Parts_.Clock_.now());
-    const auto DeadlineWall = Parts_.Clock_.wallNow() + Left;
+    const auto Remaining = std::chrono::duration_cast<WallTime>(
+        Request_->Deadline_ - Deps_.Clock_.now());
+    const auto DeadlineWall = Deps_.Clock_.wallNow() + Remaining;
     wire::BeginRequest Begin;
     Begin.Key_ = *Request_->Key_;
     Begin.Digest_ = Request_->Digest_;
-    Begin.Entry_ = Parts_.Entry_;
-    Begin.EntryIncarnation_ = Parts_.Incarnation_;
+    Begin.Entry_ = Deps_.Entry_;
+    Begin.EntryIncarnation_ = Deps_.Incarnation_;
     Begin.Service_ = Request_->Service_;
     Begin.DeadlineWallMs_ = static_cast<std::uint64_t>(
         std::max<std::int64_t>(0, DeadlineWall.count()));
@@ -135,12 +135,13 @@
     return Begin;
   }
 
-  void ask() {
-    const Duration Left = Request_->Deadline_ - Parts_.Clock_.now();
-    if (Left <= Duration::zero())
-      return end(AskedBefore_ ? makeRunningElsewhere() : makeUnavailable());
+  void sendBegin() {
+    const Duration Remaining = Request_->Deadline_ - Deps_.Clock_.now();
+    if (Remaining <= Duration::zero())
+      return end(FoundRunning_ ? makeRunningElsewhere()
+                               : makeRecordUnavailable());
     Home_->begin(
-        makeBegin(), std::min(Left, BeginTimeout),
+        makeBegin(), std::min(Remaining, BeginTimeout),
         [Self = shared_from_this()](Outcome<wire::BeginRequestReply> Reply) {
           Self->onBegin(std::move(Reply));
         });
@@ -153,12 +154,12 @@
     switch (Value.Disposition_) {
     case RequestDisposition::Run:
       Attempt_ = Value.Attempt_;
-      return Parts_.Plain_.send(
-          Request_, [Self = shared_from_this()](FinalResult Result) {
-            Self->onSent(std::move(Result));
-          });
+      return Deps_.Plain_.send(Request_,
+                               [Self = shared_from_this()](FinalResult Result) {
+                                 Self->onResult(std::move(Result));
+                               });
     case RequestDisposition::Running:
-      return askLater();
+      return retryBegin();
     case RequestDisposition::Replay:
       if (Value.Answer_)
         return end(makeReplay(*Value.Answer_));
@@ -185,33 +186,33 @@
           FinalResult::makeNotRun(RequestReason::BadRequest, Problem.Message_));
     // It may have begun without our knowing: then it is given back.
     if (Problem.Code_ == ErrorCode::Timeout)
-      settleBegin(makeWriterParts(), makeBegin());
-    end(makeUnavailable());
+      abandonUncertainBegin(makeWriterParts(), makeBegin());
+    end(makeRecordUnavailable());
   }
 
-  void askLater() {
-    AskedBefore_ = true;
-    const Duration Left = Request_->Deadline_ - Parts_.Clock_.now();
-    if (Left <= Pause_)
+  void retryBegin() {
+    FoundRunning_ = true;
+    const Duration Remaining = Request_->Deadline_ - Deps_.Clock_.now();
+    if (Remaining <= Backoff_)
       return end(makeRunningElsewhere());
-    Parts_.Timers_.runAfter(
-        std::exchange(Pause_, std::min(Pause_ * 2, LastAskPause)),
-        [Self = shared_from_this()] { Self->ask(); });
+    Deps_.Timers_.runAfter(
+        std::exchange(Backoff_, std::min(Backoff_ * 2, MaxBeginBackoff)),
+        [Self = shared_from_this()] { Self->sendBegin(); });
   }
 
-  RecordWriterParts makeWriterParts() const {
-    return {*Home_, Parts_.Timers_, Parts_.Clock_, Parts_.Metrics_,
-            Unrecorded_};
+  RecordWriterDependencies makeWriterParts() const {
+    return {*Home_, Deps_.Timers_, Deps_.Clock_, Deps_.Metrics_,
+            PendingRecords_};
   }
 
-  void onSent(FinalResult Result) {
+  void onResult(FinalResult Result) {
     if (Result.Outcome_ == RequestOutcome::Served)
-      return recordAnswer(std::move(Result));
+      return recordServed(std::move(Result));
     // The caller is told at once: what it is told holds whatever becomes of
     // the record. An unwritten Abandon only makes a resend hear "unknown".
-    const RequestOutcome How = Result.Outcome_;
+    const RequestOutcome FinalOutcome = Result.Outcome_;
     end(std::move(Result));
-    if (How == RequestOutcome::NotRun)
+    if (FinalOutcome == RequestOutcome::NotRun)
       return writeAbandon(makeWriterParts(), {*Request_->Key_, Attempt_});
     writeFinish(makeWriterParts(), {*Request_->Key_, Attempt_, std::nullopt},
                 [](bool) {});
@@ -219,27 +220,27 @@
 
   // The answer goes out once it is recorded, or when the patience is over:
   // it is true in any case, and without a record a resend is told "unknown".
-  void recordAnswer(FinalResult Result) {
+  void recordServed(FinalResult Result) {
     wire::FinishRequest Finish{*Request_->Key_, Attempt_,
-                               store(Result.Answer_)};
+                               toStoredAnswer(Result.Answer_)};
     Answer_ = std::move(Result);
-    const Duration Left = Request_->Deadline_ - Parts_.Clock_.now();
+    const Duration Remaining = Request_->Deadline_ - Deps_.Clock_.now();
     const Duration Wait =
-        std::clamp<Duration>(Left, Duration::zero(), RecordPatience);
+        std::clamp<Duration>(Remaining, Duration::zero(), MaxRecordWait);
     writeFinish(makeWriterParts(), std::move(Finish),
                 [Self = shared_from_this()](bool Recorded) {
-                  Self->endAnswered(Recorded);
+                  Self->respondServed(Recorded);
                 });
-    if (Answered_)
+    if (Responded_)
       return;
-    Parts_.Timers_.runAfter(Wait, [Weak = weak_from_this()] {
+    Deps_.Timers_.runAfter(Wait, [Weak = weak_from_this()] {
       if (const std::shared_ptr<KeyedRequest> Self = Weak.lock())
-        Self->endAnswered(false);
+        Self->respondServed(false);
     });
   }
 
-  void endAnswered(bool Recorded) {
-    if (Answered_.exchange(true))
+  void respondServed(bool Recorded) {
+    if (Responded_.exchange(true))
       return;
     Answer_.RecordMissing_ = !Recorded;
     end(std::move(Answer_));
@@ -248,31 +249,31 @@
   // Those who attached come after the owner; the key is free before either,
   // so that a resend right after the answer finds the record.
   void end(FinalResult Result) {
-    const FinalDone Done = std::move(Done_);
-    Parts_.Table_.end(*Request_->Key_, Result);
+    const ResultCallback Done = std::move(Done_);
+    Deps_.Table_.end(*Request_->Key_, Result);
     Done(std::move(Result));
   }
 
-  const KeyedParts Parts_;
-  const std::shared_ptr<std::atomic<std::uint64_t>> Unrecorded_;
+  const KeyedSenderDependencies Deps_;
+  const std::shared_ptr<std::atomic<std::uint64_t>> PendingRecords_;
   const std::uint64_t Nonce_;
   const SharedRequest Request_;
-  FinalDone Done_;
+  ResultCallback Done_;
   ControlClient *Home_ = nullptr;
   std::uint64_t Attempt_ = 0;
-  bool AskedBefore_ = false;
-  Duration Pause_ = FirstAskPause;
-  std::atomic<bool> Answered_{false};
+  bool FoundRunning_ = false;
+  Duration Backoff_ = MinBeginBackoff;
+  std::atomic<bool> Responded_{false};
   FinalResult Answer_;
 };
 
 } // namespace
 
-void KeyedSender::send(SharedRequest Request, FinalDone Done) {
+void KeyedSender::send(SharedRequest Request, ResultCallback Done) {
   assert(Request->Key_ && "only requests with a key are recorded");
   // Unique within this incarnation, and never 0.
   const std::uint64_t Nonce = ++Nonces_;
-  std::make_shared<KeyedRequest>(Parts_, Unrecorded_, Nonce, std::move(Request),
-                                 std::move(Done))
+  std::make_shared<KeyedRequest>(Deps_, PendingRecords_, Nonce,
+                                 std::move(Request), std::move(Done))
       ->start();
 }
--- a/src/entry/LeaderClient.cpp
+++ b/src/entry/LeaderClient.cpp
@@ -21,40 +21,40 @@
   wire::MessageKind Kind_;
   std::string Body_;
   TimePoint Deadline_;
-  bool Idempotent_ = true; ///< May be asked again after a timeout.
-  std::size_t Tried_ = 0;  ///< Processes asked in this round.
+  bool Idempotent_ = true;       ///< May be asked again after a timeout.
+  std::size_t TriedInRound_ = 0; ///< Processes asked in this round.
   /// A try timed out, so whether the call took effect is open for good.
   bool MayHaveTakenEffect_ = false;
   std::function<void(Outcome<std::string>)> Done_;
 };
 
-class LeaderClient::Shared : public std::enable_shared_from_this<Shared> {
+class LeaderClient::Impl : public std::enable_shared_from_this<Impl> {
 public:
-  Shared(std::vector<std::unique_ptr<ControlLink>> Links, Timers &Timers,
-         const Clock &Clock)
+  Impl(std::vector<std::unique_ptr<ControlLink>> Links, Timers &Timers,
+       const Clock &Clock)
       : Links_(std::move(Links)), Timers_(Timers), Clock_(Clock) {}
 
   void start(std::shared_ptr<Call> Value) {
     if (Links_.empty())
       return Value->Done_(
           fail(ErrorCode::Unavailable, "no control process is configured"));
-    tryNext(std::move(Value), Leader_.load());
+    callProcess(std::move(Value), Leader_.load());
   }
 
   std::string getLeaderName() const {
-    return Confirmed_ ? Links_[Leader_]->name() : std::string();
+    return LeaderKnown_ ? Links_[Leader_]->name() : std::string();
   }
 
 private:
-  void tryNext(std::shared_ptr<Call> Value, std::size_t Index) {
-    const Duration Left = Value->Deadline_ - Clock_.now();
-    if (Left <= Duration::zero())
-      return giveUp(*Value);
-    ++Value->Tried_;
-    const Duration Most =
-        Value->Idempotent_ ? std::min(Left, TryTimeout) : Left;
+  void callProcess(std::shared_ptr<Call> Value, std::size_t Index) {
+    const Duration Remaining = Value->Deadline_ - Clock_.now();
+    if (Remaining <= Duration::zero())
+      return failCall(*Value);
+    ++Value->TriedInRound_;
+    const Duration CallTimeout =
+        Value->Idempotent_ ? std::min(Remaining, TryTimeout) : Remaining;
     Links_[Index]->call(
-        Value->Kind_, Value->Body_, Most,
+        Value->Kind_, Value->Body_, CallTimeout,
         [Self = shared_from_this(), Value, Index](Outcome<std::string> Reply) {
           Self->onReply(Value, Index, std::move(Reply));
         });
@@ -64,50 +64,50 @@
                Outcome<std::string> Reply) {
     if (Reply) {
       Leader_ = Index;
-      Confirmed_ = true;
+      LeaderKnown_ = true;
       return Value->Done_(std::move(Reply));
     }
     const Error &Problem = Reply.error();
     const bool TimedOut = Problem.Code_ == ErrorCode::Timeout;
-    const bool Elsewhere = Problem.Code_ == ErrorCode::NotLeader ||
-                           Problem.Code_ == ErrorCode::Unavailable;
+    const bool NotHandled = Problem.Code_ == ErrorCode::NotLeader ||
+                            Problem.Code_ == ErrorCode::Unavailable;
     if (TimedOut)
       Value->MayHaveTakenEffect_ = true;
-    if (Elsewhere || (TimedOut && Value->Idempotent_))
-      return moveOn(Value, Index, Problem);
+    if (NotHandled || (TimedOut && Value->Idempotent_))
+      return retryElsewhere(Value, Index, Problem);
     if (TimedOut)
-      changeHint(Index, (Index + 1) % Links_.size());
+      updateLeaderHint(Index, (Index + 1) % Links_.size());
     Value->Done_(std::move(Reply));
   }
 
   // Whoever asks next starts where this call is sent next.
-  void changeHint(std::size_t From, std::size_t To) {
+  void updateLeaderHint(std::size_t From, std::size_t To) {
     Leader_.compare_exchange_strong(From, To);
   }
 
-  void moveOn(const std::shared_ptr<Call> &Value, std::size_t Index,
-              const Error &Problem) {
+  void retryElsewhere(const std::shared_ptr<Call> &Value, std::size_t Index,
+                      const Error &Problem) {
     const std::size_t Next = findNext(Index, Problem);
-    changeHint(Index, Next);
-    if (Value->Tried_ <= Links_.size())
-      return tryNext(Value, Next);
+    updateLeaderHint(Index, Next);
+    if (Value->TriedInRound_ <= Links_.size())
+      return callProcess(Value, Next);
     if (Value->Deadline_ - Clock_.now() <= RoundPause)
-      return giveUp(*Value);
-    Value->Tried_ = 0;
+      return failCall(*Value);
+    Value->TriedInRound_ = 0;
     Timers_.runAfter(RoundPause, [Self = shared_from_this(), Value, Next] {
-      Self->tryNext(Value, Next);
+      Self->callProcess(Value, Next);
     });
   }
 
   std::size_t findNext(std::size_t Index, const Error &Problem) const {
     if (Problem.Code_ == ErrorCode::NotLeader)
-      for (std::size_t Named = 0; Named < Links_.size(); ++Named)
-        if (Named != Index && Links_[Named]->name() == Problem.Message_)
-          return Named;
+      for (std::size_t Candidate = 0; Candidate < Links_.size(); ++Candidate)
+        if (Candidate != Index && Links_[Candidate]->name() == Problem.Message_)
+          return Candidate;
     return (Index + 1) % Links_.size();
   }
 
-  static void giveUp(const Call &Value) {
+  static void failCall(const Call &Value) {
     if (Value.MayHaveTakenEffect_)
       return Value.Done_(
           fail(ErrorCode::Timeout, "no leader answered in time"));
@@ -118,72 +118,72 @@
   Timers &Timers_;
   const Clock &Clock_;
   std::atomic<std::size_t> Leader_{0};
-  std::atomic<bool> Confirmed_{false};
+  std::atomic<bool> LeaderKnown_{false};
 
   friend class LeaderClient;
 };
 
 LeaderClient::LeaderClient(std::vector<std::unique_ptr<ControlLink>> Links,
                            Timers &Timers, const Clock &Clock)
-    : Shared_(std::make_shared<Shared>(std::move(Links), Timers, Clock)) {}
+    : Impl_(std::make_shared<Impl>(std::move(Links), Timers, Clock)) {}
 
 LeaderClient::~LeaderClient() = default;
 
 template <class Request>
 void LeaderClient::send(const Request &Value, Duration Timeout,
-                        ControlDone<Request> Done) {
-  auto Sent = std::make_shared<Call>();
-  Sent->Kind_ = Request::Kind;
-  Sent->Body_ = wire::encode(Value);
-  Sent->Deadline_ = Shared_->Clock_.now() + Timeout;
-  Sent->Idempotent_ = !std::is_same_v<Request, wire::OperatorCall>;
-  Sent->Done_ = [Done = std::move(Done)](Outcome<std::string> Body) {
+                        ControlCallback<Request> Done) {
+  auto Pending = std::make_shared<Call>();
+  Pending->Kind_ = Request::Kind;
+  Pending->Body_ = wire::encode(Value);
+  Pending->Deadline_ = Impl_->Clock_.now() + Timeout;
+  Pending->Idempotent_ = !std::is_same_v<Request, wire::OperatorCall>;
+  Pending->Done_ = [Done = std::move(Done)](Outcome<std::string> Body) {
     if (!Body)
       return Done(std::move(Body).as_failure());
     Done(wire::decode<typename Request::Reply>(Body.value()));
   };
-  Shared_->start(std::move(Sent));
+  Impl_->start(std::move(Pending));
 }
 
 void LeaderClient::report(const wire::EntryReport &Report, Duration Timeout,
-                          ControlDone<wire::EntryReport> Done) {
+                          ControlCallback<wire::EntryReport> Done) {
   send(Report, Timeout, std::move(Done));
 }
 
 void LeaderClient::announce(const wire::Announcement &Announcement,
                             Duration Timeout,
-                            ControlDone<wire::Announcement> Done) {
+                            ControlCallback<wire::Announcement> Done) {
   send(Announcement, Timeout, std::move(Done));
 }
 
-void LeaderClient::announceBatch(const wire::AnnouncementBatch &Batch,
-                                 Duration Timeout,
-                                 ControlDone<wire::AnnouncementBatch> Done) {
+void LeaderClient::announceBatch(
+    const wire::AnnouncementBatch &Batch, Duration Timeout,
+    ControlCallback<wire::AnnouncementBatch> Done) {
   send(Batch, Timeout, std::move(Done));
 }
 
 void LeaderClient::begin(const wire::BeginRequest &Request, Duration Timeout,
-                         ControlDone<wire::BeginRequest> Done) {
+                         ControlCallback<wire::BeginRequest> Done) {
   send(Request, Timeout, std::move(Done));
 }
 
 void LeaderClient::finish(const wire::FinishRequest &Request, Duration Timeout,
-                          ControlDone<wire::FinishRequest> Done) {
+                          ControlCallback<wire::FinishRequest> Done) {
   send(Request, Timeout, std::move(Done));
 }
 
 void LeaderClient::abandon(const wire::AbandonRequest &Request,
                            Duration Timeout,
-                           ControlDone<wire::AbandonRequest> Done) {
+                           ControlCallback<wire::AbandonRequest> Done) {
   send(Request, Timeout, std::move(Done));
 }
 
 void LeaderClient::callOperator(const wire::OperatorCall &Call,
                                 Duration Timeout,
-                                ControlDone<wire::OperatorCall> Done) {
+                                ControlCallback<wire::OperatorCall> Done) {
   send(Call, Timeout, std::move(Done));
 }
 
 std::string LeaderClient::getLeaderName() const {
-  return Shared_->getLeaderName();
+  return Impl_->getLeaderName();
 }
--- a/src/entry/RecordHomes.cpp
+++ b/src/entry/RecordHomes.cpp
@@ -22,14 +22,14 @@
 
 const DataCentreId &RecordHomes::findHome(const RequestKey &Key) const {
   const Digest Hash = fleet::computeDigest(Key.value());
-  const std::uint64_t Number =
+  const std::uint64_t HashPrefix =
       std::stoull(Hash.value().substr(0, HashDigits), nullptr, Hexadecimal);
   return std::next(Clients_.begin(),
-                   static_cast<std::ptrdiff_t>(Number % Clients_.size()))
+                   static_cast<std::ptrdiff_t>(HashPrefix % Clients_.size()))
       ->first;
 }
 
 ControlClient *RecordHomes::findClient(const DataCentreId &Home) const {
-  const auto Found = Clients_.find(Home);
-  return Found == Clients_.end() ? nullptr : Found->second.get();
+  const auto It = Clients_.find(Home);
+  return It == Clients_.end() ? nullptr : It->second.get();
 }
--- a/src/entry/RecordWriter.cpp
+++ b/src/entry/RecordWriter.cpp
@@ -12,88 +12,88 @@
 static constexpr Duration CallTimeout = seconds(1);
 static constexpr Duration RetryPause = milliseconds(100);
 // Afterwards the record stays begun; the home ends it when this process does.
-static constexpr Duration Patience = seconds(20);
+static constexpr Duration RetryPeriod = seconds(20);
 
 namespace {
 
 /// Repeats one idempotent call until it is answered.
 template <class Request>
-class Repeated : public std::enable_shared_from_this<Repeated<Request>> {
+class RetriedCall : public std::enable_shared_from_this<RetriedCall<Request>> {
 public:
   using Method = void (ControlClient::*)(const Request &, Duration,
-                                         ControlDone<Request>);
+                                         ControlCallback<Request>);
   using Done = std::function<void(Outcome<typename Request::Reply>)>;
 
-  Repeated(const RecordWriterParts &Parts, Method Call, Request Value,
-           Done OnEnd)
-      : Parts_(Parts), Call_(Call), Value_(std::move(Value)),
-        OnEnd_(std::move(OnEnd)), Until_(Parts.Clock_.now() + Patience) {
-    ++*Parts_.Pending_;
+  RetriedCall(const RecordWriterDependencies &Deps, Method Call,
+              Request Message, Done OnEnd)
+      : Deps_(Deps), Call_(Call), Message_(std::move(Message)),
+        OnEnd_(std::move(OnEnd)), Deadline_(Deps.Clock_.now() + RetryPeriod) {
+    ++*Deps_.Pending_;
   }
-  ~Repeated() { --*Parts_.Pending_; }
+  ~RetriedCall() { --*Deps_.Pending_; }
 
-  void ask() {
-    (Parts_.Home_.*Call_)(Value_, CallTimeout,
-                          [Self = this->shared_from_this()](
-                              Outcome<typename Request::Reply> Reply) {
-                            Self->onReply(std::move(Reply));
-                          });
+  void send() {
+    (Deps_.Home_.*Call_)(Message_, CallTimeout,
+                         [Self = this->shared_from_this()](
+                             Outcome<typename Request::Reply> Reply) {
+                           Self->onReply(std::move(Reply));
+                         });
   }
 
 private:
   void onReply(Outcome<typename Request::Reply> Reply) {
-    if (!Reply && Parts_.Clock_.now() < Until_) {
-      Parts_.Timers_.runAfter(
-          RetryPause, [Self = this->shared_from_this()] { Self->ask(); });
+    if (!Reply && Deps_.Clock_.now() < Deadline_) {
+      Deps_.Timers_.runAfter(
+          RetryPause, [Self = this->shared_from_this()] { Self->send(); });
       return;
     }
     if (!Reply)
-      Parts_.Metrics_.RecordsFailed_.add();
+      Deps_.Metrics_.RecordsFailed_.add();
     OnEnd_(std::move(Reply));
   }
 
-  const RecordWriterParts Parts_;
+  const RecordWriterDependencies Deps_;
   const Method Call_;
-  const Request Value_;
+  const Request Message_;
   const Done OnEnd_;
-  const TimePoint Until_;
+  const TimePoint Deadline_;
 };
 
 } // namespace
 
 template <class Request, class Method, class Done>
-static void repeat(const RecordWriterParts &Parts, Method Call, Request Value,
-                   Done OnEnd) {
-  std::make_shared<Repeated<Request>>(Parts, Call, std::move(Value),
-                                      std::move(OnEnd))
-      ->ask();
+static void callWithRetries(const RecordWriterDependencies &Deps, Method Call,
+                            Request Message, Done OnEnd) {
+  std::make_shared<RetriedCall<Request>>(Deps, Call, std::move(Message),
+                                         std::move(OnEnd))
+      ->send();
 }
 
-void entry::writeFinish(const RecordWriterParts &Parts,
+void entry::writeFinish(const RecordWriterDependencies &Deps,
                         wire::FinishRequest Finish, RecordDone Done) {
-  repeat<wire::FinishRequest>(
-      Parts, &ControlClient::finish, std::move(Finish),
+  callWithRetries<wire::FinishRequest>(
+      Deps, &ControlClient::finish, std::move(Finish),
       [Done = std::move(Done)](const Outcome<wire::RecordReply> &Reply) {
         Done(Reply && Reply.value().Recorded_);
       });
 }
 
-void entry::writeAbandon(const RecordWriterParts &Parts,
+void entry::writeAbandon(const RecordWriterDependencies &Deps,
                          wire::AbandonRequest Abandon) {
-  repeat<wire::AbandonRequest>(Parts, &ControlClient::abandon,
-                               std::move(Abandon),
-                               [](const Outcome<wire::RecordReply> &) {});
+  callWithRetries<wire::AbandonRequest>(
+      Deps, &ControlClient::abandon, std::move(Abandon),
+      [](const Outcome<wire::RecordReply> &) {});
 }
 
-void entry::settleBegin(const RecordWriterParts &Parts,
-                        wire::BeginRequest Begin) {
+void entry::abandonUncertainBegin(const RecordWriterDependencies &Deps,
+                                  wire::BeginRequest Begin) {
   const RequestKey Key = Begin.Key_;
-  repeat<wire::BeginRequest>(
-      Parts, &ControlClient::begin, std::move(Begin),
-      [Parts, Key](const Outcome<wire::BeginRequestReply> &Reply) {
+  callWithRetries<wire::BeginRequest>(
+      Deps, &ControlClient::begin, std::move(Begin),
+      [Deps, Key](const Outcome<wire::BeginRequestReply> &Reply) {
         const bool Begun = Reply && Reply.value().Disposition_ ==
                                         wire::RequestDisposition::Run;
         if (Begun)
-          writeAbandon(Parts, {Key, Reply.value().Attempt_});
+          writeAbandon(Deps, {Key, Reply.value().Attempt_});
       });
 }
--- a/src/entry/RecordWriter.h
+++ b/src/entry/RecordWriter.h
@@ -18,7 +18,7 @@
 
 namespace tulipweir::entry {
 
-struct RecordWriterParts {
+struct RecordWriterDependencies {
   ControlClient &Home_;
   Timers &Timers_;
   const Clock &Clock_;
@@ -31,12 +31,14 @@
 /// Told once: whether the record stands as written.
 using RecordDone = std::function<void(bool Recorded)>;
 
-void writeFinish(const RecordWriterParts &Parts, wire::FinishRequest Finish,
-                 RecordDone Done);
-void writeAbandon(const RecordWriterParts &Parts, wire::AbandonRequest Abandon);
+void writeFinish(const RecordWriterDependencies &Deps,
+                 wire::FinishRequest Finish, RecordDone Done);
+void writeAbandon(const RecordWriterDependencies &Deps,
+                  wire::AbandonRequest Abandon);
 /// After a Begin without a reply: asks again by the same nonce until the log
 /// says how it stands, and gives it back if it had begun.
-void settleBegin(const RecordWriterParts &Parts, wire::BeginRequest Begin);
+void abandonUncertainBegin(const RecordWriterDependencies &Deps,
+                           wire::BeginRequest Begin);
 
 } // namespace tulipweir::entry
 
--- a/src/entry/Reporter.cpp
+++ b/src/entry/Reporter.cpp
@@ -14,28 +14,28 @@
 
 class Reporter::Loop : public std::enable_shared_from_this<Loop> {
 public:
-  explicit Loop(const ReporterParts &Parts) : Parts_(Parts) {}
+  explicit Loop(const ReporterDependencies &Deps) : Deps_(Deps) {}
 
   void report() {
-    if (Ended_)
+    if (Stopped_)
       return;
-    const TimePoint SentAt = Parts_.Clock_.now();
-    Parts_.Metrics_.Reports_.add();
+    const TimePoint SentAt = Deps_.Clock_.now();
+    Deps_.Metrics_.Reports_.add();
     const wire::EntryReport Report = makeReport(KnownVersion_);
-    Parts_.Control_.report(
+    Deps_.Control_.report(
         Report, ReportTimeout,
-        [Weak = weak_from_this(), SentAt, Named = Report.RoutesHeld_,
+        [Weak = weak_from_this(), SentAt, ReportedVersion = Report.RoutesHeld_,
          Brief = Report.Brief_](const Outcome<wire::EntryReportReply> &Reply) {
           if (const std::shared_ptr<Loop> Self = Weak.lock())
-            Self->onReply(Reply, SentAt, Named, Brief);
+            Self->onReply(Reply, SentAt, ReportedVersion, Brief);
         });
   }
 
-  void giveBack(std::function<void()> Done) {
-    Ended_ = true;
+  void releaseGrants(std::function<void()> Done) {
+    Stopped_ = true;
     wire::EntryReport Last = makeReport(0);
     Last.Stopping_ = true;
-    Parts_.Control_.report(
+    Deps_.Control_.report(
         Last, ReportTimeout,
         [Done = std::move(Done)](const Outcome<wire::EntryReportReply> &Reply) {
           spdlog::info("grants {}", Reply ? "given back" : "left to run out");
@@ -43,87 +43,87 @@
         });
   }
 
-  void end() { Ended_ = true; }
+  void stop() { Stopped_ = true; }
   bool hasLeader() const { return HasLeader_; }
 
 private:
-  wire::EntryReport makeReport(std::uint64_t Known) const {
+  wire::EntryReport makeReport(std::uint64_t KnownVersion) const {
     wire::EntryReport Report;
-    Report.Entry_ = Parts_.Identity_.Entry_;
-    Report.Address_ = Parts_.Identity_.Address_;
-    Report.Incarnation_ = Parts_.Identity_.Incarnation_;
-    Report.Held_ = Parts_.Configuration_.getVersion();
-    Parts_.Router_.fillReport(Report, Known);
+    Report.Entry_ = Deps_.Identity_.Entry_;
+    Report.Address_ = Deps_.Identity_.Address_;
+    Report.Incarnation_ = Deps_.Identity_.Incarnation_;
+    Report.Held_ = Deps_.Configuration_.getVersion();
+    Deps_.Router_.fillReport(Report, KnownVersion);
     return Report;
   }
 
   void onReply(const Outcome<wire::EntryReportReply> &Reply, TimePoint SentAt,
-               std::uint64_t Named, bool Brief) {
-    if (Ended_)
+               std::uint64_t ReportedVersion, bool Brief) {
+    if (Stopped_)
       return;
-    noteLeader(Reply.has_value());
+    setHasLeader(Reply.has_value());
     const bool SendFull = Reply && Reply.value().SendFull_;
     // Not even a grant follows from such a reply.
     if (Reply && !SendFull)
-      adopt(Reply.value(), SentAt, Named);
+      adopt(Reply.value(), SentAt, ReportedVersion);
     KnownVersion_ = Reply && !SendFull ? Reply.value().RoutesVersion_ : 0;
     if (SendFull && Brief)
       return report();
-    const Duration Passed = Parts_.Clock_.now() - SentAt;
-    const Duration Pause = std::max(Duration::zero(), Parts_.Period_ - Passed);
-    Parts_.Timers_.runAfter(Pause, [Weak = weak_from_this()] {
+    const Duration Elapsed = Deps_.Clock_.now() - SentAt;
+    const Duration Pause = std::max(Duration::zero(), Deps_.Period_ - Elapsed);
+    Deps_.Timers_.runAfter(Pause, [Weak = weak_from_this()] {
       if (const std::shared_ptr<Loop> Self = Weak.lock())
         Self->report();
     });
   }
 
-  void noteLeader(bool Found) {
-    if (!Found)
-      Parts_.Metrics_.ReportsFailed_.add();
-    if (HasLeader_.exchange(Found) != Found)
-      spdlog::info("the leader {}", Found ? "answers" : "does not answer");
+  void setHasLeader(bool Answered) {
+    if (!Answered)
+      Deps_.Metrics_.ReportsFailed_.add();
+    if (HasLeader_.exchange(Answered) != Answered)
+      spdlog::info("the leader {}", Answered ? "answers" : "does not answer");
   }
 
   void adopt(const wire::EntryReportReply &Reply, TimePoint SentAt,
-             std::uint64_t Named) {
+             std::uint64_t ReportedVersion) {
     // The bundle first: its services need their gates before the routes come.
     if (Reply.Bundle_)
       adoptBundle(*Reply.Bundle_);
-    if (Parts_.Router_.adopt(Reply, SentAt, Named))
-      Parts_.Flags_.GrantsUntil_ = SentAt + milliseconds(Reply.GrantTtlMs_);
+    if (Deps_.Router_.adopt(Reply, SentAt, ReportedVersion))
+      Deps_.Flags_.GrantsExpireAt_ = SentAt + milliseconds(Reply.GrantTtlMs_);
   }
 
   void adoptBundle(const wire::SignedBundle &Signed) {
-    const Outcome<bool> Adopted = Parts_.Configuration_.adopt(Signed);
+    const Outcome<bool> Adopted = Deps_.Configuration_.adopt(Signed);
     if (!Adopted) {
-      Parts_.Metrics_.BundlesRefused_.add();
+      Deps_.Metrics_.BundlesRefused_.add();
       spdlog::error("bundle {} was not adopted: {}", Signed.Version_.value(),
                     Adopted.error().Message_);
       return;
     }
     if (!Adopted.value())
       return;
-    Parts_.Metrics_.BundlesAdopted_.add();
+    Deps_.Metrics_.BundlesAdopted_.add();
     spdlog::info("bundle {} is in force here", Signed.Version_.value());
-    Parts_.Router_.configure(*Parts_.Configuration_.get());
+    Deps_.Router_.configure(*Deps_.Configuration_.get());
   }
 
-  const ReporterParts Parts_;
-  std::atomic<bool> Ended_{false};
+  const ReporterDependencies Deps_;
+  std::atomic<bool> Stopped_{false};
   std::atomic<bool> HasLeader_{false};
   /// The version that the last reply named; 0 if there was none.
   std::atomic<std::uint64_t> KnownVersion_{0};
 };
 
-Reporter::Reporter(const ReporterParts &Parts)
-    : Loop_(std::make_shared<Loop>(Parts)) {}
+Reporter::Reporter(const ReporterDependencies &Deps)
+    : Loop_(std::make_shared<Loop>(Deps)) {}
 
-Reporter::~Reporter() { Loop_->end(); }
+Reporter::~Reporter() { Loop_->stop(); }
 
 void Reporter::start() { Loop_->report(); }
 
-void Reporter::giveBack(std::function<void()> Done) {
-  Loop_->giveBack(std::move(Done));
+void Reporter::releaseGrants(std::function<void()> Done) {
+  Loop_->releaseGrants(std::move(Done));
 }
 
 bool Reporter::hasLeader() const { return Loop_->hasLeader(); }
--- a/src/entry/RequestTable.cpp
+++ b/src/entry/RequestTable.cpp
@@ -18,66 +18,66 @@
 }
 
 JoinResult RequestTable::join(const RequestKey &Key, const Digest &Digest,
-                              TimePoint Deadline, TableWaiter Waiter) {
-  Shard &Home = findShard(Key);
-  std::lock_guard Lock(Home.Mutex_);
-  const auto [Found, Inserted] = Home.Held_.try_emplace(Key);
-  Held &Value = Found->second;
+                              TimePoint Deadline, AttachedCallback Callback) {
+  Shard &KeyShard = findShard(Key);
+  std::lock_guard Lock(KeyShard.Mutex_);
+  const auto [It, Inserted] = KeyShard.Keys_.try_emplace(Key);
+  KeyState &State = It->second;
   if (Inserted) {
-    Value.Digest_ = Digest;
+    State.Digest_ = Digest;
     return JoinResult::Owner;
   }
-  if (Value.Digest_ != Digest)
+  if (State.Digest_ != Digest)
     return JoinResult::Conflict;
-  Value.Attached_.push_back({Deadline, std::move(Waiter)});
+  State.AttachedRequests_.push_back({Deadline, std::move(Callback)});
   return JoinResult::Attached;
 }
 
 void RequestTable::end(const RequestKey &Key, const FinalResult &Result) {
   std::vector<Attached> Waiting;
   {
-    Shard &Home = findShard(Key);
-    std::lock_guard Lock(Home.Mutex_);
-    const auto Found = Home.Held_.find(Key);
-    assert(Found != Home.Held_.end() && "ended without an owner");
-    Waiting = std::move(Found->second.Attached_);
-    Home.Held_.erase(Found);
+    Shard &KeyShard = findShard(Key);
+    std::lock_guard Lock(KeyShard.Mutex_);
+    const auto It = KeyShard.Keys_.find(Key);
+    assert(It != KeyShard.Keys_.end() && "ended without an owner");
+    Waiting = std::move(It->second.AttachedRequests_);
+    KeyShard.Keys_.erase(It);
   }
   for (const Attached &One : Waiting)
-    One.Waiter_(&Result);
+    One.Callback_(&Result);
 }
 
 void RequestTable::sweep(TimePoint Now) {
-  std::vector<Attached> Late;
+  std::vector<Attached> Expired;
   for (const std::unique_ptr<Shard> &One : Shards_) {
     std::lock_guard Lock(One->Mutex_);
-    for (auto &[Key, Value] : One->Held_)
-      std::erase_if(Value.Attached_, [&](Attached &Waiting) {
+    for (auto &[Key, State] : One->Keys_)
+      std::erase_if(State.AttachedRequests_, [&](Attached &Waiting) {
         if (Now < Waiting.Deadline_)
           return false;
-        Late.push_back(std::move(Waiting));
+        Expired.push_back(std::move(Waiting));
         return true;
       });
   }
-  for (const Attached &Waiting : Late)
-    Waiting.Waiter_(nullptr);
+  for (const Attached &Waiting : Expired)
+    Waiting.Callback_(nullptr);
 }
 
-std::size_t RequestTable::getOwners() const {
+std::size_t RequestTable::getOwnerCount() const {
   std::size_t Count = 0;
   for (const std::unique_ptr<Shard> &One : Shards_) {
     std::lock_guard Lock(One->Mutex_);
-    Count += One->Held_.size();
+    Count += One->Keys_.size();
   }
   return Count;
 }
 
-std::size_t RequestTable::getWaiters() const {
+std::size_t RequestTable::getWaiterCount() const {
   std::size_t Count = 0;
   for (const std::unique_ptr<Shard> &One : Shards_) {
     std::lock_guard Lock(One->Mutex_);
-    for (const auto &[Key, Value] : One->Held_)
-      Count += Value.Attached_.size();
+    for (const auto &[Key, State] : One->Keys_)
+      Count += State.AttachedRequests_.size();
   }
   return Count;
 }
--- a/src/entry/Router.cpp
+++ b/src/entry/Router.cpp
@@ -36,17 +36,18 @@
     }
     Gate->configure(Service, Config.Bundle_.RetryBudget_);
   }
-  fillGates();
+  assignServers();
 }
 
 // What the leader's account rests on (SlotLedger.h): a reply to a report that
 // named something else than what is held now would raise what is held beyond
 // what is accounted to this entry.
-bool Router::mayAdopt(const wire::EntryReportReply &Reply, TimePoint SentAt,
-                      std::uint64_t Named, TimePoint Until) const {
+bool Router::canAdopt(const wire::EntryReportReply &Reply, TimePoint SentAt,
+                      std::uint64_t ReportedVersion,
+                      TimePoint ExpiresAt) const {
   const TimePoint Now = Clock_.now();
-  const std::uint64_t Held = findVersion(Now);
-  if (SentAt <= AdoptedAt_ || Held != Named || Now >= Until)
+  const std::uint64_t Held = getUsableVersion(Now);
+  if (SentAt <= AdoptedAt_ || Held != ReportedVersion || Now >= ExpiresAt)
     return false;
   if (Reply.Routes_)
     return Reply.RoutesVersion_ >= HighestVersion_;
@@ -54,64 +55,64 @@
 }
 
 bool Router::adopt(const wire::EntryReportReply &Reply, TimePoint SentAt,
-                   std::uint64_t Named) {
-  const TimePoint Until = SentAt + milliseconds(Reply.GrantTtlMs_);
+                   std::uint64_t ReportedVersion) {
+  const TimePoint ExpiresAt = SentAt + milliseconds(Reply.GrantTtlMs_);
   {
     std::unique_lock Lock(Mutex_);
-    if (!mayAdopt(Reply, SentAt, Named, Until))
+    if (!canAdopt(Reply, SentAt, ReportedVersion, ExpiresAt))
       return false;
     AdoptedAt_ = SentAt;
-    GrantUntil_ = Until;
+    GrantExpiresAt_ = ExpiresAt;
     if (Reply.Routes_) {
-      replaceServers(*Reply.Routes_, Until);
+      replaceServers(*Reply.Routes_, ExpiresAt);
       HighestVersion_ = Reply.RoutesVersion_;
-      fillGates();
+      assignServers();
     } else {
       for (const auto &[Key, Server] : Servers_)
-        Server->renew(Until);
+        Server->renew(ExpiresAt);
     }
   }
   for (const std::shared_ptr<ServiceGate> &Gate : listGates())
-    Gate->drain();
+    Gate->dispatchQueue();
   return true;
 }
 
 // A server of another boot or address is another server: what is in flight to
 // the old one ends on its own.
 void Router::replaceServers(const std::vector<wire::Route> &Routes,
-                            TimePoint Until) {
+                            TimePoint ExpiresAt) {
   std::map<ServerKey, std::shared_ptr<ServerSlots>> Next;
-  Order_.clear();
+  RouteOrder_.clear();
   for (const wire::Route &Route : Routes) {
     const Outcome<net::Endpoint> Address = net::Endpoint::parse(Route.Address_);
-    Order_.emplace_back();
+    RouteOrder_.emplace_back();
     if (!Address)
       continue;
     const ServerKey Key{Route.Server_, Route.Boot_};
     std::shared_ptr<ServerSlots> Server;
-    const auto Found = Servers_.find(Key);
-    if (Found != Servers_.end() &&
-        Found->second->address() == Address.value() &&
-        Found->second->services() == Route.Services_)
-      Server = Found->second;
+    const auto It = Servers_.find(Key);
+    if (It != Servers_.end() && It->second->address() == Address.value() &&
+        It->second->services() == Route.Services_)
+      Server = It->second;
     else
       Server = std::make_shared<ServerSlots>(Route, Address.value());
-    Server->setGrant(Route, Until);
-    Order_.back() = Server;
+    Server->setGrant(Route, ExpiresAt);
+    RouteOrder_.back() = Server;
     Next[Key] = std::move(Server);
   }
   for (const auto &[Key, Server] : Servers_) {
     const auto Kept = Next.find(Key);
     if (Kept == Next.end() || Kept->second != Server)
-      Leaving_.push_back(Server);
+      RemovedServers_.push_back(Server);
   }
-  std::erase_if(Leaving_, [](const std::shared_ptr<ServerSlots> &Server) {
-    return Server->getHeld().InFlight_ == 0;
-  });
+  std::erase_if(RemovedServers_,
+                [](const std::shared_ptr<ServerSlots> &Server) {
+                  return Server->toGrantHeld().InFlight_ == 0;
+                });
   Servers_ = std::move(Next);
 }
 
-void Router::fillGates() {
+void Router::assignServers() {
   std::map<ServiceId, std::vector<std::shared_ptr<ServerSlots>>> ByService;
   for (const auto &[Key, Server] : Servers_)
     for (const ServiceId &Service : Server->services())
@@ -120,13 +121,13 @@
     Gate->setServers(ByService[Id]);
 }
 
-void Router::noteDraining(const BackendServerId &Server, const BootId &Boot) {
+void Router::markDraining(const BackendServerId &Server, const BootId &Boot) {
   std::unique_lock Lock(Mutex_);
-  const auto Found = Servers_.find({Server, Boot});
-  if (Found == Servers_.end() || Found->second->isDraining())
+  const auto It = Servers_.find({Server, Boot});
+  if (It == Servers_.end() || It->second->isDraining())
     return;
-  Found->second->setDraining();
-  fillGates();
+  It->second->setDraining();
+  assignServers();
 }
 
 Router::GateList Router::listGates() const {
@@ -138,32 +139,33 @@
   return List;
 }
 
-SlotHold Router::hold(std::shared_ptr<ServiceGate> Own, TakenSlot Slot) const {
-  SlotHold Hold{std::move(Slot), std::move(Own), {}};
-  if (Hold.Slot_->services().size() < 2)
-    return Hold;
+HeldSlot Router::registerSlot(std::shared_ptr<ServiceGate> Owner,
+                              AcquiredSlot Slot) const {
+  HeldSlot SlotInUse{std::move(Slot), std::move(Owner), {}};
+  if (SlotInUse.Slot_->services().size() < 2)
+    return SlotInUse;
   std::shared_lock Lock(Mutex_);
-  for (const ServiceId &Service : Hold.Slot_->services()) {
-    const auto Found = Gates_.find(Service);
-    if (Found == Gates_.end() || Found->second == Hold.Own_)
+  for (const ServiceId &Service : SlotInUse.Slot_->services()) {
+    const auto It = Gates_.find(Service);
+    if (It == Gates_.end() || It->second == SlotInUse.Owner_)
       continue;
-    if (Found->second->noteTaken(Hold.Slot_->server()))
-      Hold.Others_.push_back(Found->second);
+    if (It->second->recordSlotTaken(SlotInUse.Slot_->server()))
+      SlotInUse.OtherGates_.push_back(It->second);
   }
-  return Hold;
+  return SlotInUse;
 }
 
-void Router::release(const SlotHold &Hold,
+void Router::release(const HeldSlot &SlotInUse,
                      std::optional<decide::RequestResult> Result,
                      Duration Latency) {
-  const BackendServerId &Server = Hold.Slot_->server();
-  Hold.Slot_->giveBack();
-  Hold.Own_->noteEnded(Server, Result, Latency);
-  for (const std::shared_ptr<ServiceGate> &Gate : Hold.Others_)
-    Gate->noteEnded(Server, std::nullopt, Duration::zero());
-  Hold.Own_->drain();
-  for (const std::shared_ptr<ServiceGate> &Gate : Hold.Others_)
-    Gate->drain();
+  const BackendServerId &Server = SlotInUse.Slot_->server();
+  SlotInUse.Slot_->releaseSlot();
+  SlotInUse.Owner_->recordSlotReleased(Server, Result, Latency);
+  for (const std::shared_ptr<ServiceGate> &Gate : SlotInUse.OtherGates_)
+    Gate->recordSlotReleased(Server, std::nullopt, Duration::zero());
+  SlotInUse.Owner_->dispatchQueue();
+  for (const std::shared_ptr<ServiceGate> &Gate : SlotInUse.OtherGates_)
+    Gate->dispatchQueue();
 }
 
 void Router::sweep() {
@@ -173,31 +175,31 @@
 
 std::shared_ptr<ServiceGate> Router::findGate(const ServiceId &Service) const {
   std::shared_lock Lock(Mutex_);
-  const auto Found = Gates_.find(Service);
-  return Found == Gates_.end() ? nullptr : Found->second;
+  const auto It = Gates_.find(Service);
+  return It == Gates_.end() ? nullptr : It->second;
 }
 
-RoutesHeld Router::getHeld() const {
+RoutingSnapshot Router::getSnapshot() const {
   std::shared_lock Lock(Mutex_);
-  const std::uint64_t Version = findVersion(Clock_.now());
-  return {Version, listHeld(Version)};
+  const std::uint64_t Version = getUsableVersion(Clock_.now());
+  return {Version, listGrants(Version)};
 }
 
 /// The lock is held.
-std::vector<wire::GrantHeld> Router::listHeld(std::uint64_t Version) const {
-  std::vector<wire::GrantHeld> Grants = listLeaving();
+std::vector<wire::GrantHeld> Router::listGrants(std::uint64_t Version) const {
+  std::vector<wire::GrantHeld> Grants = listRemovedGrants();
   Grants.reserve(Servers_.size() + Grants.size());
   for (const auto &[Key, Server] : Servers_)
-    Grants.push_back(Version == 0 ? withoutSlots(Server->getHeld())
-                                  : Server->getHeld());
+    Grants.push_back(Version == 0 ? withoutSlots(Server->toGrantHeld())
+                                  : Server->toGrantHeld());
   return Grants;
 }
 
 /// The lock is held.
-std::vector<wire::GrantHeld> Router::listLeaving() const {
+std::vector<wire::GrantHeld> Router::listRemovedGrants() const {
   std::vector<wire::GrantHeld> Grants;
-  for (const std::shared_ptr<ServerSlots> &Server : Leaving_)
-    if (wire::GrantHeld Each = Server->getHeld(); Each.InFlight_ > 0)
+  for (const std::shared_ptr<ServerSlots> &Server : RemovedServers_)
+    if (wire::GrantHeld Each = Server->toGrantHeld(); Each.InFlight_ > 0)
       Grants.push_back(withoutSlots(std::move(Each)));
   return Grants;
 }
@@ -206,8 +208,8 @@
 std::string Router::packInFlight() const {
   std::string Packed;
   std::size_t Used = 0;
-  for (const std::shared_ptr<ServerSlots> &Server : Order_) {
-    const std::uint32_t InFlight = Server ? Server->getHeld().InFlight_ : 0;
+  for (const std::shared_ptr<ServerSlots> &Server : RouteOrder_) {
+    const std::uint32_t InFlight = Server ? Server->toGrantHeld().InFlight_ : 0;
     wire::appendNumber(Packed, InFlight);
     if (InFlight > 0)
       Used = Packed.size();
@@ -216,16 +218,17 @@
   return Packed;
 }
 
-void Router::fillReport(wire::EntryReport &Report, std::uint64_t Known) const {
+void Router::fillReport(wire::EntryReport &Report,
+                        std::uint64_t KnownVersion) const {
   std::shared_lock Lock(Mutex_);
-  Report.RoutesHeld_ = findVersion(Clock_.now());
-  Report.Brief_ = Known != 0 && Report.RoutesHeld_ == Known;
+  Report.RoutesHeld_ = getUsableVersion(Clock_.now());
+  Report.Brief_ = KnownVersion != 0 && Report.RoutesHeld_ == KnownVersion;
   if (!Report.Brief_) {
-    Report.Grants_ = listHeld(Report.RoutesHeld_);
+    Report.Grants_ = listGrants(Report.RoutesHeld_);
     return;
   }
   Report.InFlight_ = packInFlight();
-  Report.Grants_ = listLeaving();
+  Report.Grants_ = listRemovedGrants();
 }
 
 std::size_t Router::getServerCount() const {
--- a/src/entry/ServerSlots.cpp
+++ b/src/entry/ServerSlots.cpp
@@ -12,10 +12,10 @@
     : Server_(Route.Server_), Boot_(Route.Boot_), Address_(Address),
       Services_(Route.Services_) {}
 
-void ServerSlots::setGrant(const wire::Route &Route, TimePoint Until) {
+void ServerSlots::setGrant(const wire::Route &Route, TimePoint ExpiresAt) {
   Slots_ = Route.Slots_;
   Connections_ = Route.Connections_;
-  Until_ = Until;
+  ExpiresAt_ = ExpiresAt;
   // Never back from draining in one boot: the announcement that said so may be
   // newer than the leader's table.
   if (Route.Draining_)
@@ -26,22 +26,22 @@
   return Draining_ ? 0 : std::min(Slots_.load(), Connections_.load());
 }
 
-bool ServerSlots::tryTake(TimePoint Now) {
-  if (Now >= Until_.load())
+bool ServerSlots::tryAcquire(TimePoint Now) {
+  if (Now >= ExpiresAt_.load())
     return false;
-  std::uint32_t Used = InFlight_.load();
-  while (Used < getLimit())
-    if (InFlight_.compare_exchange_weak(Used, Used + 1))
+  std::uint32_t InUse = InFlight_.load();
+  while (InUse < getLimit())
+    if (InFlight_.compare_exchange_weak(InUse, InUse + 1))
       return true;
   return false;
 }
 
-void ServerSlots::giveBack() {
+void ServerSlots::releaseSlot() {
   [[maybe_unused]] const std::uint32_t Before = InFlight_.fetch_sub(1);
   assert(Before > 0 && "a slot was given back twice");
 }
 
-wire::GrantHeld ServerSlots::getHeld() const {
+wire::GrantHeld ServerSlots::toGrantHeld() const {
   wire::GrantHeld Held;
   Held.Server_ = Server_;
   Held.Boot_ = Boot_;
--- a/src/entry/ServiceGate.cpp
+++ b/src/entry/ServiceGate.cpp
@@ -9,9 +9,9 @@
 using std::chrono::milliseconds;
 
 // No server has slots for us: the next report may bring some.
-static constexpr Duration NoServersRetry = milliseconds(1000);
+static constexpr Duration NoServersRetryAfter = milliseconds(1000);
 static constexpr double DefaultRetryBudget = 0.1;
-static constexpr int MaxChoices = 3;
+static constexpr int MaxChooseTries = 3;
 
 ServiceGate::ServiceGate(const ServiceId &Service, const Clock &Clock,
                          std::uint64_t Seed)
@@ -40,21 +40,23 @@
   Chooser_.setServers(Granted, Clock_.now());
 }
 
-decide::SlotView ServiceGate::viewSlots() const {
+decide::SlotView ServiceGate::getSlotView() const {
   return {Chooser_.freeSlots(), Chooser_.totalSlots(), Chooser_.meanLatency()};
 }
 
-TakenSlot ServiceGate::takeSlot(TimePoint Now, const ExceptServer &Except) {
+AcquiredSlot ServiceGate::chooseSlot(TimePoint Now,
+                                     const ExcludedServer &Excluded) {
   // A chosen server's slots may have gone to another service meanwhile.
-  for (int Try = 0; Try < MaxChoices; ++Try) {
-    const std::optional<BackendServerId> Chosen = Chooser_.choose(Now, Except);
+  for (int Try = 0; Try < MaxChooseTries; ++Try) {
+    const std::optional<BackendServerId> Chosen =
+        Chooser_.choose(Now, Excluded);
     if (!Chosen)
       return nullptr;
-    const auto Found = Servers_.find(*Chosen);
-    if (Found == Servers_.end() || !Found->second->tryTake(Now))
+    const auto It = Servers_.find(*Chosen);
+    if (It == Servers_.end() || !It->second->tryAcquire(Now))
       continue;
     Chooser_.noteStarted(*Chosen);
-    return Found->second;
+    return It->second;
   }
   return nullptr;
 }
@@ -64,46 +66,47 @@
   if (Chooser_.totalSlots() == 0)
     return false;
   return std::any_of(Servers_.begin(), Servers_.end(), [Now](const auto &One) {
-    return Now < One.second->getUntil();
+    return Now < One.second->getExpiry();
   });
 }
 
-void ServiceGate::enter(TimePoint Deadline, const ExceptServer &Except,
-                        GateDone Done) {
-  GateAnswer Answer;
+void ServiceGate::acquireSlot(TimePoint Deadline,
+                              const ExcludedServer &Excluded,
+                              SlotCallback Done) {
+  SlotResult Answer;
   {
     std::lock_guard Lock(Mutex_);
     const TimePoint Now = Clock_.now();
     if (Queue_.empty())
-      Answer.Slot_ = takeSlot(Now, Except);
+      Answer.Slot_ = chooseSlot(Now, Excluded);
     if (!Answer.Slot_ && !canServe(Now)) {
-      Answer.RetryAfter_ = NoServersRetry;
+      Answer.RetryAfter_ = NoServersRetryAfter;
     } else if (!Answer.Slot_) {
-      decide::SlotView Slots = viewSlots();
+      decide::SlotView Slots = getSlotView();
       Slots.Free_ = 0; // What is free is not for this request.
-      const decide::AdmissionAnswer Asked =
+      const decide::AdmissionAnswer Decision =
           Admission_.ask(Now, Deadline, Slots);
-      if (Asked.Choice_ == decide::AdmissionChoice::Queue) {
+      if (Decision.Choice_ == decide::AdmissionChoice::Queue) {
         Admission_.noteQueued(Now, Slots);
-        Queue_.push_back({Deadline, Except, std::move(Done)});
+        Queue_.push_back({Deadline, Excluded, std::move(Done)});
         return;
       }
-      const bool Full = Asked.Choice_ == decide::AdmissionChoice::QueueFull;
+      const bool Full = Decision.Choice_ == decide::AdmissionChoice::QueueFull;
       Answer.Reason_ = Full ? RequestReason::QueueFull : RequestReason::TooLate;
-      Answer.RetryAfter_ = Asked.RetryAfter_;
+      Answer.RetryAfter_ = Decision.RetryAfter_;
     }
   }
   Done(std::move(Answer));
 }
 
-TakenSlot ServiceGate::tryEnter(const ExceptServer &Except) {
+AcquiredSlot ServiceGate::tryAcquireSlot(const ExcludedServer &Excluded) {
   std::lock_guard Lock(Mutex_);
   if (!Queue_.empty())
     return nullptr;
-  return takeSlot(Clock_.now(), Except);
+  return chooseSlot(Clock_.now(), Excluded);
 }
 
-void ServiceGate::noteFirstTry() {
+void ServiceGate::countFirstTry() {
   std::lock_guard Lock(Mutex_);
   Budget_.noteRequest();
 }
@@ -113,7 +116,7 @@
   return Budget_.trySpend();
 }
 
-bool ServiceGate::noteTaken(const BackendServerId &Server) {
+bool ServiceGate::recordSlotTaken(const BackendServerId &Server) {
   std::lock_guard Lock(Mutex_);
   if (!Servers_.contains(Server))
     return false;
@@ -121,9 +124,9 @@
   return true;
 }
 
-void ServiceGate::noteEnded(const BackendServerId &Server,
-                            std::optional<decide::RequestResult> Result,
-                            Duration Latency) {
+void ServiceGate::recordSlotReleased(
+    const BackendServerId &Server, std::optional<decide::RequestResult> Result,
+    Duration Latency) {
   std::lock_guard Lock(Mutex_);
   if (Result)
     Chooser_.noteEnded(Server, *Result, Latency, Clock_.now());
@@ -131,40 +134,41 @@
     Chooser_.noteReleased(Server);
 }
 
-std::optional<ServiceGate::Handed> ServiceGate::takeNext(TimePoint Now) {
+std::optional<ServiceGate::QueueResult>
+ServiceGate::dequeueNext(TimePoint Now) {
   if (Queue_.empty())
     return std::nullopt;
   Waiter &First = Queue_.front();
-  GateAnswer Answer;
-  const Duration Left = First.Deadline_ - Now;
-  if (Left <= Duration::zero() || Left < Chooser_.meanLatency()) {
+  SlotResult Answer;
+  const Duration Remaining = First.Deadline_ - Now;
+  if (Remaining <= Duration::zero() || Remaining < Chooser_.meanLatency()) {
     // Its answer would come too late: the slot is for one that can use it.
     Admission_.noteGivenUp();
     Answer.Reason_ = RequestReason::TooLate;
-    Answer.RetryAfter_ = Admission_.ask(Now, Now, viewSlots()).RetryAfter_;
+    Answer.RetryAfter_ = Admission_.ask(Now, Now, getSlotView()).RetryAfter_;
   } else if (!canServe(Now)) {
     Admission_.noteGivenUp();
-    Answer.RetryAfter_ = NoServersRetry;
+    Answer.RetryAfter_ = NoServersRetryAfter;
   } else {
-    Answer.Slot_ = takeSlot(Now, First.Except_);
+    Answer.Slot_ = chooseSlot(Now, First.Excluded_);
     // Better the server that was tried before than to hold up the queue.
-    if (!Answer.Slot_ && First.Except_)
-      Answer.Slot_ = takeSlot(Now, std::nullopt);
+    if (!Answer.Slot_ && First.Excluded_)
+      Answer.Slot_ = chooseSlot(Now, std::nullopt);
     if (!Answer.Slot_)
       return std::nullopt;
     Admission_.noteDrained(Now);
   }
-  Handed Result{std::move(First.Done_), std::move(Answer)};
+  QueueResult Result{std::move(First.Done_), std::move(Answer)};
   Queue_.pop_front();
   return Result;
 }
 
-void ServiceGate::drain() {
+void ServiceGate::dispatchQueue() {
   while (true) {
-    std::optional<Handed> Next;
+    std::optional<QueueResult> Next;
     {
       std::lock_guard Lock(Mutex_);
-      Next = takeNext(Clock_.now());
+      Next = dequeueNext(Clock_.now());
     }
     if (!Next)
       return;
@@ -173,7 +177,7 @@
 }
 
 void ServiceGate::sweep() {
-  std::vector<Handed> Refused;
+  std::vector<QueueResult> Expired;
   {
     std::lock_guard Lock(Mutex_);
     const TimePoint Now = Clock_.now();
@@ -185,16 +189,16 @@
         continue;
       }
       Admission_.noteGivenUp();
-      GateAnswer Answer;
+      SlotResult Answer;
       Answer.Reason_ = RequestReason::TooLate;
-      Answer.RetryAfter_ = Admission_.ask(Now, Now, viewSlots()).RetryAfter_;
-      Refused.push_back({std::move(One.Done_), std::move(Answer)});
+      Answer.RetryAfter_ = Admission_.ask(Now, Now, getSlotView()).RetryAfter_;
+      Expired.push_back({std::move(One.Done_), std::move(Answer)});
     }
     Queue_ = std::move(Kept);
   }
-  for (Handed &One : Refused)
+  for (QueueResult &One : Expired)
     One.Done_(std::move(One.Answer_));
-  drain();
+  dispatchQueue();
 }
 
 void ServiceGate::clear() {
@@ -205,7 +209,7 @@
     Admission_.noteGivenUp();
 }
 
-Duration ServiceGate::getServiceTime() const {
+Duration ServiceGate::getMeanLatency() const {
   std::lock_guard Lock(Mutex_);
   return Chooser_.meanLatency();
 }
--- a/src/entry/ServiceRequest.cpp
+++ b/src/entry/ServiceRequest.cpp
@@ -29,14 +29,14 @@
   return FinalResult::makeNotRun(Reason, std::move(Message));
 }
 
-static FinalResult refuseBad(std::string Message) {
+static FinalResult refuseBadRequest(std::string Message) {
   return refuse(RequestReason::BadRequest, std::move(Message));
 }
 
 // Every part is preceded by its length, so that no two requests collide by
 // moving bytes from one part to the next.
-static Digest digestOf(const ServiceId &Service,
-                       const net::HttpRequest &Request) {
+static Digest computeRequestDigest(const ServiceId &Service,
+                                   const net::HttpRequest &Request) {
   std::string Text;
   for (const std::string *Part :
        {&Service.value(), &Request.Method_, &Request.Path_, &Request.Query_,
@@ -65,10 +65,11 @@
   ReadResult read() {
     using Step = std::optional<FinalResult> (Reader::*)();
     static constexpr Step Steps[] = {
-        &Reader::readPath, &Reader::readCaller,     &Reader::readDeadline,
-        &Reader::readKey,  &Reader::readRepeatable, &Reader::readBody};
-    for (const Step One : Steps)
-      if (std::optional<FinalResult> Refusal = (this->*One)())
+        &Reader::readPath,       &Reader::readCaller,
+        &Reader::readDeadline,   &Reader::readIdempotencyKey,
+        &Reader::readRepeatable, &Reader::readBody};
+    for (const Step CurrentStep : Steps)
+      if (std::optional<FinalResult> Refusal = (this->*CurrentStep)())
         return std::move(*Refusal);
     fillForward();
     return std::move(Result_);
@@ -91,69 +92,73 @@
   std::optional<FinalResult> readCaller() {
     const std::string_view Caller = Request_.findHeader(header::Caller);
     if (Caller.size() > MaxCallerBytes || !isPlainText(Caller))
-      return refuseBad("X-Tulipweir-Caller must be at most 128 printable "
-                       "characters without spaces");
+      return refuseBadRequest(
+          "X-Tulipweir-Caller must be at most 128 printable "
+          "characters without spaces");
     Result_.Caller_ = CallerId(std::string(Caller));
     return std::nullopt;
   }
 
   std::optional<FinalResult> readDeadline() {
-    Duration Left = Service_->DefaultDeadline_;
+    Duration Remaining = Service_->DefaultDeadline_;
     const std::string_view Text = Request_.findHeader(header::Deadline);
     if (!Text.empty()) {
       std::int64_t Ms = 0;
       const auto [End, Problem] =
           std::from_chars(Text.data(), Text.data() + Text.size(), Ms);
       if (Problem != std::errc() || End != Text.data() + Text.size())
-        return refuseBad("X-Tulipweir-Deadline-Ms must be a whole number of "
-                         "milliseconds");
+        return refuseBadRequest(
+            "X-Tulipweir-Deadline-Ms must be a whole number of "
+            "milliseconds");
       if (Ms <= 0)
         return refuse(RequestReason::DeadlinePassed,
                       "the deadline had passed when the request arrived");
-      const auto Most =
+      const auto MaxMs =
           std::chrono::ceil<milliseconds>(Service_->MaxDeadline_).count();
-      Left = milliseconds(std::min<std::int64_t>(Ms, Most));
+      Remaining = milliseconds(std::min<std::int64_t>(Ms, MaxMs));
     }
-    Left = std::min({Left, Service_->MaxDeadline_, MaxRequest_});
-    Result_.Deadline_ = Now_ + Left;
+    Remaining = std::min({Remaining, Service_->MaxDeadline_, MaxRequest_});
+    Result_.Deadline_ = Now_ + Remaining;
     return std::nullopt;
   }
 
-  std::optional<FinalResult> readKey() {
+  std::optional<FinalResult> readIdempotencyKey() {
     const std::string_view Key = Request_.findHeader(header::IdempotencyKey);
     const std::string_view Ticket = Request_.findHeader(header::Ticket);
     if (!Key.empty() && !Ticket.empty())
-      return refuseBad("give Idempotency-Key or X-Tulipweir-Ticket, not both");
+      return refuseBadRequest(
+          "give Idempotency-Key or X-Tulipweir-Ticket, not both");
     const std::string_view Text = Key.empty() ? Ticket : Key;
     if (Text.empty())
       return std::nullopt;
     if (Text.size() > MaxKeyBytes || !isPlainText(Text))
-      return refuseBad("a key must be at most 200 printable characters "
-                       "without spaces");
+      return refuseBadRequest("a key must be at most 200 printable characters "
+                              "without spaces");
     if (!Ticket.empty()) {
       const Outcome<entry::Ticket> Read = entry::Ticket::parse(Ticket);
       if (!Read)
-        return refuseBad(Read.error().Message_);
+        return refuseBadRequest(Read.error().Message_);
       Result_.TicketHome_ = Read.value().Home_;
     }
     // The prefixes keep a caller's own key from passing for a ticket.
     Result_.Key_ = makeRecordKey(Text, /*IsTicket=*/!Ticket.empty());
     KeyText_ = Text;
-    Result_.Digest_ = digestOf(Result_.Service_, Request_);
+    Result_.Digest_ = computeRequestDigest(Result_.Service_, Request_);
     return std::nullopt;
   }
 
   std::optional<FinalResult> readRepeatable() {
     const std::string_view Text = Request_.findHeader(header::Repeatable);
-    const bool Known = Text.empty() || Text == "true" || Text == "false";
-    if (!Known)
-      return refuseBad("X-Tulipweir-Repeatable must be true or false");
-    const bool Asked =
+    const bool Valid = Text.empty() || Text == "true" || Text == "false";
+    if (!Valid)
+      return refuseBadRequest("X-Tulipweir-Repeatable must be true or false");
+    const bool Requested =
         Text.empty() ? isRepeatableMethod(Request_.Method_) : Text == "true";
     if (Result_.Key_ && Text == "true")
-      return refuseBad("a request with a key runs at most once; leave out "
-                       "X-Tulipweir-Repeatable: true");
-    Result_.Repeatable_ = Asked && !Result_.Key_;
+      return refuseBadRequest(
+          "a request with a key runs at most once; leave out "
+          "X-Tulipweir-Repeatable: true");
+    Result_.Repeatable_ = Requested && !Result_.Key_;
     Result_.Hedged_ = Result_.Repeatable_ && Service_->HedgingAllowed_;
     return std::nullopt;
   }
--- a/tests/control/HeartbeatDifferentialTest.cpp
+++ b/tests/control/HeartbeatDifferentialTest.cpp
@@ -43,22 +43,23 @@
 class Relay final : public entry::ControlClient {
 public:
   explicit Relay(World &Of) : Of_(Of) {}
-  void announceBatch(const wire::AnnouncementBatch &Batch, Duration,
-                     entry::ControlDone<wire::AnnouncementBatch> Done) override;
+  void
+  announceBatch(const wire::AnnouncementBatch &Batch, Duration,
+                entry::ControlCallback<wire::AnnouncementBatch> Done) override;
   void report(const wire::EntryReport &, Duration,
-              entry::ControlDone<wire::EntryReport>) override {}
+              entry::ControlCallback<wire::EntryReport>) override {}
   void announce(const wire::Announcement &Value, Duration,
-                entry::ControlDone<wire::Announcement> Done) override {
+                entry::ControlCallback<wire::Announcement> Done) override {
     pass(Value, std::move(Done));
   }
   void begin(const wire::BeginRequest &, Duration,
-             entry::ControlDone<wire::BeginRequest>) override {}
+             entry::ControlCallback<wire::BeginRequest>) override {}
   void finish(const wire::FinishRequest &, Duration,
-              entry::ControlDone<wire::FinishRequest>) override {}
+              entry::ControlCallback<wire::FinishRequest>) override {}
   void abandon(const wire::AbandonRequest &, Duration,
-               entry::ControlDone<wire::AbandonRequest>) override {}
+               entry::ControlCallback<wire::AbandonRequest>) override {}
   void callOperator(const wire::OperatorCall &, Duration,
-                    entry::ControlDone<wire::OperatorCall>) override {}
+                    entry::ControlCallback<wire::OperatorCall>) override {}
 
   Fault Fault_ = Fault::None; ///< Of this step.
 
@@ -78,11 +79,11 @@
     for (const char *Name : {"e1", "e2"}) {
       Relays_.push_back(std::make_unique<Relay>(*this));
       Entries_.push_back(std::make_unique<entry::AnnouncementBatcher>(
-          entry::BatcherParts{{EntryId(Name), DataCentreId("d"), "", 1},
-                              *Relays_.back(),
-                              Timers_,
-                              Clock_,
-                              Settings}));
+          entry::BatcherDependencies{{EntryId(Name), DataCentreId("d"), "", 1},
+                                     *Relays_.back(),
+                                     Timers_,
+                                     Clock_,
+                                     Settings}));
     }
     for (int I = 0; I < 4; ++I) {
       wire::Announcement &Server = Servers_.emplace_back();
@@ -283,8 +284,9 @@
   std::vector<std::string> Trace_;
 };
 
-void Relay::announceBatch(const wire::AnnouncementBatch &Batch, Duration,
-                          entry::ControlDone<wire::AnnouncementBatch> Done) {
+void Relay::announceBatch(
+    const wire::AnnouncementBatch &Batch, Duration,
+    entry::ControlCallback<wire::AnnouncementBatch> Done) {
   if (!Of_.KnowsBatches_)
     return Done(fail(ErrorCode::VersionMismatch, ""));
   pass(Batch, std::move(Done));
--- a/tests/entry/AnnouncementBatcherTest.cpp
+++ b/tests/entry/AnnouncementBatcherTest.cpp
@@ -18,7 +18,7 @@
 public:
   using FakeControl::FakeControl;
   void announceBatch(const wire::AnnouncementBatch &Batch, Duration,
-                     ControlDone<wire::AnnouncementBatch> Done) override {
+                     ControlCallback<wire::AnnouncementBatch> Done) override {
     Batches_.push_back(Batch);
     Outcome<wire::AnnouncementBatchReply> Reply = Next_;
     Next_ = wire::AnnouncementBatchReply{3000, 500, {}};
@@ -38,11 +38,11 @@
     Value.Server_ = BackendServerId(Server);
     Value.Attempts_.resize(1);
     ++Value.Sequence_;
-    Got_ = fail(ErrorCode::Internal, "no answer");
+    Reply_ = fail(ErrorCode::Internal, "no answer");
     Batcher_.announce(Value, milliseconds(500),
-                      [this](const auto &Reply) { Got_ = Reply; });
+                      [this](const auto &Reply) { Reply_ = Reply; });
     Timers_.advance(milliseconds(300));
-    return Got_;
+    return Reply_;
   }
   std::vector<wire::AnnouncementDigest> digests() const {
     return wire::unpackDigests(Control_.Batches_.back().Digests_).value();
@@ -63,7 +63,7 @@
                                 Clock_,
                                 {}}};
   std::map<std::string, wire::Announcement> Values_;
-  Outcome<wire::AnnouncementReply> Got_ = fail(ErrorCode::Internal, "");
+  Outcome<wire::AnnouncementReply> Reply_ = fail(ErrorCode::Internal, "");
 };
 
 TEST_F(AnnouncementBatcherTest, TheFirstGoesWholeTheNextOnesAsDigests) {
--- a/tests/entry/Fakes.cpp
+++ b/tests/entry/Fakes.cpp
@@ -19,7 +19,7 @@
   return First;
 }
 
-TryFault FakeBackend::drawFault(const net::Endpoint &To) {
+TryFault FakeBackend::takeFault(const net::Endpoint &To) {
   const auto Broken = Broken_.find(To);
   return Broken != Broken_.end() ? Broken->second : takeFirst(Script_);
 }
@@ -57,7 +57,7 @@
   net::HttpResponse Busy = Good;
   Busy.Status_ = 503;
   Busy.Headers_.push_back({header::NotRun, "1"});
-  const TryFault Fault = drawFault(To);
+  const TryFault Fault = takeFault(To);
   switch (Fault) {
   case TryFault::Refused:
     Break(HttpStage::NothingSent, ErrorCode::Unavailable);
@@ -65,7 +65,7 @@
   case TryFault::Busy:
     endAfter(milliseconds(1), Exchange, {HttpStage::Answered, Busy});
     return Exchange;
-  case TryFault::KilledUnrun:
+  case TryFault::BrokenBeforeRun:
     Break(HttpStage::Sent, ErrorCode::Unavailable);
     return Exchange;
   case TryFault::Frozen:
@@ -77,7 +77,7 @@
   net::HttpResponse Other = Fault == TryFault::BusyForOther ? Busy : Good;
   Other.Headers_[0].Value_ = "another";
   switch (Fault) {
-  case TryFault::KilledRun:
+  case TryFault::BrokenAfterRun:
     Break(HttpStage::Sent, ErrorCode::Unavailable);
     break;
   case TryFault::Truncated:
@@ -123,7 +123,7 @@
 }
 
 void FakeControl::report(const wire::EntryReport &Report, Duration Timeout,
-                         ControlDone<wire::EntryReport> Done) {
+                         ControlCallback<wire::EntryReport> Done) {
   Reports_.push_back(Report);
   std::vector<CallFault> Faults;
   if (ReportsLost_)
@@ -143,7 +143,7 @@
 
 void FakeControl::announce(const wire::Announcement &Announcement,
                            Duration Timeout,
-                           ControlDone<wire::Announcement> Done) {
+                           ControlCallback<wire::Announcement> Done) {
   Announcements_.push_back(Announcement);
   std::vector<CallFault> Faults;
   if (ReportsLost_)
@@ -157,28 +157,28 @@
 }
 
 void FakeControl::begin(const wire::BeginRequest &Request, Duration Timeout,
-                        ControlDone<wire::BeginRequest> Done) {
+                        ControlCallback<wire::BeginRequest> Done) {
   answer<wire::BeginRequestReply>(
       BeginFaults_, Timeout, [this, Request] { return applyBegin(Request); },
       Done);
 }
 
 void FakeControl::finish(const wire::FinishRequest &Request, Duration Timeout,
-                         ControlDone<wire::FinishRequest> Done) {
+                         ControlCallback<wire::FinishRequest> Done) {
   answer<wire::RecordReply>(
       FinishFaults_, Timeout, [this, Request] { return applyFinish(Request); },
       Done);
 }
 
 void FakeControl::abandon(const wire::AbandonRequest &Request, Duration Timeout,
-                          ControlDone<wire::AbandonRequest> Done) {
+                          ControlCallback<wire::AbandonRequest> Done) {
   answer<wire::RecordReply>(
       AbandonFaults_, Timeout,
       [this, Request] { return applyAbandon(Request); }, Done);
 }
 
 void FakeControl::callOperator(const wire::OperatorCall &Call, Duration Timeout,
-                               ControlDone<wire::OperatorCall> Done) {
+                               ControlCallback<wire::OperatorCall> Done) {
   OperatorCalls_.push_back(Call);
   std::vector<CallFault> Faults;
   answer<wire::OperatorAnswer>(
@@ -233,13 +233,13 @@
   return {true};
 }
 
-void FakeControl::endEntry() {
+void FakeControl::markEntryLost() {
   for (auto &[Key, Value] : Records_)
     if (Value.State_ == RequestDisposition::Running && !Value.Abandoned_)
       Value.State_ = RequestDisposition::Unknown;
 }
 
-World::World(unsigned Servers, unsigned SlotsEach) {
+EntryHarness::EntryHarness(unsigned Servers, unsigned SlotsEach) {
   for (unsigned Number = 1; Number <= Servers; ++Number) {
     wire::Route Route;
     Route.Server_ = BackendServerId("s" + std::to_string(Number));
@@ -256,14 +256,15 @@
   restartEntry();
 }
 
-void World::setRoutes(std::vector<wire::Route> Routes) {
+void EntryHarness::setRoutes(std::vector<wire::Route> Routes) {
   Routes_ = std::move(Routes);
   Control_->Reply_.Routes_ = Routes_;
   ++Control_->Reply_.RoutesVersion_;
 }
 
-void World::setBundle(std::uint64_t Version, const std::string &ServiceExtra,
-                      const std::string &Extra) {
+void EntryHarness::setBundle(std::uint64_t Version,
+                             const std::string &ServiceExtra,
+                             const std::string &Extra) {
   wire::SignedBundle Signed;
   Signed.Version_ = BundleVersion(Version);
   const std::string Key(64, '1');
@@ -281,16 +282,16 @@
   Control_->Reply_.InForce_ = Signed.Version_;
 }
 
-void World::restartEntry() {
+void EntryHarness::restartEntry() {
   if (Entry_)
-    Dead_.push_back(std::move(Entry_));
+    PreviousEntries_.push_back(std::move(Entry_));
   EntryIdentity Identity{EntryId("e1"), DataCentreId("dc1"), "127.0.0.1:1",
                          ++Incarnation_};
   std::map<DataCentreId, std::shared_ptr<ControlClient>> Controls = {
       {DataCentreId("dc1"), Control_}};
-  if (FarKnown_)
+  if (RemoteKnown_)
     Controls[DataCentreId("far")] = nullptr;
-  Entry_ = std::make_unique<Entry>(EntryParts{
+  Entry_ = std::make_unique<Entry>(EntryDependencies{
       Identity, Controls, Backend_, Timers_, Clock_,
       [this] { return Random_ = Random_ * 6364136223846793005ULL + 1; },
       Metrics_});
@@ -298,10 +299,10 @@
   advance(milliseconds(5));
 }
 
-std::shared_ptr<World::Call> World::call(const std::string &Body,
-                                         std::vector<net::HttpHeader> Headers,
-                                         const std::string &Method,
-                                         const std::string &Path) {
+std::shared_ptr<EntryHarness::Call>
+EntryHarness::call(const std::string &Body,
+                   std::vector<net::HttpHeader> Headers,
+                   const std::string &Method, const std::string &Path) {
   auto Result = std::make_shared<Call>();
   Result->Body_ = Body;
   Result->At_ = Clock_.now();
--- a/tests/entry/FaultMatrixTest.cpp
+++ b/tests/entry/FaultMatrixTest.cpp
@@ -28,18 +28,20 @@
                                        CallFault::LostBefore,
                                        CallFault::LostAfter};
 
-std::vector<net::HttpHeader> headersOf(Kind Which, const std::string &Key) {
-  if (Which == Kind::Repeatable)
+std::vector<net::HttpHeader> makeHeaders(Kind RequestKind,
+                                         const std::string &Key) {
+  if (RequestKind == Kind::Repeatable)
     return {{header::Repeatable, "true"}};
-  if (Which == Kind::Keyed)
+  if (RequestKind == Kind::Keyed)
     return {{header::IdempotencyKey, Key}};
   return {};
 }
 
 /// Checks all that was promised about one answered call.
-void check(const World &Around, const World::Call &Call, Kind Which) {
+void check(const EntryHarness &Harness, const EntryHarness::Call &Call,
+           Kind RequestKind) {
   ASSERT_EQ(Call.Answers_.size(), 1U);
-  const unsigned Runs = Around.Backend_.getRuns(Call.Body_);
+  const unsigned Runs = Harness.Backend_.getRuns(Call.Body_);
   if (Call.outcome() == "served") {
     EXPECT_EQ(Call.response().Body_, makeAnswerBody(Call.Body_));
     EXPECT_GE(Runs, 1U);
@@ -49,68 +51,69 @@
   if (Call.outcome() == "not-run") {
     EXPECT_EQ(Runs, 0U);
   }
-  if (Which != Kind::Repeatable) {
+  if (RequestKind != Kind::Repeatable) {
     EXPECT_LE(Runs, 1U);
   }
 }
 
 /// Ends all faults, then resends a keyed request twice.
-void resend(World &Around, const std::string &Body, const std::string &Key) {
-  Around.Backend_.Script_.clear();
-  Around.Control_->BeginFaults_.clear();
-  Around.Control_->FinishFaults_.clear();
-  Around.Control_->AbandonFaults_.clear();
+void resend(EntryHarness &Harness, const std::string &Body,
+            const std::string &Key) {
+  Harness.Backend_.Script_.clear();
+  Harness.Control_->BeginFaults_.clear();
+  Harness.Control_->FinishFaults_.clear();
+  Harness.Control_->AbandonFaults_.clear();
   for (int Time = 0; Time < 2; ++Time) {
-    const auto Again = Around.call(Body, headersOf(Kind::Keyed, Key));
-    Around.advance(seconds(3));
-    check(Around, *Again, Kind::Keyed);
+    const auto Again = Harness.call(Body, makeHeaders(Kind::Keyed, Key));
+    Harness.advance(seconds(3));
+    check(Harness, *Again, Kind::Keyed);
   }
 }
 
-std::string nameOf(Kind Which, int First, int Second) {
-  return "kind " + std::to_string(static_cast<int>(Which)) + " faults " +
+std::string describeCase(Kind RequestKind, int First, int Second) {
+  return "kind " + std::to_string(static_cast<int>(RequestKind)) + " faults " +
          std::to_string(First) + "," + std::to_string(Second);
 }
 
 } // namespace
 
 TEST(FaultMatrixTest, BackendFaultsOverTwoTries) {
-  for (const Kind Which : AllKinds)
+  for (const Kind RequestKind : AllKinds)
     for (const TryFault First : AllTryFaults)
       for (const TryFault Second : AllTryFaults) {
-        SCOPED_TRACE(
-            nameOf(Which, static_cast<int>(First), static_cast<int>(Second)));
-        World Around;
-        Around.Backend_.Script_ = {First, Second};
-        const auto Call = Around.call("m", headersOf(Which, "k"));
-        Around.advance(seconds(3));
-        check(Around, *Call, Which);
+        SCOPED_TRACE(describeCase(RequestKind, static_cast<int>(First),
+                                  static_cast<int>(Second)));
+        EntryHarness Harness;
+        Harness.Backend_.Script_ = {First, Second};
+        const auto Call = Harness.call("m", makeHeaders(RequestKind, "k"));
+        Harness.advance(seconds(3));
+        check(Harness, *Call, RequestKind);
         if (First == TryFault::None) {
           EXPECT_EQ(Call->outcome(), "served");
         }
-        if (Which == Kind::Keyed)
-          resend(Around, "m", "k");
+        if (RequestKind == Kind::Keyed)
+          resend(Harness, "m", "k");
       }
 }
 
 TEST(FaultMatrixTest, ControlFaultsAtBeginAndEnd) {
-  for (const TryFault Try :
-       {TryFault::None, TryFault::Refused, TryFault::Busy, TryFault::KilledRun,
-        TryFault::KilledUnrun, TryFault::RunFrozen})
+  for (const TryFault Try : {TryFault::None, TryFault::Refused, TryFault::Busy,
+                             TryFault::BrokenAfterRun,
+                             TryFault::BrokenBeforeRun, TryFault::RunFrozen})
     for (const CallFault Begin : AllCallFaults)
       for (const CallFault End : AllCallFaults) {
         SCOPED_TRACE(
-            nameOf(Kind::Keyed, static_cast<int>(Try),
-                   static_cast<int>(Begin) * 10 + static_cast<int>(End)));
-        World Around;
-        Around.Backend_.Script_.assign(4, Try);
-        Around.Control_->BeginFaults_ = {Begin};
-        Around.Control_->FinishFaults_ = {End, End};
-        Around.Control_->AbandonFaults_ = {End, End};
-        const auto Call = Around.call("m", headersOf(Kind::Keyed, "k"));
-        Around.advance(seconds(4));
-        check(Around, *Call, Kind::Keyed);
-        resend(Around, "m", "k");
+            describeCase(Kind::Keyed, static_cast<int>(Try),
+                         static_cast<int>(Begin) * 10 + static_cast<int>(End)));
+        EntryHarness Harness;
+        Harness.Backend_.Script_.assign(4, Try);
+        Harness.Control_->BeginFaults_ = {Begin};
+        Harness.Control_->FinishFaults_ = {End, End};
+        Harness.Control_->AbandonFaults_ = {End, End};
+        const auto Call = Harness.call("m", makeHeaders(Kind::Keyed, "k"));
+        Harness.advance(seconds(4));
+        check(Harness, *Call, Kind::Keyed);
+        resend(Harness, "m", "k");
       }
 }
 
@@ -119,15 +122,15 @@
 TEST(FaultMatrixTest, EntryKilledAtAnyMomentNeverRunsAKeyTwice) {
   for (int AfterMs = 0; AfterMs <= 14; ++AfterMs) {
     SCOPED_TRACE(AfterMs);
-    World Around;
-    const auto Lost = Around.call("m", headersOf(Kind::Keyed, "k"));
-    Around.advance(milliseconds(AfterMs));
+    EntryHarness Harness;
+    const auto Lost = Harness.call("m", makeHeaders(Kind::Keyed, "k"));
+    Harness.advance(milliseconds(AfterMs));
     const bool Answered = !Lost->Answers_.empty();
-    Around.restartEntry();
-    Around.Control_->endEntry();
-    const auto Again = Around.call("m", headersOf(Kind::Keyed, "k"));
-    Around.advance(seconds(3));
-    check(Around, *Again, Kind::Keyed);
+    Harness.restartEntry();
+    Harness.Control_->markEntryLost();
+    const auto Again = Harness.call("m", makeHeaders(Kind::Keyed, "k"));
+    Harness.advance(seconds(3));
+    check(Harness, *Again, Kind::Keyed);
     if (Answered) {
       EXPECT_EQ(Again->outcome(), "served");
     }
@@ -135,13 +138,13 @@
 }
 
 TEST(FaultMatrixTest, AnswersOutOfOrderReachTheirOwnCallers) {
-  World Around;
-  Around.Backend_.Script_ = {TryFault::Slow, TryFault::None, TryFault::Slow,
-                             TryFault::None};
-  std::vector<std::shared_ptr<World::Call>> Calls;
+  EntryHarness Harness;
+  Harness.Backend_.Script_ = {TryFault::Slow, TryFault::None, TryFault::Slow,
+                              TryFault::None};
+  std::vector<std::shared_ptr<EntryHarness::Call>> Calls;
   for (const char *Body : {"a", "b", "c", "d"})
-    Calls.push_back(Around.call(Body));
-  Around.advance(seconds(1));
+    Calls.push_back(Harness.call(Body));
+  Harness.advance(seconds(1));
   for (const auto &Call : Calls)
     EXPECT_EQ(Call->response().Body_, makeAnswerBody(Call->Body_));
   EXPECT_GT(Calls[0]->Answers_[0].At_, Calls[1]->Answers_[0].At_);
@@ -152,39 +155,39 @@
     SCOPED_TRACE(Seed);
     std::mt19937 Random(Seed);
     const auto Draw = [&Random](std::size_t Below) { return Random() % Below; };
-    World Around(3, 2);
-    Around.setBundle(2, R"(,"hedgingAllowed":true,"queueLimit":4)");
-    Around.advance(seconds(1));
-    std::vector<std::pair<std::shared_ptr<World::Call>, Kind>> Calls;
+    EntryHarness Harness(3, 2);
+    Harness.setBundle(2, R"(,"hedgingAllowed":true,"queueLimit":4)");
+    Harness.advance(seconds(1));
+    std::vector<std::pair<std::shared_ptr<EntryHarness::Call>, Kind>> Calls;
     for (int Step = 0; Step < 120; ++Step) {
-      Around.Backend_.Script_ = {AllTryFaults[Draw(13)], AllTryFaults[Draw(13)],
-                                 TryFault::None};
-      Around.Control_->BeginFaults_ = {AllCallFaults[Draw(4)]};
-      Around.Control_->FinishFaults_ = {AllCallFaults[Draw(4)]};
-      Around.Control_->AbandonFaults_ = {AllCallFaults[Draw(4)]};
-      const Kind Which = AllKinds[Draw(3)];
+      Harness.Backend_.Script_ = {AllTryFaults[Draw(13)],
+                                  AllTryFaults[Draw(13)], TryFault::None};
+      Harness.Control_->BeginFaults_ = {AllCallFaults[Draw(4)]};
+      Harness.Control_->FinishFaults_ = {AllCallFaults[Draw(4)]};
+      Harness.Control_->AbandonFaults_ = {AllCallFaults[Draw(4)]};
+      const Kind RequestKind = AllKinds[Draw(3)];
       // Few keys, so that resends meet their originals in every state.
-      const std::string Body = Which == Kind::Keyed
+      const std::string Body = RequestKind == Kind::Keyed
                                    ? "k" + std::to_string(Draw(8))
                                    : "b" + std::to_string(Step);
-      auto Headers = headersOf(Which, Body);
+      auto Headers = makeHeaders(RequestKind, Body);
       Headers.push_back({header::Deadline, std::to_string(20 + Draw(400))});
-      Calls.emplace_back(Around.call(Body, std::move(Headers)), Which);
+      Calls.emplace_back(Harness.call(Body, std::move(Headers)), RequestKind);
       if (Draw(40) == 0) {
-        Around.restartEntry();
-        Around.Control_->endEntry();
+        Harness.restartEntry();
+        Harness.Control_->markEntryLost();
       }
-      Around.advance(milliseconds(Draw(30)));
+      Harness.advance(milliseconds(Draw(30)));
       // "Not run" must hold at the moment it is said.
       for (const auto &[Call, Kind] : Calls)
         if (!Call->Answers_.empty() &&
-            Call->Answers_[0].At_ == Around.Clock_.now())
-          check(Around, *Call, Kind);
+            Call->Answers_[0].At_ == Harness.Clock_.now())
+          check(Harness, *Call, Kind);
     }
-    Around.advance(seconds(5));
-    for (const auto &[Call, Which] : Calls) {
-      if (Which != Kind::Repeatable) {
-        EXPECT_LE(Around.Backend_.getRuns(Call->Body_), 1U) << Call->Body_;
+    Harness.advance(seconds(5));
+    for (const auto &[Call, RequestKind] : Calls) {
+      if (RequestKind != Kind::Repeatable) {
+        EXPECT_LE(Harness.Backend_.getRuns(Call->Body_), 1U) << Call->Body_;
       }
       ASSERT_LE(Call->Answers_.size(), 1U);
       if (!Call->Answers_.empty() && Call->outcome() == "served") {
--- a/tests/entry/RequestTableTest.cpp
+++ b/tests/entry/RequestTableTest.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /// The same as RequestTable with one list and no thought.
-class NaiveTable {
+class ReferenceTable {
 public:
   struct Row {
     int Key_, Digest_, Id_;
@@ -61,7 +61,7 @@
   std::vector<Row> Rows_;
 };
 
-RequestKey keyOf(int Number) { return RequestKey(std::to_string(Number)); }
+RequestKey makeKey(int Number) { return RequestKey(std::to_string(Number)); }
 
 } // namespace
 
@@ -73,7 +73,7 @@
       return static_cast<int>(Random() % static_cast<unsigned>(Below));
     };
     RequestTable Table(3);
-    NaiveTable Naive;
+    ReferenceTable Reference;
     TimePoint Now;
     std::vector<int> Called;
     const auto CheckCalled = [&](const std::vector<int> &Expected) {
@@ -88,21 +88,21 @@
         const int Digest = Draw(8) == 0 ? 1 : 0;
         const TimePoint Deadline = Now + milliseconds(Draw(60));
         EXPECT_EQ(
-            Table.join(keyOf(Key),
+            Table.join(makeKey(Key),
                        Digest ? tulipweir::Digest("x") : tulipweir::Digest("y"),
                        Deadline,
                        [&Called, Step](const FinalResult *) {
                          Called.push_back(Step);
                        }),
-            Naive.join(Key, Digest, Deadline, Step));
+            Reference.join(Key, Digest, Deadline, Step));
       } else if (Choice < 8) {
-        if (Naive.owns(Key)) {
-          Table.end(keyOf(Key), FinalResult());
-          CheckCalled(Naive.end(Key));
+        if (Reference.owns(Key)) {
+          Table.end(makeKey(Key), FinalResult());
+          CheckCalled(Reference.end(Key));
         }
       } else {
         Table.sweep(Now);
-        CheckCalled(Naive.sweep(Now));
+        CheckCalled(Reference.sweep(Now));
       }
     }
   }
@@ -117,7 +117,7 @@
     Threads.emplace_back([&] {
       for (int Round = 0; Round < 2000; ++Round) {
         const JoinResult Joined =
-            Table.join(keyOf(1), Digest("d"), TimePoint::max(),
+            Table.join(makeKey(1), Digest("d"), TimePoint::max(),
                        [&](const FinalResult *) { ++Called; });
         if (Joined != JoinResult::Owner) {
           ++Attached;
@@ -127,12 +127,12 @@
         if (Now > Most)
           Most = Now;
         --Owners;
-        Table.end(keyOf(1), FinalResult());
+        Table.end(makeKey(1), FinalResult());
       }
     });
   for (std::thread &Thread : Threads)
     Thread.join();
   EXPECT_EQ(Most, 1);
   EXPECT_EQ(Called, Attached);
-  EXPECT_EQ(Table.getOwners() + Table.getWaiters(), 0U);
+  EXPECT_EQ(Table.getOwnerCount() + Table.getWaiterCount(), 0U);
 }
--- a/tests/entry/ThreadsTest.cpp
+++ b/tests/entry/ThreadsTest.cpp
@@ -161,7 +161,7 @@
 };
 
 /// Keeps every exchange open until the test ends it.
-class HeldBackend final : public BackendClient {
+class ManualBackend final : public BackendClient {
 public:
   std::uint64_t send(const net::Endpoint &, net::HttpRequest, TimePoint,
                      net::HttpClient::Callback Done) override {
@@ -181,7 +181,7 @@
 TEST(ThreadsTest, NothingIsSentOnceNotRunWasSaid) {
   HookedClock Clock;
   test::FakeTimers Timers(Clock.Manual_);
-  HeldBackend Backend;
+  ManualBackend Backend;
   net::Metrics Metrics;
   EntryMetrics Counters(Metrics);
   Router Routes(Clock, 1);
@@ -192,9 +192,9 @@
   RequestSender Sender({Routes, Backend, Timers, Clock, Counters});
   const auto Gate = Routes.findGate(ServiceId("booking"));
   // A mean latency is known, and the budget has one spending left.
-  Gate->noteTaken(BackendServerId("1"));
-  Gate->noteEnded(BackendServerId("1"), decide::RequestResult::Served,
-                  milliseconds(1));
+  Gate->recordSlotTaken(BackendServerId("1"));
+  Gate->recordSlotReleased(BackendServerId("1"), decide::RequestResult::Served,
+                           milliseconds(1));
   for (int Spent = 0; Spent < 9; ++Spent)
     Gate->trySpendRetry();
   auto Request = std::make_shared<ServiceRequest>();
@@ -222,8 +222,8 @@
 TEST(ThreadsTest, OneTrueEndPerRequestAndNoServerOverfilled) {
   constexpr std::uint32_t Slots = 3;
   constexpr int Requests = 3000;
-  constexpr int Crowd = 500;
-  constexpr int Flow = 6;
+  constexpr int InitialRequests = 500;
+  constexpr int FollowUps = 6;
   const SystemClock Clock;
   net::Metrics Metrics;
   net::IoPool Pool(4);
@@ -234,7 +234,7 @@
   Routes.configure(makeConfiguration());
   Routes.adopt(makeRoutes(Slots), Clock.now(), 0);
   RequestSender Sender({Routes, Backend, Timers, Clock, Counters});
-  std::atomic<int> Ended{0}, Lies{0};
+  std::atomic<int> Ended{0}, FalseNotRuns{0};
   std::mutex Mutex;
   std::condition_variable AllEnded;
   std::vector<std::pair<std::string, RequestOutcome>> Ends;
@@ -256,8 +256,8 @@
       const std::string Body = std::to_string(Number);
       if (Result.Outcome_ == RequestOutcome::NotRun &&
           Backend.getRuns(Body) > 0)
-        ++Lies;
-      if (Number >= Crowd - Flow)
+        ++FalseNotRuns;
+      if (Number >= InitialRequests - FollowUps)
         Pool.runAfter(Duration::zero(), StartNext);
       std::lock_guard Lock(Mutex);
       Ends.emplace_back(Body, Result.Outcome_);
@@ -265,7 +265,7 @@
         AllEnded.notify_one();
     });
   };
-  for (int Number = 0; Number < Crowd; ++Number)
+  for (int Number = 0; Number < InitialRequests; ++Number)
     StartNext();
   {
     std::unique_lock Lock(Mutex);
@@ -273,7 +273,7 @@
   }
   // Hedges that lost still end.
   const auto Idle = [&] {
-    for (const wire::GrantHeld &Held : Routes.getHeld().Grants_)
+    for (const wire::GrantHeld &Held : Routes.getSnapshot().Grants_)
       if (Held.InFlight_ > 0)
         return false;
     return true;
@@ -283,7 +283,7 @@
   EXPECT_TRUE(Idle());
   Pool.stop();
   EXPECT_EQ(Ended, Requests);
-  EXPECT_EQ(Lies, 0);
+  EXPECT_EQ(FalseNotRuns, 0);
   EXPECT_FALSE(Backend.isOverfilled());
   for (const auto &[Body, Outcome] : Ends) {
     if (Outcome == RequestOutcome::NotRun) {
--- a/tests/entry/support/Fakes.h
+++ b/tests/entry/support/Fakes.h
@@ -45,25 +45,32 @@
 /// What happens to one try at the backend servers.
 enum class TryFault {
   None,
-  Refused,      ///< No connection: nothing was sent.
-  Busy,         ///< "Busy, not run".
-  KilledUnrun,  ///< The connection broke after sending, before it ran.
-  KilledRun,    ///< It broke while or after it ran.
-  Truncated,    ///< It ran; half of the answer came.
-  WrongId,      ///< It ran; the answer to another request came.
-  BusyForOther, ///< It ran; another request's "busy, not run" came.
-  TooLarge,     ///< It ran; the answer was over the limit.
-  Frozen,       ///< It never ran, and nothing ever came.
-  RunFrozen,    ///< It ran, and nothing ever came.
-  Slow,         ///< It ran and answered well after the others.
-  Late,         ///< It ran and would answer after the deadline.
+  Refused,         ///< No connection: nothing was sent.
+  Busy,            ///< "Busy, not run".
+  BrokenBeforeRun, ///< The connection broke after sending, before it ran.
+  BrokenAfterRun,  ///< It broke while or after it ran.
+  Truncated,       ///< It ran; half of the answer came.
+  WrongId,         ///< It ran; the answer to another request came.
+  BusyForOther,    ///< It ran; another request's "busy, not run" came.
+  TooLarge,        ///< It ran; the answer was over the limit.
+  Frozen,          ///< It never ran, and nothing ever came.
+  RunFrozen,       ///< It ran, and nothing ever came.
+  Slow,            ///< It ran and answered well after the others.
+  Late,            ///< It ran and would answer after the deadline.
 };
-inline constexpr TryFault AllTryFaults[] = {
-    TryFault::None,        TryFault::Refused,      TryFault::Busy,
-    TryFault::KilledUnrun, TryFault::KilledRun,    TryFault::Truncated,
-    TryFault::WrongId,     TryFault::BusyForOther, TryFault::TooLarge,
-    TryFault::Frozen,      TryFault::RunFrozen,    TryFault::Slow,
-    TryFault::Late};
+inline constexpr TryFault AllTryFaults[] = {TryFault::None,
+                                            TryFault::Refused,
+                                            TryFault::Busy,
+                                            TryFault::BrokenBeforeRun,
+                                            TryFault::BrokenAfterRun,
+                                            TryFault::Truncated,
+                                            TryFault::WrongId,
+                                            TryFault::BusyForOther,
+                                            TryFault::TooLarge,
+                                            TryFault::Frozen,
+                                            TryFault::RunFrozen,
+                                            TryFault::Slow,
+                                            TryFault::Late};
 
 class FakeBackend final : public BackendClient {
 public:
@@ -87,8 +94,8 @@
 
   /// How often the request with that body has run.
   unsigned getRuns(const std::string &Body) const {
-    const auto Found = Runs_.find(Body);
-    return Found == Runs_.end() ? 0 : Found->second;
+    const auto It = Runs_.find(Body);
+    return It == Runs_.end() ? 0 : It->second;
   }
 
   /// Faults of the next tries in order; None when there is no more.
@@ -100,7 +107,7 @@
   std::set<net::Endpoint> Forgotten_;
 
 private:
-  TryFault drawFault(const net::Endpoint &To);
+  TryFault takeFault(const net::Endpoint &To);
   void end(std::uint64_t Exchange, net::HttpResult Result);
   void endAfter(Duration Delay, std::uint64_t Exchange, net::HttpResult Result);
 
@@ -124,20 +131,20 @@
   explicit FakeControl(FakeTimers &Timers) : Timers_(Timers) {}
 
   void report(const wire::EntryReport &Report, Duration Timeout,
-              ControlDone<wire::EntryReport> Done) override;
+              ControlCallback<wire::EntryReport> Done) override;
   void announce(const wire::Announcement &Announcement, Duration Timeout,
-                ControlDone<wire::Announcement> Done) override;
+                ControlCallback<wire::Announcement> Done) override;
   void begin(const wire::BeginRequest &Request, Duration Timeout,
-             ControlDone<wire::BeginRequest> Done) override;
+             ControlCallback<wire::BeginRequest> Done) override;
   void finish(const wire::FinishRequest &Request, Duration Timeout,
-              ControlDone<wire::FinishRequest> Done) override;
+              ControlCallback<wire::FinishRequest> Done) override;
   void abandon(const wire::AbandonRequest &Request, Duration Timeout,
-               ControlDone<wire::AbandonRequest> Done) override;
+               ControlCallback<wire::AbandonRequest> Done) override;
   void callOperator(const wire::OperatorCall &Call, Duration Timeout,
-                    ControlDone<wire::OperatorCall> Done) override;
+                    ControlCallback<wire::OperatorCall> Done) override;
 
   /// The entry process died: what it had begun is unknown.
-  void endEntry();
+  void markEntryLost();
 
   wire::EntryReportReply Reply_;
   std::vector<CallFault> BeginFaults_, FinishFaults_, AbandonFaults_;
@@ -171,11 +178,11 @@
 };
 
 /// Every part around one entry, and calls to it.
-class World {
+class EntryHarness {
 public:
   static constexpr const char *ServiceName = "booking";
 
-  explicit World(unsigned Servers = 3, unsigned SlotsEach = 2);
+  explicit EntryHarness(unsigned Servers = 3, unsigned SlotsEach = 2);
 
   struct Answer {
     net::HttpResponse Response_;
@@ -215,10 +222,10 @@
   net::Metrics Metrics_;
   std::vector<wire::Route> Routes_;
   /// Another data centre is known and out of reach; from the next start on.
-  bool FarKnown_ = false;
+  bool RemoteKnown_ = false;
   std::unique_ptr<Entry> Entry_;
   /// Earlier processes; their timers may still fire.
-  std::vector<std::unique_ptr<Entry>> Dead_;
+  std::vector<std::unique_ptr<Entry>> PreviousEntries_;
 
 private:
   std::uint64_t Incarnation_ = 0;
--- a/tools/entry/EntryProgram.cpp
+++ b/tools/entry/EntryProgram.cpp
@@ -30,10 +30,11 @@
   return Client;
 }
 
-static EntryParts makeParts(const EntrySettings &Settings,
-                            const net::Endpoint &Bound, net::IoPool &Pool,
-                            Timers &Timers, const Clock &Clock,
-                            BackendClient &Backend, net::Metrics &Metrics) {
+static EntryDependencies makeParts(const EntrySettings &Settings,
+                                   const net::Endpoint &Bound,
+                                   net::IoPool &Pool, Timers &Timers,
+                                   const Clock &Clock, BackendClient &Backend,
+                                   net::Metrics &Metrics) {
   net::LinkSettings Links;
   Links.Secret_ = Settings.Secret_;
   const DataCentreId Own(Settings.DataCentre_);
--- a/tools/entry/PlannedStop.cpp
+++ b/tools/entry/PlannedStop.cpp
@@ -35,7 +35,7 @@
     Pool_.runAfter(PollPeriod, [this] { waitForRecords(); });
     return;
   }
-  Entry_.giveBack([this] { end(ExitCode::Success); });
+  Entry_.releaseGrants([this] { end(ExitCode::Success); });
 }
 
 void PlannedStop::end(ExitCode Code) {
