--- a/include/tulipweir/entry/AnnouncementBatcher.h
+++ b/include/tulipweir/entry/AnnouncementBatcher.h
@@ -1,8 +1,8 @@
-//===- AnnouncementBatcher.h - Heartbeats, passed on together --*- C++ -*-===//
+//===- AnnouncementBatcher.h - Batches of heartbeats -----------*- C++ -*-===//
 //
-// Collects backend servers' announcements for a short while and passes them on
-// in one message; those that say nothing new as digests. docs/HEARTBEATS.md
-// has the argument.
+// Collects the announcements of backend servers for a short period and
+// forwards them to the leader in one message. Announcements without changes
+// are sent as digests. docs/HEARTBEATS.md explains the design.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,17 +18,19 @@
 namespace tulipweir::entry {
 
 struct BatcherSettings {
-  /// How long an announcement that says nothing new may wait for others.
+  /// The maximum time an announcement without changes waits for others.
   Duration Period_ = std::chrono::milliseconds(200);
-  /// The same for one that says something new.
+  /// The maximum time a changed announcement waits for others.
   Duration UrgentPeriod_ = std::chrono::milliseconds(20);
-  /// New measures of services and usage go out at least this often.
+  /// The maximum age of the service and usage measurements at the leader while
+  /// new ones are available.
   Duration Refresh_ = std::chrono::seconds(10);
-  /// Without anything new a whole announcement goes out at least this often.
+  /// The maximum time between two full announcements of a server without
+  /// changes.
   Duration FullRefresh_ = std::chrono::seconds(60);
 };
 
-/// What a batcher works with; the references outlive it.
+/// The dependencies of a batcher. Referenced objects outlive it.
 struct BatcherDependencies {
   EntryIdentity Identity_;
   ControlClient &Control_;
@@ -37,7 +39,7 @@
   BatcherSettings Settings_;
 };
 
-/// Thread-safe.
+/// Sends announcements to the leader in batches. Thread-safe.
 class AnnouncementBatcher {
 public:
   explicit AnnouncementBatcher(const BatcherDependencies &Deps);
@@ -45,8 +47,8 @@
   AnnouncementBatcher(const AnnouncementBatcher &) = delete;
   AnnouncementBatcher &operator=(const AnnouncementBatcher &) = delete;
 
-  /// Passes the announcement on and calls Done once, within Timeout and a
-  /// batching period.
+  /// Forwards the announcement and calls Done exactly once, within Timeout plus
+  /// one batching period.
   void announce(const wire::Announcement &Announcement, Duration Timeout,
                 ControlCallback<wire::Announcement> Done);
 
--- a/include/tulipweir/entry/AnnouncementJson.h
+++ b/include/tulipweir/entry/AnnouncementJson.h
@@ -1,9 +1,10 @@
-//===- AnnouncementJson.h - Announcements as JSON --------------*- C++ -*-===//
+//===- AnnouncementJson.h - JSON encoding of announcements -----*- C++ -*-===//
 //
-// The JSON that backend servers and entries exchange at /v1/announce. Fields
-// are those of wire::Announcement in lowerCamel. Reading is strict: a field of
-// the wrong type, an unknown field or a size beyond AnnouncementLimits is an
-// error that names its place.
+// Parses and renders the JSON that backend servers and entries exchange at
+// /v1/announce. The fields are those of wire::Announcement in lowerCamel.
+// Parsing is strict: a field of the wrong type, an unknown field or a size
+// above AnnouncementLimits fails with an error that contains the path of the
+// field.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,8 +21,9 @@
 
 namespace tulipweir::entry {
 
-/// What an announcement may hold at most. Beyond any real backend server, so
-/// that a broken one cannot make the control processes carry its garbage.
+/// Size limits of an announcement. They are far above the needs of any real
+/// backend server and keep a faulty server from flooding the control processes
+/// with data.
 struct AnnouncementLimits {
   static constexpr std::size_t MaxNameBytes = 128;
   static constexpr std::size_t MaxTextBytes = 65'536;
@@ -33,15 +35,15 @@
   static constexpr std::int64_t MaxAccelerators = 10'000;
 };
 
-/// Reads the body of a POST to /v1/announce. Fails with Malformed (no JSON),
-/// InvalidArgument (a field is missing, unknown, or of the wrong type) or
-/// TooLarge (a size beyond the limits).
+/// Parses the body of a POST to /v1/announce. Fails with Malformed if the body
+/// is not JSON, InvalidArgument if a field is missing, unknown or of the wrong
+/// type, and TooLarge if a size is above the limits.
 Outcome<wire::Announcement> parseAnnouncement(std::string_view Text);
-std::string renderAnnouncement(const wire::Announcement &Value);
+std::string renderAnnouncement(const wire::Announcement &Announcement);
 
-/// Reads the answer to it; fails as parseAnnouncement does.
+/// Parses the reply to an announcement. Fails like parseAnnouncement.
 Outcome<wire::AnnouncementReply> parseAnnouncementReply(std::string_view Text);
-std::string renderAnnouncementReply(const wire::AnnouncementReply &Value);
+std::string renderAnnouncementReply(const wire::AnnouncementReply &Reply);
 
 } // namespace tulipweir::entry
 
--- a/include/tulipweir/entry/BackendClient.h
+++ b/include/tulipweir/entry/BackendClient.h
@@ -1,7 +1,7 @@
-//===- BackendClient.h - Sending to backend servers ------------*- C++ -*-===//
+//===- BackendClient.h - Client for backend servers ------------*- C++ -*-===//
 //
-// What the request path needs of net::HttpClient, so that tests put a fake in
-// its place.
+// Declares the part of net::HttpClient that the request path uses, so that
+// tests can substitute a fake.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,7 +12,8 @@
 
 namespace tulipweir::entry {
 
-/// As net::HttpClient, whose promises hold here too. Thread-safe.
+/// Sends HTTP requests to backend servers with the guarantees of
+/// net::HttpClient. Thread-safe.
 class BackendClient {
 public:
   virtual ~BackendClient() = default;
--- a/include/tulipweir/entry/CallerLimits.h
+++ b/include/tulipweir/entry/CallerLimits.h
@@ -1,7 +1,7 @@
-//===- CallerLimits.h - Token buckets of the callers -----------*- C++ -*-===//
+//===- CallerLimits.h - Rate limits per caller -----------------*- C++ -*-===//
 //
-// One token bucket per caller, with the limits of the bundle in force. Sharded
-// by caller, a lock per shard.
+// Keeps one token bucket per caller with the limits of the bundle in force.
+// The buckets are sharded by caller, with one lock per shard.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,10 +18,12 @@
 
 namespace tulipweir::entry {
 
-/// Thread-safe. Limits hold per entry.
+/// Applies the callers' rate limits. Each entry enforces the full limit on its
+/// own. Thread-safe.
 class CallerLimits {
 public:
-  /// Takes one token of the caller's; otherwise returns when one is there.
+  /// Takes one token of the caller and returns nullopt, or returns the time
+  /// until a token is available.
   std::optional<Duration> tryTake(const CallerId &Caller,
                                   const Configuration &Config, TimePoint Now);
 
--- a/include/tulipweir/entry/CallersApi.h
+++ b/include/tulipweir/entry/CallersApi.h
@@ -1,7 +1,7 @@
-//===- CallersApi.h - What callers ask over HTTP ---------------*- C++ -*-===//
+//===- CallersApi.h - HTTP API for callers ---------------------*- C++ -*-===//
 //
-// /v1/services/{service}/{path} and /v1/tickets. Refuses at once what cannot
-// be served, and sends the rest on.
+// Handles /v1/services/{service}/{path} and /v1/tickets. Requests that cannot
+// be served are rejected at once; the others are passed to a sender.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,10 +20,10 @@
 
 namespace tulipweir::entry {
 
-/// Returns random bits; thread-safe, and hard to guess in production.
+/// Returns 64 random bits. Thread-safe, and hard to guess in production.
 using RandomBits = std::function<std::uint64_t()>;
 
-/// What the callers' side needs; all of it outlives the API.
+/// The dependencies of CallersApi. Referenced objects outlive it.
 struct CallersApiDependencies {
   const EntryIdentity &Identity_;
   const EntryFlags &Flags_;
@@ -34,10 +34,10 @@
   const Clock &Clock_;
   RandomBits Random_;
   EntryMetrics &Metrics_;
-  Duration MaxRequest_; ///< No deadline is further ahead.
+  Duration MaxRequest_; ///< The maximum time from arrival to deadline.
 };
 
-/// Thread-safe.
+/// Handles the HTTP requests of callers. Thread-safe.
 class CallersApi {
 public:
   explicit CallersApi(CallersApiDependencies Deps);
@@ -45,7 +45,7 @@
   void handleService(net::HttpRequest Request, net::HttpRespond Respond);
   void handleTicket(const net::HttpRequest &Request,
                     const net::HttpRespond &Respond);
-  /// Requests taken and not answered yet.
+  /// Returns the number of requests received and not answered yet.
   std::uint64_t getInProgress() const { return InProgress_; }
 
 private:
--- a/include/tulipweir/entry/Configuration.h
+++ b/include/tulipweir/entry/Configuration.h
@@ -1,7 +1,8 @@
-//===- Configuration.h - The bundle as an entry uses it --------*- C++ -*-===//
+//===- Configuration.h - Configuration of an entry -------------*- C++ -*-===//
 //
-// A checked bundle with its services indexed, and the holder that adopts new
-// ones. The version held only rises.
+// Holds a verified bundle with its services indexed. ConfigurationHolder
+// replaces it when a newer bundle arrives, so the version in use only
+// increases.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,19 +25,20 @@
   std::unordered_map<ServiceId, fleet::ServiceConfig> Services_;
   std::unordered_map<CallerId, fleet::CallerLimit> CallerLimits_;
 
-  /// Checks a bundle that a control process sent. Fails with Corrupt (digest),
-  /// VersionMismatch (the text names another version) or InvalidArgument.
+  /// Verifies a bundle that a control process sent. Fails with Corrupt if the
+  /// digest does not match the text, VersionMismatch if the text contains
+  /// another version, and InvalidArgument if the text is invalid.
   static Outcome<Configuration> makeFrom(const wire::SignedBundle &Signed);
   const fleet::ServiceConfig *findService(const ServiceId &Service) const;
 };
 
-/// Thread-safe.
+/// Holds the configuration in use. Thread-safe.
 class ConfigurationHolder {
 public:
-  /// Takes a bundle over if its version is higher than the one held; true if
-  /// it did. An equal or lower one is no error.
+  /// Replaces the configuration if the bundle has a higher version, and returns
+  /// whether it did. An equal or lower version is not an error.
   Outcome<bool> adopt(const wire::SignedBundle &Signed);
-  /// Null until the first bundle came.
+  /// Returns null until the first bundle is adopted.
   std::shared_ptr<const Configuration> get() const;
   BundleVersion getVersion() const;
 
--- a/include/tulipweir/entry/ControlClient.h
+++ b/include/tulipweir/entry/ControlClient.h
@@ -1,6 +1,7 @@
-//===- ControlClient.h - Asking a data centre's leader ---------*- C++ -*-===//
+//===- ControlClient.h - Calls to a data centre's leader -------*- C++ -*-===//
 //
-// The calls an entry makes to the control processes of one data centre.
+// Declares the calls that an entry makes to the control processes of one data
+// centre.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,10 +20,10 @@
 template <class Request>
 using ControlCallback = std::function<void(Outcome<typename Request::Reply>)>;
 
-/// Finds the leader by itself. Each call ends exactly once, within Timeout:
-/// with the leader's reply; with Unavailable if it certainly had no effect;
-/// with Timeout if that is open; or with the error the leader gave.
-/// Thread-safe.
+/// Sends calls to the leader, which it locates itself. Each call completes
+/// exactly once within Timeout: with the leader's reply, with Unavailable if
+/// the call certainly had no effect, with Timeout if its effect is unknown, or
+/// with the leader's error. Thread-safe.
 class ControlClient {
 public:
   virtual ~ControlClient() = default;
@@ -31,8 +32,8 @@
   virtual void announce(const wire::Announcement &Announcement,
                         Duration Timeout,
                         ControlCallback<wire::Announcement> Done) = 0;
-  /// Fails with VersionMismatch where nobody knows batches; announcements then
-  /// go one by one.
+  /// Fails with VersionMismatch if the control processes do not support
+  /// batches; the caller then sends the announcements individually.
   virtual void announceBatch(const wire::AnnouncementBatch &Batch,
                              Duration Timeout,
                              ControlCallback<wire::AnnouncementBatch> Done);
--- a/include/tulipweir/entry/ControlProxy.h
+++ b/include/tulipweir/entry/ControlProxy.h
@@ -1,7 +1,8 @@
-//===- ControlProxy.h - What an entry passes to the leader -----*- C++ -*-===//
+//===- ControlProxy.h - Forwarding of requests to the leader ---*- C++ -*-===//
 //
-// /v1/announce of backend servers and /v1/operator/... of operators: checked,
-// passed to the data centre's leader, and its answer passed back.
+// Validates announcements of backend servers at /v1/announce and requests of
+// operators at /v1/operator/..., forwards them to the data centre's leader and
+// returns its replies.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +20,8 @@
 
 inline constexpr const char *OperatorPrefix = "/v1/operator";
 
-/// Thread-safe. What it is given outlives it.
+/// Forwards announcements and operator requests. Thread-safe. Referenced
+/// objects outlive it.
 class ControlProxy {
 public:
   ControlProxy(const EntryIdentity &Identity, ControlClient &Control,
--- a/include/tulipweir/entry/Entry.h
+++ b/include/tulipweir/entry/Entry.h
@@ -1,8 +1,9 @@
-//===- Entry.h - One entry, without its sockets ----------------*- C++ -*-===//
+//===- Entry.h - Entry process without its sockets -------------*- C++ -*-===//
 //
-// Puts the parts of an entry together: the callers', backend servers' and
-// operators' HTTP sides, routing, records, reports. The program gives it a
-// client for backend servers, one for control processes, a clock and timers.
+// Combines the components of an entry: the HTTP APIs for callers, backend
+// servers and operators, routing, request records and reports. The program
+// supplies clients for backend servers and control processes, a clock and
+// timers.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,10 +20,11 @@
 
 namespace tulipweir::entry {
 
-/// What an entry is made of; all of it outlives the entry.
+/// The dependencies of an entry. Referenced objects outlive it.
 struct EntryDependencies {
   EntryIdentity Identity_;
-  /// Control processes by data centre, the own one among them.
+  /// Clients for the control processes by data centre, including the entry's
+  /// own data centre.
   std::map<DataCentreId, std::shared_ptr<ControlClient>> Controls_;
   BackendClient &Backend_;
   Timers &Timers_;
@@ -30,37 +32,39 @@
   RandomBits Random_;
   net::Metrics &Metrics_;
   Duration ReportPeriod_ = std::chrono::milliseconds(500);
-  /// No request is sent with a deadline further ahead. At most the controls'
-  /// value, on which their account of slots rests.
+  /// The maximum time from sending a request to its deadline. It must not
+  /// exceed the value of the control processes, which use it to account for
+  /// slots in use.
   Duration MaxRequest_ = std::chrono::seconds(60);
   BatcherSettings Batching_ = {};
 };
 
-/// Thread-safe.
+/// Serves callers, backend servers and operators. Thread-safe.
 class Entry {
 public:
   explicit Entry(EntryDependencies Deps);
 
   // Commands.
 
-  /// Begins to report and to sweep.
+  /// Starts the periodic reports and sweeps.
   void start();
-  /// Serves one HTTP call; unknown paths get 404.
+  /// Handles one HTTP request. Unknown paths get 404.
   void handle(net::HttpRequest Request, net::HttpRespond Respond);
-  /// Readiness is taken back; requests that come are still served.
+  /// Marks the entry as not ready. Requests that still arrive are served.
   void beginStop();
-  /// Gives the grants back, once nothing is in progress.
+  /// Returns the grants to the leader. To be called when no request is in
+  /// progress.
   void releaseGrants(std::function<void()> Done) {
     Reporter_.releaseGrants(std::move(Done));
   }
 
   // Queries.
 
-  /// Empty when it serves, otherwise why not.
+  /// Returns why the entry is not ready, or an empty string if it is.
   std::string explainUnready() const;
-  /// Requests and records under way.
+  /// Returns the number of requests and record writes in progress.
   std::uint64_t getInProgress() const;
-  /// The state as JSON.
+  /// Returns the state as JSON.
   std::string dump() const;
 
 private:
--- a/include/tulipweir/entry/EntryMetrics.h
+++ b/include/tulipweir/entry/EntryMetrics.h
@@ -1,6 +1,6 @@
-//===- EntryMetrics.h - What an entry counts -------------------*- C++ -*-===//
+//===- EntryMetrics.h - Metrics of an entry --------------------*- C++ -*-===//
 //
-// Counters and latency histograms of the request path, one per outcome and
+// Counters and latency histograms of the request path, by outcome and by
 // reason.
 //
 //===----------------------------------------------------------------------===//
@@ -15,7 +15,8 @@
 
 namespace tulipweir::entry {
 
-/// Thread-safe; lives as long as the Metrics it was made in.
+/// The metrics of one entry. Thread-safe. Must not outlive the Metrics object
+/// that it registers with.
 class EntryMetrics {
 public:
   explicit EntryMetrics(net::Metrics &To);
@@ -24,12 +25,12 @@
   std::uint64_t getResultCount(RequestReason Reason) const;
 
   net::Counter &Tries_;         ///< Requests sent to backend servers.
-  net::Counter &Retries_;       ///< Tries after a first one.
-  net::Counter &Hedges_;        ///< Tries beside a running one.
-  net::Counter &RetriesDenied_; ///< By the budget.
-  net::Counter &WrongIds_;      ///< Answers that belonged to another request.
+  net::Counter &Retries_;       ///< Tries after the first one.
+  net::Counter &Hedges_;        ///< Tries started while another one is running.
+  net::Counter &RetriesDenied_; ///< Denied by the retry budget.
+  net::Counter &WrongIds_;      ///< Responses with the id of another request.
   net::Counter &AttachedRequests_; ///< Resends that joined a running request.
-  net::Counter &RecordsFailed_;    ///< Ends that could not be recorded.
+  net::Counter &RecordsFailed_;    ///< Request ends that could not be recorded.
   net::Counter &Announcements_;
   net::Counter &AnnouncementsFailed_;
   net::Counter &Reports_;
--- a/include/tulipweir/entry/EntryState.h
+++ b/include/tulipweir/entry/EntryState.h
@@ -1,6 +1,6 @@
-//===- EntryState.h - What an entry is and holds ---------------*- C++ -*-===//
+//===- EntryState.h - Identity and shared flags of an entry ----*- C++ -*-===//
 //
-// The identity of an entry process and the flags that its parts share.
+// The identity of an entry process and the flags that its components share.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,19 +16,19 @@
 
 namespace tulipweir::entry {
 
-/// Never changes while the process runs.
+/// Identifies an entry process. Constant for the lifetime of the process.
 struct EntryIdentity {
   EntryId Entry_;
   DataCentreId DataCentre_;
-  std::string Address_;           ///< "ip:port" of its HTTP side.
-  std::uint64_t Incarnation_ = 0; ///< Random per start.
+  std::string Address_;           ///< The "ip:port" of its HTTP server.
+  std::uint64_t Incarnation_ = 0; ///< A random number chosen at each start.
   bool operator==(const EntryIdentity &) const = default;
 };
 
-/// Thread-safe.
+/// State shared by the components of an entry. Thread-safe.
 struct EntryFlags {
   std::atomic<bool> Stopping_{false};
-  /// Until when the last reply's grants hold.
+  /// The expiry time of the grants of the last reply.
   std::atomic<TimePoint> GrantsExpireAt_{TimePoint::min()};
 };
 
--- a/include/tulipweir/entry/FinalResult.h
+++ b/include/tulipweir/entry/FinalResult.h
@@ -1,8 +1,8 @@
-//===- FinalResult.h - How a caller's request ended ----------*- C++ -*-===//
+//===- FinalResult.h - Result of a caller's request ------------*- C++ -*-===//
 //
-// The typed end of a request: served, not run, or unknown, with the reason.
-// "Not run" is only ever said when no byte of the request can have been acted
-// upon under this key.
+// The result of a request: served, not run, or unknown, with the reason. "Not
+// run" is reported only if no byte of the request can have been processed
+// under its key.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,35 +20,35 @@
 namespace tulipweir::entry {
 
 enum class RequestOutcome : std::uint8_t {
-  Served,  ///< The whole answer of the backend server, or its record.
-  NotRun,  ///< It was not run, now or under this key before.
-  Unknown, ///< It may have run; ask again with the same key.
+  Served,  ///< A complete response arrived, now or in an earlier run.
+  NotRun,  ///< The request did not run, neither now nor earlier under this key.
+  Unknown, ///< The request may have run; a retry needs the same key.
 };
 
-/// Why a request ended as it did. Names and statuses are in FinalResult.cpp
+/// The reason for a result. The names and HTTP statuses are in FinalResult.cpp
 /// and docs/API.md.
 enum class RequestReason : std::uint8_t {
-  Answered,          ///< By a backend server.
-  Replayed,          ///< From the record of an earlier run.
-  BadRequest,        ///< A header or the path breaks a rule.
-  UnknownService,    ///< The bundle in force names no such service.
-  BodyTooLarge,      ///< Over the service's limit.
-  DeadlinePassed,    ///< Before anything was sent.
+  Answered,          ///< A backend server answered.
+  Replayed,          ///< The response was recorded by an earlier run.
+  BadRequest,        ///< A header or the path is invalid.
+  UnknownService,    ///< The bundle in force has no such service.
+  BodyTooLarge,      ///< The body is over the service's limit.
+  DeadlinePassed,    ///< The deadline passed before anything was sent.
   CallerLimit,       ///< The caller's token bucket is empty.
-  QueueFull,         ///< As many wait as may.
-  TooLate,           ///< It would not start before its deadline.
+  QueueFull,         ///< The service's queue is at its limit.
+  TooLate,           ///< The request would not start before its deadline.
   NoServers,         ///< No backend server has granted slots.
-  NotServing,        ///< This entry has no bundle yet, or is stopping.
-  ServersRefused,    ///< Backend servers said busy or took no connection.
+  NotServing,        ///< The entry has no bundle yet, or is stopping.
+  ServersRefused,    ///< The servers were busy or refused the connection.
   AnswerLost,        ///< The connection broke after the first byte.
-  AnswerInvalid,     ///< Truncated, too large, or for another request.
-  AnswerLate,        ///< No whole answer before the deadline.
-  KeyConflict,       ///< The key stands for another request.
+  AnswerInvalid,     ///< It was truncated, too large, or for another request.
+  AnswerLate,        ///< No complete response arrived before the deadline.
+  KeyConflict,       ///< The key belongs to another request.
   KeyExpired,        ///< The ticket is too old for its record.
-  RecordUnavailable, ///< The record of the key could not be asked.
-  RecordUnknown,     ///< It began once and its end was never recorded.
-  RunningElsewhere,  ///< Still running when this caller's deadline passed.
-  HomeUnreachable,   ///< The record is in a data centre out of reach.
+  RecordUnavailable, ///< The record of the key could not be read.
+  RecordUnknown,     ///< The request started once and its end was not recorded.
+  RunningElsewhere,  ///< It was still running at this caller's deadline.
+  HomeUnreachable,   ///< The data centre of the record is unreachable.
 };
 
 inline constexpr std::size_t RequestReasonCount =
@@ -62,10 +62,10 @@
 struct FinalResult {
   RequestOutcome Outcome_ = RequestOutcome::Unknown;
   RequestReason Reason_ = RequestReason::RecordUnavailable;
-  std::string Message_;        ///< For people; unless served.
-  Duration RetryAfter_{};      ///< When to come back; zero: no use, or at once.
-  net::HttpResponse Answer_;   ///< When served.
-  bool RecordMissing_ = false; ///< Served, but the record was not written.
+  std::string Message_;      ///< A readable explanation; empty if served.
+  Duration RetryAfter_{};    ///< Zero: retrying is useless or possible at once.
+  net::HttpResponse Answer_; ///< Set if served.
+  bool RecordMissing_ = false; ///< Served, but the record could not be written.
   bool operator==(const FinalResult &) const = default;
 
   static FinalResult makeServed(net::HttpResponse Answer);
@@ -75,7 +75,8 @@
                                  Duration RetryAfter = Duration::zero());
 };
 
-/// The answer that the caller gets: its own request's, with our headers.
+/// Returns the HTTP response for the caller, with the X-Tulipweir headers
+/// added.
 net::HttpResponse renderResult(const FinalResult &Result,
                                const std::string &RequestId);
 
--- a/include/tulipweir/entry/KeyedSender.h
+++ b/include/tulipweir/entry/KeyedSender.h
@@ -1,9 +1,9 @@
-//===- KeyedSender.h - Requests that run at most once ----------*- C++ -*-===//
+//===- KeyedSender.h - At-most-once requests -------------------*- C++ -*-===//
 //
-// Sends a request with a key only after the key's home data centre recorded
-// that it begins, and records its end. Resends attach to a running one or get
-// the recorded answer. What the record says goes before anything this entry
-// might guess.
+// Sends a request with a key only after the key's home data centre has
+// recorded that it begins, and records how it ends. Repeated requests attach
+// to the running one or get the recorded response. The record takes precedence
+// over any local state of this entry.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,9 +19,9 @@
 
 namespace tulipweir::entry {
 
-/// What the keyed sending needs; all of it outlives the sender.
+/// The dependencies of KeyedSender. Referenced objects outlive it.
 struct KeyedSenderDependencies {
-  Sender &Plain_; ///< Sends once the record allows it.
+  Sender &Plain_; ///< Sends the request once its record permits it.
   RequestTable &Table_;
   const RecordHomes &Homes_;
   Timers &Timers_;
@@ -34,11 +34,11 @@
 class KeyedSender final : public Sender {
 public:
   explicit KeyedSender(const KeyedSenderDependencies &Deps) : Deps_(Deps) {}
-  /// Request must have a key.
+  /// Sends a request, which must have a key.
   void send(SharedRequest Request, ResultCallback Done) override;
 
-  /// Ends and abandons that are still being recorded; a planned stop waits
-  /// for them.
+  /// Returns the number of record writes in progress. A planned stop waits for
+  /// them.
   std::uint64_t getPendingRecordCount() const { return *PendingRecords_; }
 
 private:
--- a/include/tulipweir/entry/LeaderClient.h
+++ b/include/tulipweir/entry/LeaderClient.h
@@ -1,8 +1,8 @@
-//===- LeaderClient.h - Finding the leader over links ----------*- C++ -*-===//
+//===- LeaderClient.h - Control client that locates the leader --*- C++ -*-===//
 //
-// A ControlClient over one link per control process. It sends to the one that
-// last acted as leader, follows a NotLeader answer to the process it names,
-// and tries the others while the call's time lasts.
+// A ControlClient over one link per control process. It sends each call to the
+// last known leader, follows a NotLeader reply to the process that it names,
+// and tries the other processes until the call's deadline.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 
 namespace tulipweir::entry {
 
-/// One control process, as net::LinkClient speaks to it.
+/// A connection to one control process, as provided by net::LinkClient.
 class ControlLink {
 public:
   virtual ~ControlLink() = default;
@@ -51,7 +51,8 @@
   void callOperator(const wire::OperatorCall &Call, Duration Timeout,
                     ControlCallback<wire::OperatorCall> Done) override;
 
-  /// The name of the process that last answered as leader; empty before.
+  /// Returns the name of the process that last answered as leader, or an empty
+  /// string if none has.
   std::string getLeaderName() const;
 
 private:
@@ -59,7 +60,7 @@
   class Impl;
 
   template <class Request>
-  void send(const Request &Value, Duration Timeout,
+  void send(const Request &Message, Duration Timeout,
             ControlCallback<Request> Done);
 
   std::shared_ptr<Impl> Impl_;
--- a/include/tulipweir/entry/RecordHomes.h
+++ b/include/tulipweir/entry/RecordHomes.h
@@ -1,8 +1,9 @@
-//===- RecordHomes.h - Where the record of a key lives ---------*- C++ -*-===//
+//===- RecordHomes.h - Home data centres of request keys -------*- C++ -*-===//
 //
-// Each key has one home data centre, the same for every entry: a ticket names
-// it, and a caller's own key is hashed over the sorted names of all data
-// centres. Only the home's log decides whether the request may run.
+// Maps each key to one home data centre, the same at every entry. A ticket
+// contains the name of its home; a caller's own key is hashed over the sorted
+// names of all data centres. Only the log of the home decides whether a
+// request may run.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,17 +18,18 @@
 
 namespace tulipweir::entry {
 
-/// Immutable after construction. Every entry must be given the same names, or
-/// one key would have two homes.
+/// Maps keys to home data centres. Immutable after construction. All entries
+/// must have the same set of data centres, otherwise a key would have two homes
+/// and its request could run twice.
 class RecordHomes {
 public:
-  /// One client per data centre; null for one that is known and out of reach.
+  /// Takes one client per data centre; null for a known but unreachable one.
   explicit RecordHomes(
       std::map<DataCentreId, std::shared_ptr<ControlClient>> Clients);
 
-  /// The home of a key that a caller chose itself.
+  /// Returns the home of a key that the caller chose.
   const DataCentreId &findHome(const RequestKey &Key) const;
-  /// Null when the data centre is not known here.
+  /// Returns null if the data centre is unknown or unreachable.
   ControlClient *findClient(const DataCentreId &Home) const;
 
 private:
--- a/include/tulipweir/entry/Reporter.h
+++ b/include/tulipweir/entry/Reporter.h
@@ -1,8 +1,8 @@
-//===- Reporter.h - An entry's periodic report -----------------*- C++ -*-===//
+//===- Reporter.h - Periodic reports to the leader -------------*- C++ -*-===//
 //
-// Tells the leader what this entry holds and takes over the reply: grants,
-// routes and the bundle in force. One report is under way at a time, so that
-// replies cannot overtake each other.
+// Reports the state of this entry to the leader and applies the reply: grants,
+// routes and the bundle in force. Only one report is in flight at a time, so
+// that replies cannot arrive out of order.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,7 @@
 
 namespace tulipweir::entry {
 
-/// What the reporter needs; all of it outlives the reporter.
+/// The dependencies of Reporter. Referenced objects outlive it.
 struct ReporterDependencies {
   const EntryIdentity &Identity_;
   EntryFlags &Flags_;
@@ -35,7 +35,7 @@
   Duration Period_ = std::chrono::milliseconds(500);
 };
 
-/// Thread-safe.
+/// Sends periodic reports to the leader. Thread-safe.
 class Reporter {
 public:
   explicit Reporter(const ReporterDependencies &Deps);
@@ -43,12 +43,12 @@
   Reporter(const Reporter &) = delete;
   Reporter &operator=(const Reporter &) = delete;
 
-  /// Sends the first report and one each period from then on.
+  /// Sends the first report, and another one each period.
   void start();
-  /// Ends the periodic reports and gives the grants back; calls Done once the
-  /// leader has heard it, or cannot be reached.
+  /// Stops the periodic reports and returns the grants. Calls Done when the
+  /// leader has replied or is unreachable.
   void releaseGrants(std::function<void()> Done);
-  /// Whether the last report was replied to.
+  /// Returns whether the leader replied to the last report.
   bool hasLeader() const;
 
 private:
--- a/include/tulipweir/entry/RequestSender.h
+++ b/include/tulipweir/entry/RequestSender.h
@@ -1,9 +1,9 @@
-//===- RequestSender.h - One request to backend servers --------*- C++ -*-===//
+//===- RequestSender.h - Requests to backend servers -----------*- C++ -*-===//
 //
-// Takes a request through admission, the choice of a server, sending, retries
-// and hedges to its end. Answers are passed on whole and only with the
-// request's own id. A request that may not be repeated is never sent again
-// once a byte of it may have been acted upon.
+// Handles a request from admission through the choice of a server, sending,
+// retries and hedges to its result. Only complete responses with the request's
+// own id are returned. A request that is not repeatable is never sent again
+// once a server may have processed a byte of it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,14 +25,14 @@
 using ResultCallback = std::function<void(FinalResult)>;
 using SharedRequest = std::shared_ptr<const ServiceRequest>;
 
-/// Sends a request somewhere and reports its end exactly once. Thread-safe.
+/// Sends a request and reports its result exactly once. Thread-safe.
 class Sender {
 public:
   virtual ~Sender() = default;
   virtual void send(SharedRequest Request, ResultCallback Done) = 0;
 };
 
-/// What the sending needs; all of it outlives the sender.
+/// The dependencies of RequestSender. Referenced objects outlive it.
 struct RequestSenderDependencies {
   Router &Router_;
   BackendClient &Client_;
--- a/include/tulipweir/entry/RequestTable.h
+++ b/include/tulipweir/entry/RequestTable.h
@@ -1,8 +1,9 @@
-//===- RequestTable.h - Keyed requests in progress here --------*- C++ -*-===//
+//===- RequestTable.h - Keyed requests in progress -------------*- C++ -*-===//
 //
-// Of the requests with one key, one at a time is the owner, who asks the
-// record and sends; resends that reach the same entry meanwhile attach to it
-// and get its result. Sharded by key, a lock per shard.
+// The first request with a key is the owner: it asks for the record and sends
+// the request. Requests with the same key that reach this entry in the
+// meantime attach to the owner and get its result. The table is sharded by
+// key, with one lock per shard.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,16 +24,17 @@
 namespace tulipweir::entry {
 
 enum class JoinResult : std::uint8_t {
-  Owner,    ///< Nobody holds the key: the joiner must call end.
-  Attached, ///< The waiter will be called once.
-  Conflict, ///< The key is held by a request with another digest.
+  Owner,    ///< The key was free; the caller must call end.
+  Attached, ///< The callback is called exactly once.
+  Conflict, ///< A request with another digest owns the key.
 };
 
-/// Called with the owner's result, or with null when the waiter's own deadline
+/// Receives the owner's result, or null if the attached request's own deadline
 /// passed first.
 using AttachedCallback = std::function<void(const FinalResult *)>;
 
-/// Thread-safe. Calls waiters without a lock held.
+/// Coordinates requests with the same key. Thread-safe. Callbacks run without a
+/// lock held.
 class RequestTable {
 public:
   explicit RequestTable(std::size_t Shards = 64);
@@ -41,9 +43,9 @@
 
   JoinResult join(const RequestKey &Key, const Digest &Digest,
                   TimePoint Deadline, AttachedCallback Callback);
-  /// The owner's end: frees the key and calls who attached.
+  /// Frees the owner's key and passes Result to the attached requests.
   void end(const RequestKey &Key, const FinalResult &Result);
-  /// Calls, with null, those whose deadline passed.
+  /// Passes null to the attached requests whose deadline has passed.
   void sweep(TimePoint Now);
 
   // Queries.
--- a/include/tulipweir/entry/Router.h
+++ b/include/tulipweir/entry/Router.h
@@ -1,7 +1,7 @@
-//===- Router.h - Routes, grants and gates of an entry ---------*- C++ -*-===//
+//===- Router.h - Routes and grants of an entry ----------------*- C++ -*-===//
 //
-// Holds what the leader's last reports said: the backend servers with this
-// entry's share of each, and one gate per service.
+// Keeps the routes of the leader's last reply: the backend servers with this
+// entry's slots at each, and one gate per service.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,23 +20,24 @@
 
 namespace tulipweir::entry {
 
-/// A slot in use, and which gates count it. Given back exactly once.
+/// A slot in use and the gates that count it. It is released exactly once.
 struct HeldSlot {
   AcquiredSlot Slot_;
-  std::shared_ptr<ServiceGate> Owner_; ///< The gate that gave it.
+  std::shared_ptr<ServiceGate> Owner_; ///< The gate that assigned the slot.
   std::vector<std::shared_ptr<ServiceGate>> OtherGates_;
 };
 
-/// What a report tells of the routes, at one moment.
+/// The routing state that a report contains.
 struct RoutingSnapshot {
-  std::uint64_t Version_ = 0; ///< 0 once the grant has run out.
-  /// Without slots once the grant has run out or the table leaves them out.
+  std::uint64_t Version_ = 0; ///< 0 after the grant has expired.
+  /// The grants have no slots if the grant has expired or the server has been
+  /// removed from the routes.
   std::vector<wire::GrantHeld> Grants_;
   bool operator==(const RoutingSnapshot &) const = default;
 };
 
-/// Thread-safe. The gates have locks of their own; the router's lock only
-/// guards which gates and servers there are.
+/// Routes requests to backend servers. Thread-safe. Each gate has its own lock;
+/// the router's lock protects only the sets of gates and servers.
 class Router {
 public:
   Router(const Clock &Clock, std::uint64_t Seed);
@@ -46,39 +47,42 @@
 
   // Commands.
 
-  /// Makes gates for the services of a bundle. The gate of a service that is
-  /// no longer named stays, idle: requests may still be in it.
+  /// Creates gates for the services of a bundle. The gate of a removed service
+  /// stays, because requests may still be queued in it.
   void configure(const Configuration &Config);
-  /// Takes over a reply to a report that was sent at SentAt and named the
-  /// version Named. Returns whether it did: not if a reply to a later report
-  /// was taken, if another version is held by now, if the grant has run out
-  /// on the way, or if the table is below one that was taken.
+  /// Applies the reply to a report that was sent at SentAt with the route
+  /// version ReportedVersion, and returns whether it did. A reply is ignored if
+  /// a reply to a later report was applied, if the version in use has changed,
+  /// if its grant has already expired, or if its route table is older than one
+  /// that was applied.
   bool adopt(const wire::EntryReportReply &Reply, TimePoint SentAt,
              std::uint64_t ReportedVersion);
-  /// A server announced through this entry that it leaves.
+  /// Marks a server as draining after it announced so through this entry.
   void markDraining(const BackendServerId &Server, const BootId &Boot);
-  /// Tells the other services of the server that a gate gave a slot.
+  /// Counts the slot at the gates of the server's other services.
   HeldSlot registerSlot(std::shared_ptr<ServiceGate> Owner,
                         AcquiredSlot Slot) const;
-  /// Gives a slot back and hands it to whoever waits for it. Result is absent
-  /// when the try's end says nothing about the server.
+  /// Releases a slot and gives it to the next waiting request. Result is absent
+  /// if the end of the try says nothing about the server.
   void release(const HeldSlot &SlotInUse,
                std::optional<decide::RequestResult> Result, Duration Latency);
-  /// Refuses whoever waits in vain; to be called every few milliseconds.
+  /// Rejects queued requests that cannot meet their deadline. To be called
+  /// every few milliseconds.
   void sweep();
 
   // Queries.
 
-  /// Null when the bundle names no such service.
+  /// Returns null if the bundle has no such service.
   std::shared_ptr<ServiceGate> findGate(const ServiceId &Service) const;
   RoutingSnapshot getSnapshot() const;
-  /// Puts what is held into Report; briefly if it is the table of version
-  /// Known, which the leader named last; 0 stands for none.
+  /// Adds the routing state to Report. The report is brief if the version in
+  /// use equals KnownVersion, the last version that the leader sent; 0 means
+  /// none.
   void fillReport(wire::EntryReport &Report, std::uint64_t KnownVersion) const;
   std::size_t getServerCount() const;
-  /// True if servers of services are known that don't drain, and none of them
-  /// has a slot for this entry: its share may still be accounted to the process
-  /// before it.
+  /// Returns true if there are servers with services that are not draining and
+  /// this entry has no slot at any of them. This happens while the leader still
+  /// accounts its slots to the previous process.
   bool lacksSlots() const;
   std::vector<GateView> listViews() const;
 
@@ -88,8 +92,8 @@
 
   bool canAdopt(const wire::EntryReportReply &Reply, TimePoint SentAt,
                 std::uint64_t ReportedVersion, TimePoint ExpiresAt) const;
-  /// The version that may be used at Now; 0 when the grant has run out. The
-  /// lock is held.
+  /// Returns the route version that may be used at Now, or 0 after the grant
+  /// has expired. Requires the lock.
   std::uint64_t getUsableVersion(TimePoint Now) const {
     return Now < GrantExpiresAt_ ? HighestVersion_ : 0;
   }
@@ -106,11 +110,11 @@
   mutable std::shared_mutex Mutex_;
   std::map<ServiceId, std::shared_ptr<ServiceGate>> Gates_;
   std::map<ServerKey, std::shared_ptr<ServerSlots>> Servers_;
-  /// In the order of the table; null where its address made no sense.
+  /// The servers in the order of the route table; null for an invalid address.
   std::vector<std::shared_ptr<ServerSlots>> RouteOrder_;
-  /// Gone from the table, with requests still in flight.
+  /// Servers removed from the route table with requests in flight.
   std::vector<std::shared_ptr<ServerSlots>> RemovedServers_;
-  /// Of the last table that was taken; never goes down.
+  /// The version of the last applied route table. It never decreases.
   std::uint64_t HighestVersion_ = 0;
   TimePoint GrantExpiresAt_ = TimePoint::min();
   TimePoint AdoptedAt_ = TimePoint::min();
--- a/include/tulipweir/entry/ServerSlots.h
+++ b/include/tulipweir/entry/ServerSlots.h
@@ -1,7 +1,7 @@
-//===- ServerSlots.h - This entry's share of one server --------*- C++ -*-===//
+//===- ServerSlots.h - Granted slots of one backend server -----*- C++ -*-===//
 //
-// The slots of one backend server, in one boot, that the leader granted to
-// this entry, and how many are in use. Shared by all services of the server.
+// The slots that the leader granted to this entry on one boot of a backend
+// server, and the number in use. All services of the server share them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,21 +19,22 @@
 
 namespace tulipweir::entry {
 
-/// Thread-safe; what identifies the server never changes.
+/// The slots of one backend server. Thread-safe. The server's identity is
+/// constant.
 class ServerSlots {
 public:
   ServerSlots(const wire::Route &Route, const net::Endpoint &Address);
 
   // Commands.
 
-  /// Takes over the share of a newer report. Until is when the grant runs out
-  /// unless it is renewed.
+  /// Applies the grant of a newer report, which expires at ExpiresAt unless it
+  /// is renewed.
   void setGrant(const wire::Route &Route, TimePoint ExpiresAt);
-  /// The grant is as it was, until later.
+  /// Extends an unchanged grant.
   void renew(TimePoint ExpiresAt) { ExpiresAt_ = ExpiresAt; }
-  /// The server takes nothing new from now on, whatever was granted.
+  /// Stops new requests to the server regardless of its grant.
   void setDraining() { Draining_ = true; }
-  /// Takes one slot if the grant holds and one is free.
+  /// Takes one slot if the grant is valid and a slot is free.
   bool tryAcquire(TimePoint Now);
   void releaseSlot();
 
@@ -43,7 +44,8 @@
   const BootId &boot() const { return Boot_; }
   const net::Endpoint &address() const { return Address_; }
   const std::vector<ServiceId> &services() const { return Services_; }
-  /// Usable slots: each request needs a slot and a connection.
+  /// Returns the number of usable slots: each request needs a slot and a
+  /// connection.
   std::uint32_t getLimit() const;
   wire::GrantHeld toGrantHeld() const;
   TimePoint getExpiry() const { return ExpiresAt_; }
--- a/include/tulipweir/entry/ServiceGate.h
+++ b/include/tulipweir/entry/ServiceGate.h
@@ -1,9 +1,8 @@
-//===- ServiceGate.h - Admission to one service's servers ------*- C++ -*-===//
+//===- ServiceGate.h - Admission control for one service -------*- C++ -*-===//
 //
-// One shard of the routing state: the servers of one service with the choice
-// among them, the bounded queue in front, and the budget of retries, under one
-// lock. A request either gets a slot, waits for one within its deadline, or is
-// refused at once.
+// Selects servers for the requests of one service. Contains the servers, a
+// bounded queue and the retry budget of the service under one lock. A request
+// gets a slot, waits for one within its deadline, or is rejected at once.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,19 +26,19 @@
 
 namespace tulipweir::entry {
 
-/// A slot of one server, taken for one try.
+/// A server with one slot taken for one try.
 using AcquiredSlot = std::shared_ptr<ServerSlots>;
-/// A slot, or why there is none and when to come back.
+/// A slot, or the reason for a rejection and the time to retry after.
 struct SlotResult {
-  AcquiredSlot Slot_; ///< Null when refused.
+  AcquiredSlot Slot_; ///< Null if rejected.
   RequestReason Reason_ = RequestReason::NoServers;
   Duration RetryAfter_{};
 };
 using SlotCallback = std::function<void(SlotResult)>;
-/// A server not to be used, since it was tried before.
+/// A server that must not be chosen because it was already tried.
 using ExcludedServer = std::optional<BackendServerId>;
 
-/// What a gate looks like, for dumps.
+/// The state of a gate for dumps.
 struct GateView {
   ServiceId Service_;
   std::size_t Waiting_ = 0;
@@ -51,8 +50,8 @@
   std::vector<decide::ChooserServerView> Servers_;
 };
 
-/// Thread-safe. Calls back without its lock held, at times from inside the
-/// call that led to it.
+/// Admits requests to the servers of one service. Thread-safe. Callbacks run
+/// without the lock held, possibly within the call that triggered them.
 class ServiceGate {
 public:
   ServiceGate(const ServiceId &Service, const Clock &Clock, std::uint64_t Seed);
@@ -61,37 +60,38 @@
 
   void configure(const fleet::ServiceConfig &Config, double RetryBudget);
   void setServers(const std::vector<std::shared_ptr<ServerSlots>> &Servers);
-  /// Gives Done a slot now, or later, or a refusal now. Waiting is refused at
-  /// once when it cannot end before the deadline.
+  /// Passes a slot or a rejection to Done, at once or later. A request that
+  /// cannot get a slot before its deadline is rejected at once.
   void acquireSlot(TimePoint Deadline, const ExcludedServer &Excluded,
                    SlotCallback Done);
-  /// A slot that is free now, without waiting; null if there is none.
+  /// Returns a slot that is free now, or null.
   AcquiredSlot tryAcquireSlot(const ExcludedServer &Excluded);
-  /// A first try earns its part of a retry; retries and hedges earn none.
+  /// Credits the retry budget for a first try. Retries and hedges add no
+  /// credit.
   void countFirstTry();
-  /// Spends one retry or hedge if the budget has it.
+  /// Spends one retry or hedge if the budget permits it.
   bool trySpendRetry();
-  /// Another service of the server took a slot there: counts it as in use.
-  /// False if this gate does not know the server; then nothing was counted.
+  /// Counts a slot that another service of the server took. Returns false,
+  /// without counting it, if this gate does not have the server.
   bool recordSlotTaken(const BackendServerId &Server);
-  /// Counts a slot that this gate gave, or noted as taken, as free again. The
-  /// latency is learned from, unless Result is absent: the end of that try
-  /// says nothing about the server as this service sees it.
+  /// Counts a slot that was assigned here or recorded as taken as free again.
+  /// The latency is recorded unless Result is absent, which means that the end
+  /// of the try says nothing about the server for this service.
   void recordSlotReleased(const BackendServerId &Server,
                           std::optional<decide::RequestResult> Result,
                           Duration Latency);
-  /// Hands free slots to those who wait.
+  /// Assigns free slots to queued requests.
   void dispatchQueue();
-  /// Refuses those who wait and cannot make their deadline any more.
+  /// Rejects queued requests that can no longer meet their deadline.
   void sweep();
-  /// Forgets who waits without calling them, for the end of the process: they
-  /// hold this gate, so that neither would ever be freed.
+  /// Discards queued requests without calling them, at process exit. Their
+  /// callbacks own this gate, so the reference cycle would leak both.
   void clear();
 
   // Queries.
 
   const ServiceId &service() const { return Service_; }
-  /// How long one request takes in the mean; zero before the first.
+  /// Returns the mean duration of a request, or zero before the first one.
   Duration getMeanLatency() const;
   std::size_t getWaiting() const;
   GateView getView() const;
@@ -110,7 +110,8 @@
   AcquiredSlot chooseSlot(TimePoint Now, const ExcludedServer &Excluded);
   decide::SlotView getSlotView() const;
   bool canServe(TimePoint Now) const;
-  /// One waiter with its slot or its refusal; nullopt: nothing can be done.
+  /// Removes and returns the first queued request with its slot or rejection.
+  /// Returns nullopt if the queue is empty or no slot is free.
   std::optional<QueueResult> dequeueNext(TimePoint Now);
 
   const ServiceId Service_;
--- a/include/tulipweir/entry/ServiceRequest.h
+++ b/include/tulipweir/entry/ServiceRequest.h
@@ -1,7 +1,7 @@
-//===- ServiceRequest.h - A caller's request, checked ----------*- C++ -*-===//
+//===- ServiceRequest.h - Validated request of a caller --------*- C++ -*-===//
 //
-// What a caller asked for at /v1/services/..., as a typed value, and the
-// reading of it from HTTP.
+// A caller's request at /v1/services/..., and the function that reads it from
+// HTTP.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 
 namespace tulipweir::entry {
 
-/// Header names of the callers' API.
+/// Header names of the HTTP API for callers.
 namespace header {
 inline constexpr const char *Caller = "X-Tulipweir-Caller";
 inline constexpr const char *Deadline = "X-Tulipweir-Deadline-Ms";
@@ -35,34 +35,39 @@
 } // namespace header
 
 struct ServiceRequest {
-  std::string Id_; ///< Unique; sent to and echoed by the backend server.
+  std::string Id_; ///< Unique; the backend server returns it in its response.
   ServiceId Service_;
-  CallerId Caller_; ///< Empty when the caller gave no name.
+  CallerId Caller_; ///< Empty if the caller sent no name.
   TimePoint ArrivedAt_;
   TimePoint Deadline_;
   bool Repeatable_ = false; ///< May run more than once.
-  bool Hedged_ = false;     ///< Repeatable, and the service allows hedging.
-  /// The key under which it runs at most once; never with Repeatable_.
+  bool Hedged_ =
+      false; ///< The request is repeatable and the service allows hedging.
+  /// The key under which the request runs at most once. Never set together with
+  /// Repeatable_.
   std::optional<RequestKey> Key_;
-  /// Of a ticket: the data centre it names. A caller's own key has none.
+  /// The data centre named by the ticket. Absent for a caller's own key.
   std::optional<DataCentreId> TicketHome_;
-  Digest Digest_; ///< Of service, method, path, query and body; with a key.
-  /// As the backend server gets it, without the headers that change by try.
+  Digest Digest_; ///< Covers service, method, path, query and body; set if
+                  ///< there is a key.
+  /// The request for the backend server, without the headers that differ from
+  /// try to try.
   net::HttpRequest Forward_;
 };
 
-/// The key of the record; tickets and callers' own keys never meet.
+/// Returns the key of the record. Different prefixes keep tickets and callers'
+/// own keys apart.
 RequestKey makeRecordKey(std::string_view Text, bool IsTicket);
 
-/// A request or why it was refused.
+/// A valid request, or the result that rejects it.
 using ReadResult = std::variant<ServiceRequest, FinalResult>;
 
-/// Where service calls are found.
+/// The path prefix of service calls.
 inline constexpr const char *ServicePrefix = "/v1/services/";
 
-/// Reads a call below ServicePrefix against the bundle in force. Its deadline
-/// is at most MaxRequest after Now, whatever the caller and the bundle
-/// say.
+/// Reads a call under ServicePrefix against the bundle in force. Its deadline
+/// is at most MaxRequest after Now, even if the caller and the bundle allow
+/// more.
 ReadResult readServiceRequest(net::HttpRequest Request,
                               const Configuration &Config, std::string Id,
                               TimePoint Now, Duration MaxRequest);
--- a/include/tulipweir/entry/Ticket.h
+++ b/include/tulipweir/entry/Ticket.h
@@ -1,7 +1,8 @@
-//===- Ticket.h - Keys that an entry issues --------------------*- C++ -*-===//
+//===- Ticket.h - Request keys issued by an entry --------------*- C++ -*-===//
 //
-// A ticket is "<data centre>.<time ms>.<random>". The data centre is where its
-// record lives, and the time bounds how long that record must be kept.
+// A ticket has the form "<data centre>.<time ms>.<random>". The data centre
+// stores the ticket's record, and the time bounds how long the record must be
+// kept.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +26,7 @@
 
   static Ticket makeFor(const DataCentreId &Home, WallTime Now,
                         std::uint64_t RandomHigh, std::uint64_t RandomLow);
-  /// Reads a ticket's text; fails with InvalidArgument.
+  /// Parses a ticket. Fails with InvalidArgument.
   static Outcome<Ticket> parse(std::string_view Text);
   std::string toString() const;
   bool operator==(const Ticket &) const = default;
--- a/include/tulipweir/entry/Timers.h
+++ b/include/tulipweir/entry/Timers.h
@@ -1,6 +1,7 @@
-//===- Timers.h - Calling back later ---------------------------*- C++ -*-===//
+//===- Timers.h - Timer interface ------------------------------*- C++ -*-===//
 //
-// What the request path needs of timers, so that tests drive them by hand.
+// Declares the timers that the request path uses, so that tests can control
+// them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,11 +14,11 @@
 
 namespace tulipweir::entry {
 
-/// Implementations are thread-safe.
+/// Runs tasks after a delay. Implementations are thread-safe.
 class Timers {
 public:
   virtual ~Timers() = default;
-  /// Calls Task once, Delay from now, on any thread; never from inside here.
+  /// Calls Task once after Delay on any thread, never from within this call.
   virtual void runAfter(Duration Delay, std::function<void()> Task) = 0;
 };
 
--- a/src/entry/AnnouncementBatcher.cpp
+++ b/src/entry/AnnouncementBatcher.cpp
@@ -1,4 +1,4 @@
-//===- AnnouncementBatcher.cpp - Heartbeats, passed on together -----------===//
+//===- AnnouncementBatcher.cpp - Batches of heartbeats --------------------===//
 
 #include "tulipweir/entry/AnnouncementBatcher.h"
 
@@ -14,14 +14,15 @@
 using wire::BatchException;
 using wire::BatchVerdict;
 
-/// A batch goes out early once it has so many announcements.
+/// A batch is sent early when it reaches this number of announcements.
 static constexpr std::size_t MaxBatchSize = 512;
-/// Longer ones go alone, so that a batch always fits in a frame and nobody's
-/// heartbeat is lost by a neighbour's length.
+/// Longer announcements are sent individually, so that a batch always fits in a
+/// frame and one long announcement cannot block the heartbeats of other
+/// servers.
 static constexpr std::size_t MaxBatchedBytes = 8192;
 static constexpr Duration AcknowledgedTtl = std::chrono::minutes(2);
 
-/// The code with that stable name; Internal for an unknown one.
+/// Returns the error code with that name, or Internal for an unknown name.
 static ErrorCode findErrorCode(const std::string &Name) {
   constexpr int Last = static_cast<int>(ErrorCode::Internal);
   for (int Code = 0; Code <= Last; ++Code)
@@ -31,23 +32,23 @@
 }
 
 namespace {
-/// One announcement until it is answered.
+/// An announcement that has not been answered yet.
 struct PendingAnnouncement {
   wire::Announcement Announcement_;
   TimePoint Deadline_;
   ControlCallback<wire::Announcement> Done_;
-  bool Full_ = false;        ///< The leader asked for it.
-  std::uint64_t Number_ = 0; ///< Of it, or of what its digest stands on.
+  bool ForceFull_ = false;   ///< The leader requested it in full.
+  std::uint64_t Number_ = 0; ///< 0 if it is sent as a digest.
 };
 
-/// What was sent, in the order of the batch's positions.
+/// A batch and its announcements in the order of the batch's positions.
 struct OutgoingBatch {
   wire::AnnouncementBatch Batch_;
   std::vector<PendingAnnouncement> Items_;
-  std::vector<PendingAnnouncement> Individual_; ///< Not in the batch.
+  std::vector<PendingAnnouncement> Individual_; ///< Sent outside the batch.
 };
 
-/// A whole announcement that the leader has heard.
+/// A full announcement that the leader has acknowledged.
 struct AcknowledgedAnnouncement {
   std::uint64_t Number_ = 0;
   wire::Announcement Announcement_;
@@ -72,7 +73,8 @@
   }
 
 private:
-  /// Sees that a batch goes out by then. The lock is held.
+  /// Schedules a flush at Due unless an earlier one is scheduled. Requires
+  /// the lock.
   void scheduleFlush(TimePoint Due) {
     if (Due >= FlushAt_)
       return;
@@ -84,12 +86,12 @@
     });
   }
 
-  /// What the item may be a digest of; nullptr if it has to go whole. The lock
-  /// is held.
+  /// Returns the acknowledged announcement that a digest of Item can refer to,
+  /// or nullptr if Item must be sent in full. Requires the lock.
   const AcknowledgedAnnouncement *
   findDigestBase(const PendingAnnouncement &Item) const {
     const auto It = Acknowledged_.find(Item.Announcement_.Server_);
-    if (Item.Full_ || It == Acknowledged_.end())
+    if (Item.ForceFull_ || It == Acknowledged_.end())
       return nullptr;
     const AcknowledgedAnnouncement &Last = It->second;
     const Duration Age = Deps_.Clock_.now() - Last.AcknowledgedAt_;
@@ -107,11 +109,11 @@
     std::shared_ptr<OutgoingBatch> Outgoing;
     {
       const std::lock_guard Lock(Mutex_);
-      // An earlier batch took what this timer was for.
+      // An earlier flush already sent the announcements of this timer.
       if (Due != FlushAt_)
         return;
       FlushAt_ = TimePoint::max();
-      Outgoing = takeBatch();
+      Outgoing = makeBatch();
     }
     sendIndividually(std::move(Outgoing->Individual_));
     if (Outgoing->Items_.empty())
@@ -126,13 +128,13 @@
 
   Duration findTimeout(const std::vector<PendingAnnouncement> &Items) const {
     TimePoint Last = TimePoint::min();
-    for (const PendingAnnouncement &Each : Items)
-      Last = std::max(Last, Each.Deadline_);
+    for (const PendingAnnouncement &Item : Items)
+      Last = std::max(Last, Item.Deadline_);
     return std::max(Duration(1), Last - Deps_.Clock_.now());
   }
 
-  /// The lock is held.
-  std::shared_ptr<OutgoingBatch> takeBatch() {
+  /// Requires the lock.
+  std::shared_ptr<OutgoingBatch> makeBatch() {
     pruneAcknowledged();
     auto Outgoing = std::make_shared<OutgoingBatch>();
     Outgoing->Batch_.Entry_ = Deps_.Identity_.Entry_;
@@ -174,13 +176,13 @@
       return sendIndividually(std::move(Items));
     if (!Reply) {
       forgetAcknowledged(Items);
-      for (const PendingAnnouncement &Each : Items)
-        Each.Done_(Reply.as_failure());
+      for (const PendingAnnouncement &Item : Items)
+        Item.Done_(Reply.as_failure());
       return;
     }
     std::map<std::uint32_t, const BatchException *> Exceptions;
-    for (const BatchException &Each : Reply.value().Exceptions_)
-      Exceptions[Each.Position_] = &Each;
+    for (const BatchException &Exception : Reply.value().Exceptions_)
+      Exceptions[Exception.Position_] = &Exception;
     for (std::uint32_t Position = 0; Position < Items.size(); ++Position) {
       const auto It = Exceptions.find(Position);
       const BatchException *Exception =
@@ -189,22 +191,23 @@
     }
   }
 
-  /// Whether the leader heard these whole ones is open, and so what it still
-  /// holds of earlier ones.
+  /// Without a reply it is unknown whether the leader received these full
+  /// announcements, and therefore which earlier ones it still has.
   void forgetAcknowledged(const std::vector<PendingAnnouncement> &Items) {
     const std::lock_guard Lock(Mutex_);
-    for (const PendingAnnouncement &Each : Items)
-      if (Each.Number_ != 0)
-        Acknowledged_.erase(Each.Announcement_.Server_);
+    for (const PendingAnnouncement &Item : Items)
+      if (Item.Number_ != 0)
+        Acknowledged_.erase(Item.Announcement_.Server_);
   }
 
-  /// By the message that controls of earlier versions know too.
+  /// Uses the single announcement message, which control processes of earlier
+  /// versions support too.
   void sendIndividually(std::vector<PendingAnnouncement> Items) {
-    for (PendingAnnouncement &Each : Items) {
-      const Duration Remaining = Each.Deadline_ - Deps_.Clock_.now();
-      Deps_.Control_.announce(Each.Announcement_,
+    for (PendingAnnouncement &Item : Items) {
+      const Duration Remaining = Item.Deadline_ - Deps_.Clock_.now();
+      Deps_.Control_.announce(Item.Announcement_,
                               std::max(Duration(1), Remaining),
-                              std::move(Each.Done_));
+                              std::move(Item.Done_));
     }
   }
 
@@ -226,10 +229,10 @@
   }
 
   void sendFull(PendingAnnouncement Item) {
-    if (Item.Full_ || Deps_.Clock_.now() >= Item.Deadline_)
-      return Item.Done_(
-          fail(ErrorCode::Unavailable, "the leader asks for it once more"));
-    Item.Full_ = true;
+    if (Item.ForceFull_ || Deps_.Clock_.now() >= Item.Deadline_)
+      return Item.Done_(fail(ErrorCode::Unavailable,
+                             "the leader requests the full announcement"));
+    Item.ForceFull_ = true;
     const std::lock_guard Lock(Mutex_);
     Pending_.push_back(std::move(Item));
     scheduleFlush(Deps_.Clock_.now() + Deps_.Settings_.UrgentPeriod_);
@@ -244,7 +247,7 @@
       Last = {Item.Number_, Item.Announcement_, Deps_.Clock_.now()};
   }
 
-  /// The lock is held.
+  /// Requires the lock.
   void pruneAcknowledged() {
     const TimePoint Now = Deps_.Clock_.now();
     if (Now - PrunedAt_ < AcknowledgedTtl)
@@ -259,7 +262,7 @@
   std::mutex Mutex_;
   std::vector<PendingAnnouncement> Pending_; ///< Guarded by Mutex_, as below.
   std::map<BackendServerId, AcknowledgedAnnouncement> Acknowledged_;
-  TimePoint FlushAt_ = TimePoint::max(); ///< Of the next batch.
+  TimePoint FlushAt_ = TimePoint::max(); ///< The time of the next batch.
   std::uint64_t LastFullNumber_ = 0;
   TimePoint PrunedAt_{};
 };
--- a/src/entry/AnnouncementJson.cpp
+++ b/src/entry/AnnouncementJson.cpp
@@ -16,11 +16,11 @@
 
 static constexpr std::uint64_t MaxU32 =
     std::numeric_limits<std::uint32_t>::max();
-// JSON numbers of other languages are exact up to here only.
+// Larger integers are not exact in languages whose JSON numbers are doubles.
 static constexpr std::uint64_t MaxExact = (1ULL << 53) - 1;
 static constexpr std::uint64_t MaxPercent = 100;
 
-// In the order of the enum constants.
+// Indexed by enum value.
 static constexpr const char *StateNames[] = {"running", "finished", "failed",
                                              "stopped", "checkpointed"};
 static constexpr const char *KindNames[] = {"start", "stop", "checkpoint",
@@ -39,7 +39,7 @@
           {"accelerators", Amount.Accelerators_}};
 }
 
-// Reads the three fields that name one attempt under its lease.
+// Reads the task, attempt number and fencing token of a lease.
 static void readLease(JsonReader &From, TaskId &Task, AttemptNumber &Attempt,
                       FencingToken &Token) {
   From.readObject(
@@ -133,7 +133,7 @@
   return Result;
 }
 
-// Reads a list of objects, each with Read.
+// Reads a list of objects with Read.
 template <class Element, class Reader>
 static void readObjects(JsonReader &From, const char *Name,
                         std::size_t MaxCount, std::vector<Element> &Target,
@@ -159,7 +159,7 @@
 static Outcome<Message> parse(std::string_view Text, Reader Read) {
   const json Document = json::parse(Text, nullptr, /*allow_exceptions=*/false);
   if (Document.is_discarded())
-    return fail(ErrorCode::Malformed, "the body is no JSON");
+    return fail(ErrorCode::Malformed, "the body is not valid JSON");
   FirstError Problem;
   JsonReader From(Document, "", Problem);
   Message Result = Read(From, Problem);
@@ -169,7 +169,7 @@
   return Result;
 }
 
-// Invalid UTF-8 in opaque text is replaced, since JSON cannot carry it.
+// Replaces invalid UTF-8 in opaque text, because JSON cannot represent it.
 static std::string dump(const json &Document) {
   return Document.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -196,7 +196,7 @@
           Announcement.Services_.emplace_back(Element.get<std::string>());
         else
           From.report(ErrorCode::InvalidArgument, Place.substr(1),
-                      "must be a service's name");
+                      "must be the name of a service");
       });
   From.readNumber("slots", Announcement.Slots_, Limits::MaxSlots);
   From.readNumber("connections", Announcement.Connections_, Limits::MaxSlots);
--- a/src/entry/AnswerCheck.cpp
+++ b/src/entry/AnswerCheck.cpp
@@ -11,18 +11,18 @@
 static constexpr unsigned FirstFailedStatus = 500;
 
 static TryResult checkFailure(const net::HttpResult &Result) {
-  TryResult Verdict;
+  TryResult Classification;
   if (Result.Stage_ == net::HttpStage::NothingSent) {
-    Verdict.End_ = TryEnd::NotRun;
-    Verdict.Reason_ = RequestReason::ServersRefused;
-    return Verdict;
+    Classification.End_ = TryEnd::NotRun;
+    Classification.Reason_ = RequestReason::ServersRefused;
+    return Classification;
   }
   const ErrorCode Code = Result.Response_.error().Code_;
   if (Code == ErrorCode::Timeout)
-    Verdict.Reason_ = RequestReason::AnswerLate;
+    Classification.Reason_ = RequestReason::AnswerLate;
   else if (Code == ErrorCode::Malformed || Code == ErrorCode::TooLarge)
-    Verdict.Reason_ = RequestReason::AnswerInvalid;
-  return Verdict;
+    Classification.Reason_ = RequestReason::AnswerInvalid;
+  return Classification;
 }
 
 TryResult entry::checkAnswer(const net::HttpResult &Result,
@@ -30,24 +30,25 @@
   if (!Result.Response_)
     return checkFailure(Result);
   const net::HttpResponse &Response = Result.Response_.value();
-  TryResult Verdict;
-  // The id comes first: a refusal of another request says nothing of ours.
+  TryResult Classification;
+  // The id is checked first: a busy response to another request says nothing
+  // about this one.
   if (Response.findHeader(header::RequestId) != RequestId) {
-    Verdict.Reason_ = RequestReason::AnswerInvalid;
-    Verdict.WrongId_ = true;
-    return Verdict;
+    Classification.Reason_ = RequestReason::AnswerInvalid;
+    Classification.WrongId_ = true;
+    return Classification;
   }
   const bool Busy = Response.Status_ == BusyStatus &&
                     Response.findHeader(header::NotRun) == "1";
   if (Busy) {
-    Verdict.End_ = TryEnd::NotRun;
-    Verdict.Reason_ = RequestReason::ServersRefused;
-    Verdict.ServerResult_ = decide::RequestResult::Busy;
-    return Verdict;
+    Classification.End_ = TryEnd::NotRun;
+    Classification.Reason_ = RequestReason::ServersRefused;
+    Classification.ServerResult_ = decide::RequestResult::Busy;
+    return Classification;
   }
-  Verdict.End_ = TryEnd::Whole;
-  Verdict.Reason_ = RequestReason::Answered;
+  Classification.End_ = TryEnd::Complete;
+  Classification.Reason_ = RequestReason::Answered;
   if (Response.Status_ < FirstFailedStatus)
-    Verdict.ServerResult_ = decide::RequestResult::Served;
-  return Verdict;
+    Classification.ServerResult_ = decide::RequestResult::Served;
+  return Classification;
 }
--- a/src/entry/AnswerCheck.h
+++ b/src/entry/AnswerCheck.h
@@ -1,7 +1,7 @@
-//===- AnswerCheck.h - What the end of one try means -----------*- C++ -*-===//
+//===- AnswerCheck.h - Classification of responses -------------*- C++ -*-===//
 //
-// Decides from how far an exchange got, and from what came back, whether the
-// request was answered, was certainly not run, or may have run.
+// Decides from the progress of an HTTP exchange and from its response whether
+// the request was answered, certainly did not run, or may have run.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,16 +17,16 @@
 namespace tulipweir::entry {
 
 enum class TryEnd : std::uint8_t {
-  Whole,     ///< A whole answer to this very request.
-  NotRun,    ///< Certainly not run: nothing was sent, or it was refused busy.
-  MayHaveRun ///< Anything else.
+  Complete,  ///< A complete response to this request arrived.
+  NotRun,    ///< Certainly not run: nothing was sent, or the server was busy.
+  MayHaveRun ///< Any other end.
 };
 
 struct TryResult {
   TryEnd End_ = TryEnd::MayHaveRun;
   RequestReason Reason_ = RequestReason::AnswerLost;
   decide::RequestResult ServerResult_ = decide::RequestResult::Failed;
-  bool WrongId_ = false; ///< The answer belongs to another request.
+  bool WrongId_ = false; ///< The response has the id of another request.
 };
 
 TryResult checkAnswer(const net::HttpResult &Result,
--- a/src/entry/CallerLimits.cpp
+++ b/src/entry/CallerLimits.cpp
@@ -5,13 +5,13 @@
 using namespace tulipweir;
 using namespace tulipweir::entry;
 
-// Names that callers make up share one bucket beyond this many per shard, so
-// that they cannot fill the memory.
+// The maximum number of buckets per shard. Further names share one bucket, so
+// that callers cannot exhaust the memory with invented names.
 static constexpr std::size_t MaxBucketsPerShard = 10'000;
 
 static const CallerId &getWildcardCaller() {
-  static const CallerId BucketName("*");
-  return BucketName;
+  static const CallerId Wildcard("*");
+  return Wildcard;
 }
 
 static const fleet::CallerLimit *findLimit(const Configuration &Config,
--- a/src/entry/CallersApi.cpp
+++ b/src/entry/CallersApi.cpp
@@ -31,7 +31,7 @@
   if (Config)
     return std::nullopt;
   return FinalResult::makeNotRun(RequestReason::NotServing,
-                                 "this entry holds no bundle yet",
+                                 "this entry has no bundle yet",
                                  NotServingRetryAfter);
 }
 
@@ -43,7 +43,7 @@
   if (!Wait)
     return std::nullopt;
   return FinalResult::makeNotRun(RequestReason::CallerLimit,
-                                 "the caller is over its limit", *Wait);
+                                 "the caller exceeded its rate limit", *Wait);
 }
 
 static bool hasKey(const net::HttpRequest &Request) {
@@ -51,14 +51,14 @@
          !Request.findHeader(header::Ticket).empty();
 }
 
-// Before its record was asked, nothing is known of earlier attempts under the
-// key, so "not run" would say too much. A malformed request has no key.
+// Until the record has been read, earlier attempts with the key are unknown, so
+// "not run" could be false. A malformed request has no valid key.
 static FinalResult makeUnknownForKey(FinalResult Refusal) {
   if (Refusal.Reason_ == RequestReason::BadRequest)
     return Refusal;
   Refusal.Outcome_ = RequestOutcome::Unknown;
-  Refusal.Message_ += "; this attempt was not run, an earlier one with this "
-                      "key may have been";
+  Refusal.Message_ +=
+      "; this attempt did not run, but an earlier one with this key may have";
   return Refusal;
 }
 
@@ -98,7 +98,7 @@
   if (Request.Method_ != "POST")
     return Respond(net::HttpResponse::makeJson(
         MethodNotAllowed,
-        R"({"error":"bad-request","message":"POST takes a ticket"})"));
+        R"({"error":"bad-request","message":"use POST to get a ticket"})"));
   const std::shared_ptr<const Configuration> Config =
       Deps_.Configuration_.get();
   if (!Config) {
--- a/src/entry/Configuration.cpp
+++ b/src/entry/Configuration.cpp
@@ -8,19 +8,21 @@
 Outcome<Configuration>
 Configuration::makeFrom(const wire::SignedBundle &Signed) {
   if (fleet::computeDigest(Signed.Text_) != Signed.Digest_)
-    return fail(ErrorCode::Corrupt, "the bundle's text has another digest");
+    return fail(ErrorCode::Corrupt,
+                "the digest does not match the bundle's text");
   fleet::BundleCheck Check = fleet::checkBundle(Signed.Text_);
   if (Check.Bundle_.empty()) {
     const std::string Place =
         Check.Problems_.empty() ? "" : Check.Problems_.front().Place_;
-    return fail(ErrorCode::InvalidArgument, "the bundle is wrong at " + Place);
+    return fail(ErrorCode::InvalidArgument,
+                "the bundle is invalid at " + Place);
   }
   Configuration Result;
   Result.Bundle_ = std::move(Check.Bundle_.front());
   Result.Digest_ = Signed.Digest_;
   if (Result.Bundle_.Version_ != Signed.Version_)
     return fail(ErrorCode::VersionMismatch,
-                "the bundle's text names another version");
+                "the version does not match the bundle's text");
   for (const fleet::ServiceConfig &Service : Result.Bundle_.Services_)
     Result.Services_.emplace(Service.Service_, Service);
   for (const fleet::CallerLimit &Limit : Result.Bundle_.CallerLimits_)
@@ -42,7 +44,7 @@
     return std::move(Checked).as_failure();
   auto Next = std::make_shared<const Configuration>(std::move(Checked.value()));
   std::lock_guard Lock(Mutex_);
-  // Another thread may have adopted a newer one meanwhile.
+  // Another thread may have adopted a newer bundle in the meantime.
   if (Current_ && Current_->Bundle_.Version_ >= Next->Bundle_.Version_)
     return false;
   Current_ = std::move(Next);
--- a/src/entry/ControlClient.cpp
+++ b/src/entry/ControlClient.cpp
@@ -8,5 +8,6 @@
 void ControlClient::announceBatch(
     const wire::AnnouncementBatch &, Duration,
     ControlCallback<wire::AnnouncementBatch> Done) {
-  Done(fail(ErrorCode::VersionMismatch, "batches are not known"));
+  Done(fail(ErrorCode::VersionMismatch,
+            "announcement batches are not supported"));
 }
--- a/src/entry/ControlProxy.cpp
+++ b/src/entry/ControlProxy.cpp
@@ -67,21 +67,23 @@
     Respond(renderError(Error::make(Code, std::move(Message))));
   };
   if (Request.Method_ != "POST")
-    return Refuse(ErrorCode::InvalidArgument, "POST an announcement");
+    return Refuse(ErrorCode::InvalidArgument,
+                  "use POST to send an announcement");
   const Outcome<wire::Announcement> Parsed = parseAnnouncement(Request.Body_);
   if (!Parsed)
     return Refuse(Parsed.error().Code_, Parsed.error().Message_);
   const wire::Announcement &Announcement = Parsed.value();
   if (Announcement.DataCentre_ != Identity_.DataCentre_)
-    return Refuse(ErrorCode::InvalidArgument,
-                  "this entry is of data centre " +
-                      Identity_.DataCentre_.value() +
-                      "; announce to an entry of your own");
+    return Refuse(
+        ErrorCode::InvalidArgument,
+        "this entry belongs to data centre " + Identity_.DataCentre_.value() +
+            "; send the announcement to an entry of your own data centre");
   if (const auto Address = net::Endpoint::parse(Announcement.Address_);
       !Address)
     return Refuse(ErrorCode::InvalidArgument,
                   "/address: " + Address.error().Message_);
-  // No need to wait for the leader's next table.
+  // Draining applies at once, without waiting for the leader's next route
+  // table.
   if (Announcement.Draining_)
     Router_.markDraining(Announcement.Server_, Announcement.Boot_);
   Batcher_.announce(Announcement, AnnounceTimeout,
@@ -90,7 +92,8 @@
                       if (!Reply) {
                         Metrics_.AnnouncementsFailed_.add();
                         Error Problem = Reply.error();
-                        // A backend server has to come back either way.
+                        // The backend server has to announce itself again in
+                        // both cases.
                         if (Problem.Code_ == ErrorCode::Timeout)
                           Problem.Code_ = ErrorCode::Unavailable;
                         return Respond(renderError(Problem));
@@ -101,7 +104,7 @@
                     });
 }
 
-// A long poll says itself how long it may take.
+// A long poll passes its duration in the query, which is added to the timeout.
 static Duration findTimeout(const net::HttpRequest &Request) {
   const std::string Text = Request.findQuery("waitMs");
   std::int64_t WaitMs = 0;
--- a/src/entry/Entry.cpp
+++ b/src/entry/Entry.cpp
@@ -71,16 +71,17 @@
 
 void Entry::beginStop() {
   if (!Flags_.Stopping_.exchange(true))
-    spdlog::info("stopping with {} in progress", getInProgress());
+    spdlog::info("stopping with {} requests and records in progress",
+                 getInProgress());
 }
 
 std::string Entry::explainUnready() const {
   if (Flags_.Stopping_)
     return "stopping";
   if (!Configuration_.get())
-    return "no bundle from a control process yet";
+    return "no bundle received from a control process yet";
   if (Clock_.now() >= Flags_.GrantsExpireAt_.load())
-    return "the grants ran out: no leader answers";
+    return "the grants expired: no leader replies";
   if (Router_.lacksSlots())
     return "no slot of any backend server yet";
   return "";
--- a/src/entry/FinalResult.cpp
+++ b/src/entry/FinalResult.cpp
@@ -1,4 +1,4 @@
-//===- FinalResult.cpp --------------------------------------------------===//
+//===- FinalResult.cpp ----------------------------------------------------===//
 
 #include "tulipweir/entry/FinalResult.h"
 
@@ -17,7 +17,7 @@
   unsigned Status_;
 };
 
-// In the order of RequestReason.
+// Indexed by RequestReason.
 static constexpr std::array<ReasonInfo, RequestReasonCount> Reasons{{
     {"answered", 200},         {"replayed", 200},
     {"bad-request", 400},      {"unknown-service", 404},
@@ -32,7 +32,7 @@
     {"home-unreachable", 504},
 }};
 
-// In the order of RequestOutcome.
+// Indexed by RequestOutcome.
 static constexpr std::array<std::string_view, RequestOutcomeCount> Outcomes{
     "served", "not-run", "unknown"};
 
@@ -82,8 +82,9 @@
                      RetryAfter);
 }
 
-// Retry-After is in whole seconds; rounding down would bring callers too soon.
-// What is under a millisecond does not count, or 1 s and 1 ns would become 2.
+// Retry-After is in whole seconds and is rounded up, so that callers do not
+// retry too early. Fractions of a millisecond are dropped first, so that 1 s +
+// 1 ns does not become 2 s.
 static std::string formatRetryAfter(Duration RetryAfter) {
   using std::chrono::seconds;
   const auto Whole = std::chrono::floor<std::chrono::milliseconds>(RetryAfter);
--- a/src/entry/HeaderFilter.cpp
+++ b/src/entry/HeaderFilter.cpp
@@ -11,7 +11,8 @@
 using namespace tulipweir;
 using namespace tulipweir::entry;
 
-// Headers between two neighbours only, which are not forwarded.
+// Hop-by-hop headers and headers that each HTTP message sets itself. They are
+// not forwarded.
 static constexpr std::array<std::string_view, 11> HopHeaders{
     "connection", "content-length",   "expect",
     "host",       "keep-alive",       "proxy-connection",
--- a/src/entry/HeaderFilter.h
+++ b/src/entry/HeaderFilter.h
@@ -1,7 +1,6 @@
-//===- HeaderFilter.h - Which headers are passed on ------------*- C++ -*-===//
+//===- HeaderFilter.h - Filter for forwarded headers -----------*- C++ -*-===//
 //
-// Headers between two neighbours only, and our own, are not passed on in
-// either direction.
+// Removes hop-by-hop headers and X-Tulipweir headers in both directions.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/entry/KeyedSender.cpp
+++ b/src/entry/KeyedSender.cpp
@@ -16,7 +16,7 @@
 static constexpr Duration BeginTimeout = milliseconds(1500);
 static constexpr Duration MinBeginBackoff = milliseconds(10);
 static constexpr Duration MaxBeginBackoff = milliseconds(200);
-// The answer waits for its record this long at most.
+// The maximum time that a response waits for its record.
 static constexpr Duration MaxRecordWait = seconds(1);
 static constexpr Duration RecordRetryAfter = seconds(1);
 static constexpr Duration RunningRetryAfter = milliseconds(500);
@@ -24,31 +24,30 @@
 static FinalResult makeHomeUnreachable() {
   return FinalResult::makeUnknown(
       RequestReason::HomeUnreachable,
-      "the key's record is in a data centre that this entry cannot reach; "
-      "this attempt was not run, an earlier one with this key may have been",
+      "the key's record is in a data centre that this entry cannot reach; this "
+      "attempt did not run, but an earlier one with this key may have",
       RecordRetryAfter);
 }
 
 static FinalResult makeRecordUnavailable() {
   return FinalResult::makeUnknown(
       RequestReason::RecordUnavailable,
-      "the key's record could not be asked; this attempt was not run, an "
-      "earlier one with this key may have been",
+      "the key's record could not be read; this attempt did not run, but an "
+      "earlier one with this key may have",
       RecordRetryAfter);
 }
 
 static FinalResult makeRunningElsewhere() {
-  return FinalResult::makeUnknown(
-      RequestReason::RunningElsewhere,
-      "an earlier attempt with this key is still running; ask again with the "
-      "same key",
-      RunningRetryAfter);
+  return FinalResult::makeUnknown(RequestReason::RunningElsewhere,
+                                  "an earlier attempt with this key is still "
+                                  "running; retry with the same key",
+                                  RunningRetryAfter);
 }
 
 static FinalResult makeConflict() {
   return FinalResult::makeNotRun(
       RequestReason::KeyConflict,
-      "the key stands for another request; take a new key for a new request");
+      "the key belongs to another request; use a new key for a new request");
 }
 
 static FinalResult makeReplay(const wire::StoredAnswer &Stored) {
@@ -67,7 +66,8 @@
           Answer.Body_};
 }
 
-// Ends that are about the owner's own deadline and say nothing to others.
+// Returns whether the reason depends on the owner's deadline, so that it does
+// not apply to the attached requests.
 static bool isSpecificToOwner(RequestReason Reason) {
   return Reason == RequestReason::TooLate ||
          Reason == RequestReason::DeadlinePassed ||
@@ -76,8 +76,8 @@
 
 namespace {
 
-/// One keyed request at this entry. Its steps follow one another, so nothing
-/// here needs a lock but the race between record and patience.
+/// One request with a key at this entry. Its steps run one after the other, so
+/// only the race between the record and MaxRecordWait needs an atomic flag.
 class KeyedRequest : public std::enable_shared_from_this<KeyedRequest> {
 public:
   KeyedRequest(const KeyedSenderDependencies &Deps,
@@ -150,10 +150,10 @@
   void onBegin(Outcome<wire::BeginRequestReply> Reply) {
     if (!Reply)
       return onBeginFailed(Reply.error());
-    wire::BeginRequestReply &Value = Reply.value();
-    switch (Value.Disposition_) {
+    wire::BeginRequestReply &BeginReply = Reply.value();
+    switch (BeginReply.Disposition_) {
     case RequestDisposition::Run:
-      Attempt_ = Value.Attempt_;
+      Attempt_ = BeginReply.Attempt_;
       return Deps_.Plain_.send(Request_,
                                [Self = shared_from_this()](FinalResult Result) {
                                  Self->onResult(std::move(Result));
@@ -161,22 +161,22 @@
     case RequestDisposition::Running:
       return retryBegin();
     case RequestDisposition::Replay:
-      if (Value.Answer_)
-        return end(makeReplay(*Value.Answer_));
+      if (BeginReply.Answer_)
+        return end(makeReplay(*BeginReply.Answer_));
       break;
     case RequestDisposition::Conflict:
       return end(makeConflict());
     case RequestDisposition::Expired:
       return end(FinalResult::makeUnknown(
           RequestReason::KeyExpired,
-          "the ticket is too old, and its record may be gone; this attempt was "
-          "not run"));
+          "the ticket has expired and its record may have been deleted; this "
+          "attempt did not run"));
     case RequestDisposition::Unknown:
       break;
     }
     end(FinalResult::makeUnknown(
         RequestReason::RecordUnknown,
-        "it began once, and how it ended was not recorded; it will not be run "
+        "the request began once and its end was not recorded; it will not run "
         "again under this key"));
   }
 
@@ -184,9 +184,9 @@
     if (Problem.Code_ == ErrorCode::InvalidArgument)
       return end(
           FinalResult::makeNotRun(RequestReason::BadRequest, Problem.Message_));
-    // It may have begun without our knowing: then it is given back.
+    // The Begin may have taken effect; if so, it is abandoned.
     if (Problem.Code_ == ErrorCode::Timeout)
-      abandonUncertainBegin(makeWriterParts(), makeBegin());
+      abandonUncertainBegin(makeWriterDependencies(), makeBegin());
     end(makeRecordUnavailable());
   }
 
@@ -200,7 +200,7 @@
         [Self = shared_from_this()] { Self->sendBegin(); });
   }
 
-  RecordWriterDependencies makeWriterParts() const {
+  RecordWriterDependencies makeWriterDependencies() const {
     return {*Home_, Deps_.Timers_, Deps_.Clock_, Deps_.Metrics_,
             PendingRecords_};
   }
@@ -208,18 +208,20 @@
   void onResult(FinalResult Result) {
     if (Result.Outcome_ == RequestOutcome::Served)
       return recordServed(std::move(Result));
-    // The caller is told at once: what it is told holds whatever becomes of
-    // the record. An unwritten Abandon only makes a resend hear "unknown".
+    // The caller gets its result before the record is written, because the
+    // result is valid either way. If Abandon is not recorded, a repeated
+    // request only gets "unknown".
     const RequestOutcome FinalOutcome = Result.Outcome_;
     end(std::move(Result));
     if (FinalOutcome == RequestOutcome::NotRun)
-      return writeAbandon(makeWriterParts(), {*Request_->Key_, Attempt_});
-    writeFinish(makeWriterParts(), {*Request_->Key_, Attempt_, std::nullopt},
-                [](bool) {});
+      return writeAbandon(makeWriterDependencies(),
+                          {*Request_->Key_, Attempt_});
+    writeFinish(makeWriterDependencies(),
+                {*Request_->Key_, Attempt_, std::nullopt}, [](bool) {});
   }
 
-  // The answer goes out once it is recorded, or when the patience is over:
-  // it is true in any case, and without a record a resend is told "unknown".
+  // The response is returned when it is recorded or after MaxRecordWait. It is
+  // valid either way; without a record, a repeated request gets "unknown".
   void recordServed(FinalResult Result) {
     wire::FinishRequest Finish{*Request_->Key_, Attempt_,
                                toStoredAnswer(Result.Answer_)};
@@ -227,7 +229,7 @@
     const Duration Remaining = Request_->Deadline_ - Deps_.Clock_.now();
     const Duration Wait =
         std::clamp<Duration>(Remaining, Duration::zero(), MaxRecordWait);
-    writeFinish(makeWriterParts(), std::move(Finish),
+    writeFinish(makeWriterDependencies(), std::move(Finish),
                 [Self = shared_from_this()](bool Recorded) {
                   Self->respondServed(Recorded);
                 });
@@ -246,8 +248,8 @@
     end(std::move(Answer_));
   }
 
-  // Those who attached come after the owner; the key is free before either,
-  // so that a resend right after the answer finds the record.
+  // Frees the key and answers the attached requests before the owner, so that a
+  // request sent right after the owner's response finds the record.
   void end(FinalResult Result) {
     const ResultCallback Done = std::move(Done_);
     Deps_.Table_.end(*Request_->Key_, Result);
@@ -270,8 +272,8 @@
 } // namespace
 
 void KeyedSender::send(SharedRequest Request, ResultCallback Done) {
-  assert(Request->Key_ && "only requests with a key are recorded");
-  // Unique within this incarnation, and never 0.
+  assert(Request->Key_ && "the request must have a key");
+  // The nonce is unique within this incarnation and never 0.
   const std::uint64_t Nonce = ++Nonces_;
   std::make_shared<KeyedRequest>(Deps_, PendingRecords_, Nonce,
                                  std::move(Request), std::move(Done))
--- a/src/entry/LeaderClient.cpp
+++ b/src/entry/LeaderClient.cpp
@@ -11,19 +11,20 @@
 using namespace tulipweir::entry;
 using std::chrono::milliseconds;
 
-// After every process was tried once: an election takes about this long.
+// The pause after every process was tried once, which is about the duration of
+// an election.
 static constexpr Duration RoundPause = milliseconds(50);
-// A process that says nothing for so long is passed over for the next one.
+// A process that does not reply within this time is skipped.
 static constexpr Duration TryTimeout = milliseconds(400);
 
-/// One call on its way through the control processes.
+/// A call that is being sent to the control processes in turn.
 struct LeaderClient::Call {
   wire::MessageKind Kind_;
   std::string Body_;
   TimePoint Deadline_;
-  bool Idempotent_ = true;       ///< May be asked again after a timeout.
-  std::size_t TriedInRound_ = 0; ///< Processes asked in this round.
-  /// A try timed out, so whether the call took effect is open for good.
+  bool Idempotent_ = true;       ///< The call may be repeated after a timeout.
+  std::size_t TriedInRound_ = 0; ///< The processes tried in this round.
+  /// A try timed out, so it stays unknown whether the call took effect.
   bool MayHaveTakenEffect_ = false;
   std::function<void(Outcome<std::string>)> Done_;
 };
@@ -34,11 +35,11 @@
        const Clock &Clock)
       : Links_(std::move(Links)), Timers_(Timers), Clock_(Clock) {}
 
-  void start(std::shared_ptr<Call> Value) {
+  void start(std::shared_ptr<Call> Pending) {
     if (Links_.empty())
-      return Value->Done_(
+      return Pending->Done_(
           fail(ErrorCode::Unavailable, "no control process is configured"));
-    callProcess(std::move(Value), Leader_.load());
+    callProcess(std::move(Pending), Leader_.load());
   }
 
   std::string getLeaderName() const {
@@ -46,56 +47,56 @@
   }
 
 private:
-  void callProcess(std::shared_ptr<Call> Value, std::size_t Index) {
-    const Duration Remaining = Value->Deadline_ - Clock_.now();
+  void callProcess(std::shared_ptr<Call> Pending, std::size_t Index) {
+    const Duration Remaining = Pending->Deadline_ - Clock_.now();
     if (Remaining <= Duration::zero())
-      return failCall(*Value);
-    ++Value->TriedInRound_;
+      return failCall(*Pending);
+    ++Pending->TriedInRound_;
     const Duration CallTimeout =
-        Value->Idempotent_ ? std::min(Remaining, TryTimeout) : Remaining;
-    Links_[Index]->call(
-        Value->Kind_, Value->Body_, CallTimeout,
-        [Self = shared_from_this(), Value, Index](Outcome<std::string> Reply) {
-          Self->onReply(Value, Index, std::move(Reply));
-        });
+        Pending->Idempotent_ ? std::min(Remaining, TryTimeout) : Remaining;
+    Links_[Index]->call(Pending->Kind_, Pending->Body_, CallTimeout,
+                        [Self = shared_from_this(), Pending,
+                         Index](Outcome<std::string> Reply) {
+                          Self->onReply(Pending, Index, std::move(Reply));
+                        });
   }
 
-  void onReply(const std::shared_ptr<Call> &Value, std::size_t Index,
+  void onReply(const std::shared_ptr<Call> &Pending, std::size_t Index,
                Outcome<std::string> Reply) {
     if (Reply) {
       Leader_ = Index;
       LeaderKnown_ = true;
-      return Value->Done_(std::move(Reply));
+      return Pending->Done_(std::move(Reply));
     }
     const Error &Problem = Reply.error();
     const bool TimedOut = Problem.Code_ == ErrorCode::Timeout;
     const bool NotHandled = Problem.Code_ == ErrorCode::NotLeader ||
                             Problem.Code_ == ErrorCode::Unavailable;
     if (TimedOut)
-      Value->MayHaveTakenEffect_ = true;
-    if (NotHandled || (TimedOut && Value->Idempotent_))
-      return retryElsewhere(Value, Index, Problem);
+      Pending->MayHaveTakenEffect_ = true;
+    if (NotHandled || (TimedOut && Pending->Idempotent_))
+      return retryElsewhere(Pending, Index, Problem);
     if (TimedOut)
       updateLeaderHint(Index, (Index + 1) % Links_.size());
-    Value->Done_(std::move(Reply));
+    Pending->Done_(std::move(Reply));
   }
 
-  // Whoever asks next starts where this call is sent next.
+  // Makes the next call start at the process that this call tries next.
   void updateLeaderHint(std::size_t From, std::size_t To) {
     Leader_.compare_exchange_strong(From, To);
   }
 
-  void retryElsewhere(const std::shared_ptr<Call> &Value, std::size_t Index,
+  void retryElsewhere(const std::shared_ptr<Call> &Pending, std::size_t Index,
                       const Error &Problem) {
     const std::size_t Next = findNext(Index, Problem);
     updateLeaderHint(Index, Next);
-    if (Value->TriedInRound_ <= Links_.size())
-      return callProcess(Value, Next);
-    if (Value->Deadline_ - Clock_.now() <= RoundPause)
-      return failCall(*Value);
-    Value->TriedInRound_ = 0;
-    Timers_.runAfter(RoundPause, [Self = shared_from_this(), Value, Next] {
-      Self->callProcess(Value, Next);
+    if (Pending->TriedInRound_ <= Links_.size())
+      return callProcess(Pending, Next);
+    if (Pending->Deadline_ - Clock_.now() <= RoundPause)
+      return failCall(*Pending);
+    Pending->TriedInRound_ = 0;
+    Timers_.runAfter(RoundPause, [Self = shared_from_this(), Pending, Next] {
+      Self->callProcess(Pending, Next);
     });
   }
 
@@ -107,11 +108,11 @@
     return (Index + 1) % Links_.size();
   }
 
-  static void failCall(const Call &Value) {
-    if (Value.MayHaveTakenEffect_)
-      return Value.Done_(
+  static void failCall(const Call &Pending) {
+    if (Pending.MayHaveTakenEffect_)
+      return Pending.Done_(
           fail(ErrorCode::Timeout, "no leader answered in time"));
-    Value.Done_(fail(ErrorCode::Unavailable, "no leader was found in time"));
+    Pending.Done_(fail(ErrorCode::Unavailable, "no leader was found in time"));
   }
 
   std::vector<std::unique_ptr<ControlLink>> Links_;
@@ -130,11 +131,11 @@
 LeaderClient::~LeaderClient() = default;
 
 template <class Request>
-void LeaderClient::send(const Request &Value, Duration Timeout,
+void LeaderClient::send(const Request &Message, Duration Timeout,
                         ControlCallback<Request> Done) {
   auto Pending = std::make_shared<Call>();
   Pending->Kind_ = Request::Kind;
-  Pending->Body_ = wire::encode(Value);
+  Pending->Body_ = wire::encode(Message);
   Pending->Deadline_ = Impl_->Clock_.now() + Timeout;
   Pending->Idempotent_ = !std::is_same_v<Request, wire::OperatorCall>;
   Pending->Done_ = [Done = std::move(Done)](Outcome<std::string> Body) {
--- a/src/entry/RecordHomes.cpp
+++ b/src/entry/RecordHomes.cpp
@@ -17,7 +17,7 @@
 RecordHomes::RecordHomes(
     std::map<DataCentreId, std::shared_ptr<ControlClient>> Clients)
     : Clients_(std::move(Clients)) {
-  assert(!Clients_.empty() && "the own data centre is always known");
+  assert(!Clients_.empty() && "the entry's own data centre must be configured");
 }
 
 const DataCentreId &RecordHomes::findHome(const RequestKey &Key) const {
--- a/src/entry/RecordWriter.cpp
+++ b/src/entry/RecordWriter.cpp
@@ -11,12 +11,13 @@
 
 static constexpr Duration CallTimeout = seconds(1);
 static constexpr Duration RetryPause = milliseconds(100);
-// Afterwards the record stays begun; the home ends it when this process does.
+// After this time the record stays in the begun state; the home ends it when
+// this process ends.
 static constexpr Duration RetryPeriod = seconds(20);
 
 namespace {
 
-/// Repeats one idempotent call until it is answered.
+/// Retries one idempotent call until it is answered.
 template <class Request>
 class RetriedCall : public std::enable_shared_from_this<RetriedCall<Request>> {
 public:
@@ -70,7 +71,7 @@
 }
 
 void entry::writeFinish(const RecordWriterDependencies &Deps,
-                        wire::FinishRequest Finish, RecordDone Done) {
+                        wire::FinishRequest Finish, RecordCallback Done) {
   callWithRetries<wire::FinishRequest>(
       Deps, &ControlClient::finish, std::move(Finish),
       [Done = std::move(Done)](const Outcome<wire::RecordReply> &Reply) {
--- a/src/entry/RecordWriter.h
+++ b/src/entry/RecordWriter.h
@@ -1,7 +1,7 @@
-//===- RecordWriter.h - Recording the end of a keyed request ---*- C++ -*-===//
+//===- RecordWriter.h - Writes to request records --------------*- C++ -*-===//
 //
-// Writes Finish and Abandon to the home's log, again and again until the log
-// answered or the patience is over. Both are idempotent there.
+// Sends Finish and Abandon to the home's log and retries until it replies or
+// the retry period ends. Both calls are idempotent there.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,20 +23,20 @@
   Timers &Timers_;
   const Clock &Clock_;
   EntryMetrics &Metrics_;
-  /// Counts what is being written; shared, since a call that never ends may
-  /// outlive the sender when the process stops.
+  /// The number of writes in progress. It is shared because a call that never
+  /// completes may outlive the sender when the process stops.
   std::shared_ptr<std::atomic<std::uint64_t>> Pending_;
 };
 
-/// Told once: whether the record stands as written.
-using RecordDone = std::function<void(bool Recorded)>;
+/// Called once with whether the end was recorded.
+using RecordCallback = std::function<void(bool Recorded)>;
 
 void writeFinish(const RecordWriterDependencies &Deps,
-                 wire::FinishRequest Finish, RecordDone Done);
+                 wire::FinishRequest Finish, RecordCallback Done);
 void writeAbandon(const RecordWriterDependencies &Deps,
                   wire::AbandonRequest Abandon);
-/// After a Begin without a reply: asks again by the same nonce until the log
-/// says how it stands, and gives it back if it had begun.
+/// Resolves a Begin that got no reply: repeats it with the same nonce until the
+/// log replies, and abandons the request if it had begun.
 void abandonUncertainBegin(const RecordWriterDependencies &Deps,
                            wire::BeginRequest Begin);
 
--- a/src/entry/Reporter.cpp
+++ b/src/entry/Reporter.cpp
@@ -38,7 +38,8 @@
     Deps_.Control_.report(
         Last, ReportTimeout,
         [Done = std::move(Done)](const Outcome<wire::EntryReportReply> &Reply) {
-          spdlog::info("grants {}", Reply ? "given back" : "left to run out");
+          spdlog::info("grants {}",
+                       Reply ? "returned to the leader" : "left to expire");
           Done();
         });
   }
@@ -63,7 +64,7 @@
       return;
     setHasLeader(Reply.has_value());
     const bool SendFull = Reply && Reply.value().SendFull_;
-    // Not even a grant follows from such a reply.
+    // A reply that requests a full report does not extend any grant either.
     if (Reply && !SendFull)
       adopt(Reply.value(), SentAt, ReportedVersion);
     KnownVersion_ = Reply && !SendFull ? Reply.value().RoutesVersion_ : 0;
@@ -86,7 +87,8 @@
 
   void adopt(const wire::EntryReportReply &Reply, TimePoint SentAt,
              std::uint64_t ReportedVersion) {
-    // The bundle first: its services need their gates before the routes come.
+    // The bundle is adopted first, because its services need their gates before
+    // the routes are applied.
     if (Reply.Bundle_)
       adoptBundle(*Reply.Bundle_);
     if (Deps_.Router_.adopt(Reply, SentAt, ReportedVersion))
@@ -111,7 +113,7 @@
   const ReporterDependencies Deps_;
   std::atomic<bool> Stopped_{false};
   std::atomic<bool> HasLeader_{false};
-  /// The version that the last reply named; 0 if there was none.
+  /// The route version of the last reply, or 0 if there was none.
   std::atomic<std::uint64_t> KnownVersion_{0};
 };
 
--- a/src/entry/RequestSender.cpp
+++ b/src/entry/RequestSender.cpp
@@ -13,19 +13,21 @@
 using std::chrono::milliseconds;
 
 static constexpr std::size_t MaxTries = 4;
-// When servers refuse, a slot is likely to be free after some requests' time.
+// When servers are busy, a slot is likely to be free after the time of a few
+// requests.
 static constexpr Duration RefusedRetryAfter = milliseconds(200);
 static constexpr Duration LostRetryAfter = milliseconds(100);
-// A hedge goes out when an answer takes this many times the mean.
+// A hedge is sent when a response takes this multiple of the mean latency.
 static constexpr int HedgeAfterMeans = 3;
 static constexpr Duration MinHedgeDelay = milliseconds(2);
-// Without hedging, a try is replaced at half its time if it is this slow.
+// Without hedging, a try is replaced after this multiple of the mean latency,
+// but not before half of the remaining time.
 static constexpr int ReplaceAfterMeans = 4;
 
 namespace {
 
-/// One request on its way. The mutex guards the members below it; nothing is
-/// called with it held.
+/// The execution of one request. The mutex guards the members below it, and no
+/// calls are made with it held.
 class RequestExecution : public std::enable_shared_from_this<RequestExecution> {
 public:
   RequestExecution(const RequestSenderDependencies &Deps, SharedRequest Request,
@@ -44,8 +46,7 @@
   struct Try {
     HeldSlot Held_;
     TimePoint SentAt_;
-    std::uint64_t ExchangeId_ =
-        0; ///< Of the exchange, for cancel; 0: not known.
+    std::uint64_t ExchangeId_ = 0; ///< The id for cancel; 0 until it is known.
     bool Open_ = true;
     bool Cancelled_ = false;
   };
@@ -90,8 +91,8 @@
       scheduleSecondTry(Now);
   }
 
-  // Nothing more is sent once the caller has its answer, which may have been
-  // "not run"; nullopt then.
+  // Returns nullopt once the caller has its result: it may be "not run", so
+  // nothing may be sent after it.
   std::optional<std::size_t> addTry(const HeldSlot &Held, TimePoint Now) {
     std::lock_guard Lock(Mutex_);
     if (Finished_)
@@ -106,12 +107,12 @@
     net::HttpRequest Forward = Request_->Forward_;
     const auto Remaining =
         std::chrono::floor<milliseconds>(Request_->Deadline_ - Now);
-    const auto LeftMs = std::max<std::int64_t>(1, Remaining.count());
-    Forward.Headers_.push_back({header::Deadline, std::to_string(LeftMs)});
+    const auto RemainingMs = std::max<std::int64_t>(1, Remaining.count());
+    Forward.Headers_.push_back({header::Deadline, std::to_string(RemainingMs)});
     return Forward;
   }
 
-  // The request may have ended while send had not yet returned its number.
+  // The request may have ended before send returned the exchange id.
   void setExchangeId(std::size_t Index, std::uint64_t ExchangeId) {
     bool Superseded = false;
     {
@@ -125,7 +126,7 @@
   }
 
   void onTryEnd(std::size_t Index, net::HttpResult Result) {
-    const TryResult Verdict = checkAnswer(Result, Request_->Id_);
+    const TryResult Classification = checkAnswer(Result, Request_->Id_);
     const TimePoint Now = Deps_.Clock_.now();
     HeldSlot Held;
     Duration Latency{};
@@ -137,29 +138,31 @@
       Ended.Open_ = false;
       Held = std::move(Ended.Held_);
       Latency = Now - Ended.SentAt_;
-      Cancelled = Ended.Cancelled_ && Verdict.End_ != TryEnd::Whole;
+      Cancelled = Ended.Cancelled_ && Classification.End_ != TryEnd::Complete;
       Last = --OpenTries_ == 0;
-      MayHaveRun_ |= Verdict.End_ == TryEnd::MayHaveRun;
+      MayHaveRun_ |= Classification.End_ == TryEnd::MayHaveRun;
       LastServer_ = Held.Slot_->server();
     }
-    if (Verdict.WrongId_) {
+    if (Classification.WrongId_) {
       Deps_.Metrics_.WrongIds_.add();
-      // Its connections are out of step: none of them is used again.
+      // The responses on the server's connections are out of order, so none of
+      // them is reused.
       Deps_.Client_.forget(Held.Slot_->address());
     }
-    if (Verdict.End_ == TryEnd::Whole) {
+    if (Classification.End_ == TryEnd::Complete) {
       Deps_.Metrics_.BackendLatency_.record(Latency);
       finish(FinalResult::makeServed(std::move(Result.Response_.value())));
     }
-    Deps_.Router_.release(
-        Held, Cancelled ? classifyCancelled(Latency) : Verdict.ServerResult_,
-        Latency);
-    if (Verdict.End_ != TryEnd::Whole && Last)
-      retryOrFail(Verdict.Reason_);
+    Deps_.Router_.release(Held,
+                          Cancelled ? classifyCancelled(Latency)
+                                    : Classification.ServerResult_,
+                          Latency);
+    if (Classification.End_ != TryEnd::Complete && Last)
+      retryOrFail(Classification.Reason_);
   }
 
-  // A try that lost against its hedge was slow, if it lasted; a hedge that lost
-  // at once was not.
+  // A cancelled try counts as slow if it lasted longer than the mean latency. A
+  // hedge that was cancelled early says nothing about its server.
   std::optional<decide::RequestResult>
   classifyCancelled(Duration Latency) const {
     if (Latency <= Gate_->getMeanLatency())
@@ -200,14 +203,14 @@
                           : std::max(Mean * ReplaceAfterMeans, Remaining / 2);
     if (Mean == Duration::zero() || Delay >= Remaining)
       return;
-    // Weak: the timer must not keep what has long been answered.
+    // A weak pointer, so that the timer does not keep a finished request alive.
     Deps_.Timers_.runAfter(Delay, [Weak = weak_from_this()] {
       if (const std::shared_ptr<RequestExecution> Self = Weak.lock())
         Self->startSecondTry();
     });
   }
 
-  // Beside the first try when hedging is allowed, in its place otherwise.
+  // Starts a hedge if hedging is allowed, and otherwise replaces the first try.
   void startSecondTry() {
     ExcludedServer Excluded;
     {
@@ -237,32 +240,33 @@
       std::lock_guard Lock(Mutex_);
       if (!Tries_[Index].Open_)
         return;
-      // It was slow until now; that is learned, so it is no silent end.
+      // The try is not marked as cancelled, so that its latency is recorded.
       ExchangeId = Tries_[Index].ExchangeId_;
     }
     Deps_.Client_.cancel(ExchangeId);
   }
 
-  // Ends without an answer. What may have run is never called not run. That
-  // no try is open, and that none will be, is settled under one lock.
+  // Ends the request without a response. A request that may have run is never
+  // reported as "not run". The checks that no try is open and that none can
+  // follow use the same lock.
   void failRequest(RequestReason Reason, Duration RetryAfter) {
     bool MayHaveRun = false;
     ResultCallback Done;
     {
       std::lock_guard Lock(Mutex_);
       if (Finished_ || OpenTries_ > 0)
-        return; // Another try may still bring the answer.
+        return; // Another try may still return a response.
       Finished_ = true;
       MayHaveRun = MayHaveRun_;
       Done = std::move(Done_);
     }
     if (!MayHaveRun)
-      return Done(FinalResult::makeNotRun(Reason, "no backend server ran it",
-                                          RetryAfter));
+      return Done(FinalResult::makeNotRun(
+          Reason, "no backend server ran the request", RetryAfter));
     const bool HasUnknownStatus = getReasonStatus(Reason) == UnknownStatus;
     Done(FinalResult::makeUnknown(
         HasUnknownStatus ? Reason : RequestReason::AnswerLost,
-        "it was sent, and no whole answer came back", RetryAfter));
+        "the request was sent, but no complete response arrived", RetryAfter));
   }
 
   void finish(FinalResult Result) {
@@ -274,11 +278,11 @@
         return;
       Done = std::move(Done_);
       for (std::size_t Index = 0; Index < TryCount_; ++Index) {
-        Try &Other = Tries_[Index];
-        if (!Other.Open_ || Other.ExchangeId_ == 0)
+        Try &OpenTry = Tries_[Index];
+        if (!OpenTry.Open_ || OpenTry.ExchangeId_ == 0)
           continue;
-        Other.Cancelled_ = true;
-        Superseded[Index] = Other.ExchangeId_;
+        OpenTry.Cancelled_ = true;
+        Superseded[Index] = OpenTry.ExchangeId_;
       }
     }
     Done(std::move(Result));
@@ -294,7 +298,7 @@
   ResultCallback Done_;
   const std::shared_ptr<ServiceGate> Gate_;
   std::mutex Mutex_;
-  std::array<Try, MaxTries + 1> Tries_; ///< One more for a hedge.
+  std::array<Try, MaxTries + 1> Tries_; ///< Includes one hedge.
   std::size_t TryCount_ = 0;
   std::size_t OpenTries_ = 0;
   bool MayHaveRun_ = false;
--- a/src/entry/RequestTable.cpp
+++ b/src/entry/RequestTable.cpp
@@ -8,7 +8,7 @@
 using namespace tulipweir::entry;
 
 RequestTable::RequestTable(std::size_t Shards) {
-  assert(Shards > 0 && "a table needs a shard");
+  assert(Shards > 0 && "the table needs at least one shard");
   for (std::size_t Index = 0; Index < Shards; ++Index)
     Shards_.push_back(std::make_unique<Shard>());
 }
@@ -39,19 +39,19 @@
     Shard &KeyShard = findShard(Key);
     std::lock_guard Lock(KeyShard.Mutex_);
     const auto It = KeyShard.Keys_.find(Key);
-    assert(It != KeyShard.Keys_.end() && "ended without an owner");
+    assert(It != KeyShard.Keys_.end() && "the key has no owner");
     Waiting = std::move(It->second.AttachedRequests_);
     KeyShard.Keys_.erase(It);
   }
-  for (const Attached &One : Waiting)
-    One.Callback_(&Result);
+  for (const Attached &Request : Waiting)
+    Request.Callback_(&Result);
 }
 
 void RequestTable::sweep(TimePoint Now) {
   std::vector<Attached> Expired;
-  for (const std::unique_ptr<Shard> &One : Shards_) {
-    std::lock_guard Lock(One->Mutex_);
-    for (auto &[Key, State] : One->Keys_)
+  for (const std::unique_ptr<Shard> &TableShard : Shards_) {
+    std::lock_guard Lock(TableShard->Mutex_);
+    for (auto &[Key, State] : TableShard->Keys_)
       std::erase_if(State.AttachedRequests_, [&](Attached &Waiting) {
         if (Now < Waiting.Deadline_)
           return false;
@@ -65,18 +65,18 @@
 
 std::size_t RequestTable::getOwnerCount() const {
   std::size_t Count = 0;
-  for (const std::unique_ptr<Shard> &One : Shards_) {
-    std::lock_guard Lock(One->Mutex_);
-    Count += One->Keys_.size();
+  for (const std::unique_ptr<Shard> &TableShard : Shards_) {
+    std::lock_guard Lock(TableShard->Mutex_);
+    Count += TableShard->Keys_.size();
   }
   return Count;
 }
 
 std::size_t RequestTable::getWaiterCount() const {
   std::size_t Count = 0;
-  for (const std::unique_ptr<Shard> &One : Shards_) {
-    std::lock_guard Lock(One->Mutex_);
-    for (const auto &[Key, State] : One->Keys_)
+  for (const std::unique_ptr<Shard> &TableShard : Shards_) {
+    std::lock_guard Lock(TableShard->Mutex_);
+    for (const auto &[Key, State] : TableShard->Keys_)
       Count += State.AttachedRequests_.size();
   }
   return Count;
--- a/src/entry/Router.cpp
+++ b/src/entry/Router.cpp
@@ -39,19 +39,20 @@
   assignServers();
 }
 
-// What the leader's account rests on (SlotLedger.h): a reply to a report that
-// named something else than what is held now would raise what is held beyond
-// what is accounted to this entry.
+// The leader's slot accounting (SlotLedger.h) relies on this check: applying a
+// reply to a report that contained another version than the one in use now
+// could raise this entry's slots above those accounted to it.
 bool Router::canAdopt(const wire::EntryReportReply &Reply, TimePoint SentAt,
                       std::uint64_t ReportedVersion,
                       TimePoint ExpiresAt) const {
   const TimePoint Now = Clock_.now();
-  const std::uint64_t Held = getUsableVersion(Now);
-  if (SentAt <= AdoptedAt_ || Held != ReportedVersion || Now >= ExpiresAt)
+  const std::uint64_t UsableVersion = getUsableVersion(Now);
+  if (SentAt <= AdoptedAt_ || UsableVersion != ReportedVersion ||
+      Now >= ExpiresAt)
     return false;
   if (Reply.Routes_)
     return Reply.RoutesVersion_ >= HighestVersion_;
-  return Held != 0 && Reply.RoutesVersion_ == Held;
+  return UsableVersion != 0 && Reply.RoutesVersion_ == UsableVersion;
 }
 
 bool Router::adopt(const wire::EntryReportReply &Reply, TimePoint SentAt,
@@ -77,8 +78,8 @@
   return true;
 }
 
-// A server of another boot or address is another server: what is in flight to
-// the old one ends on its own.
+// A server with another boot, address or set of services is a new server.
+// Requests in flight to the previous one run to their end.
 void Router::replaceServers(const std::vector<wire::Route> &Routes,
                             TimePoint ExpiresAt) {
   std::map<ServerKey, std::shared_ptr<ServerSlots>> Next;
@@ -185,7 +186,7 @@
   return {Version, listGrants(Version)};
 }
 
-/// The lock is held.
+/// Requires the lock.
 std::vector<wire::GrantHeld> Router::listGrants(std::uint64_t Version) const {
   std::vector<wire::GrantHeld> Grants = listRemovedGrants();
   Grants.reserve(Servers_.size() + Grants.size());
@@ -195,16 +196,16 @@
   return Grants;
 }
 
-/// The lock is held.
+/// Requires the lock.
 std::vector<wire::GrantHeld> Router::listRemovedGrants() const {
   std::vector<wire::GrantHeld> Grants;
   for (const std::shared_ptr<ServerSlots> &Server : RemovedServers_)
-    if (wire::GrantHeld Each = Server->toGrantHeld(); Each.InFlight_ > 0)
-      Grants.push_back(withoutSlots(std::move(Each)));
+    if (wire::GrantHeld Grant = Server->toGrantHeld(); Grant.InFlight_ > 0)
+      Grants.push_back(withoutSlots(std::move(Grant)));
   return Grants;
 }
 
-/// The lock is held.
+/// Requires the lock.
 std::string Router::packInFlight() const {
   std::string Packed;
   std::size_t Used = 0;
@@ -238,15 +239,15 @@
 
 bool Router::lacksSlots() const {
   std::shared_lock Lock(Mutex_);
-  bool Any = false;
-  for (const auto &[Key, Each] : Servers_) {
-    if (Each->isDraining() || Each->services().empty())
+  bool HasServer = false;
+  for (const auto &[Key, Server] : Servers_) {
+    if (Server->isDraining() || Server->services().empty())
       continue;
-    if (Each->getLimit() > 0)
+    if (Server->getLimit() > 0)
       return false;
-    Any = true;
+    HasServer = true;
   }
-  return Any;
+  return HasServer;
 }
 
 std::vector<GateView> Router::listViews() const {
--- a/src/entry/ServerSlots.cpp
+++ b/src/entry/ServerSlots.cpp
@@ -16,8 +16,8 @@
   Slots_ = Route.Slots_;
   Connections_ = Route.Connections_;
   ExpiresAt_ = ExpiresAt;
-  // Never back from draining in one boot: the announcement that said so may be
-  // newer than the leader's table.
+  // Draining is never undone within one boot, because the announcement that set
+  // it may be newer than the leader's route table.
   if (Route.Draining_)
     Draining_ = true;
 }
@@ -38,7 +38,7 @@
 
 void ServerSlots::releaseSlot() {
   [[maybe_unused]] const std::uint32_t Before = InFlight_.fetch_sub(1);
-  assert(Before > 0 && "a slot was given back twice");
+  assert(Before > 0 && "a slot was released twice");
 }
 
 wire::GrantHeld ServerSlots::toGrantHeld() const {
--- a/src/entry/ServiceGate.cpp
+++ b/src/entry/ServiceGate.cpp
@@ -8,7 +8,8 @@
 using namespace tulipweir::entry;
 using std::chrono::milliseconds;
 
-// No server has slots for us: the next report may bring some.
+// The retry time when no server has slots for this entry. The next report may
+// bring some.
 static constexpr Duration NoServersRetryAfter = milliseconds(1000);
 static constexpr double DefaultRetryBudget = 0.1;
 static constexpr int MaxChooseTries = 3;
@@ -46,7 +47,7 @@
 
 AcquiredSlot ServiceGate::chooseSlot(TimePoint Now,
                                      const ExcludedServer &Excluded) {
-  // A chosen server's slots may have gone to another service meanwhile.
+  // Another service may take the last slot of the chosen server first.
   for (int Try = 0; Try < MaxChooseTries; ++Try) {
     const std::optional<BackendServerId> Chosen =
         Chooser_.choose(Now, Excluded);
@@ -61,13 +62,14 @@
   return nullptr;
 }
 
-// Whether waiting makes sense: some grant holds, and it has slots.
+// Returns whether a queued request can get a slot: a grant is valid and there
+// are slots.
 bool ServiceGate::canServe(TimePoint Now) const {
   if (Chooser_.totalSlots() == 0)
     return false;
-  return std::any_of(Servers_.begin(), Servers_.end(), [Now](const auto &One) {
-    return Now < One.second->getExpiry();
-  });
+  return std::any_of(
+      Servers_.begin(), Servers_.end(),
+      [Now](const auto &Server) { return Now < Server.second->getExpiry(); });
 }
 
 void ServiceGate::acquireSlot(TimePoint Deadline,
@@ -83,7 +85,7 @@
       Answer.RetryAfter_ = NoServersRetryAfter;
     } else if (!Answer.Slot_) {
       decide::SlotView Slots = getSlotView();
-      Slots.Free_ = 0; // What is free is not for this request.
+      Slots.Free_ = 0; // This request cannot use the free slots.
       const decide::AdmissionAnswer Decision =
           Admission_.ask(Now, Deadline, Slots);
       if (Decision.Choice_ == decide::AdmissionChoice::Queue) {
@@ -142,7 +144,8 @@
   SlotResult Answer;
   const Duration Remaining = First.Deadline_ - Now;
   if (Remaining <= Duration::zero() || Remaining < Chooser_.meanLatency()) {
-    // Its answer would come too late: the slot is for one that can use it.
+    // The response would miss the deadline, so the slot is left to a request
+    // that can use it.
     Admission_.noteGivenUp();
     Answer.Reason_ = RequestReason::TooLate;
     Answer.RetryAfter_ = Admission_.ask(Now, Now, getSlotView()).RetryAfter_;
@@ -151,7 +154,7 @@
     Answer.RetryAfter_ = NoServersRetryAfter;
   } else {
     Answer.Slot_ = chooseSlot(Now, First.Excluded_);
-    // Better the server that was tried before than to hold up the queue.
+    // Reusing the excluded server is better than blocking the queue.
     if (!Answer.Slot_ && First.Excluded_)
       Answer.Slot_ = chooseSlot(Now, std::nullopt);
     if (!Answer.Slot_)
@@ -183,21 +186,21 @@
     const TimePoint Now = Clock_.now();
     const TimePoint Latest = Now + Chooser_.meanLatency();
     std::deque<Waiter> Kept;
-    for (Waiter &One : Queue_) {
-      if (One.Deadline_ > Latest) {
-        Kept.push_back(std::move(One));
+    for (Waiter &Waiting : Queue_) {
+      if (Waiting.Deadline_ > Latest) {
+        Kept.push_back(std::move(Waiting));
         continue;
       }
       Admission_.noteGivenUp();
       SlotResult Answer;
       Answer.Reason_ = RequestReason::TooLate;
       Answer.RetryAfter_ = Admission_.ask(Now, Now, getSlotView()).RetryAfter_;
-      Expired.push_back({std::move(One.Done_), std::move(Answer)});
+      Expired.push_back({std::move(Waiting.Done_), std::move(Answer)});
     }
     Queue_ = std::move(Kept);
   }
-  for (QueueResult &One : Expired)
-    One.Done_(std::move(One.Answer_));
+  for (QueueResult &Refusal : Expired)
+    Refusal.Done_(std::move(Refusal.Answer_));
   dispatchQueue();
 }
 
--- a/src/entry/ServiceRequest.cpp
+++ b/src/entry/ServiceRequest.cpp
@@ -33,8 +33,8 @@
   return refuse(RequestReason::BadRequest, std::move(Message));
 }
 
-// Every part is preceded by its length, so that no two requests collide by
-// moving bytes from one part to the next.
+// Each part is prefixed with its length, so that moving bytes between adjacent
+// parts changes the digest.
 static Digest computeRequestDigest(const ServiceId &Service,
                                    const net::HttpRequest &Request) {
   std::string Text;
@@ -50,8 +50,7 @@
 
 namespace {
 
-/// Reads the headers one after the other; each step returns a refusal or
-/// nothing.
+/// Reads a request step by step. Each step returns the rejection or nullopt.
 class Reader {
 public:
   Reader(net::HttpRequest Request, const Configuration &Config, std::string Id,
@@ -65,9 +64,8 @@
   ReadResult read() {
     using Step = std::optional<FinalResult> (Reader::*)();
     static constexpr Step Steps[] = {
-        &Reader::readPath,       &Reader::readCaller,
-        &Reader::readDeadline,   &Reader::readIdempotencyKey,
-        &Reader::readRepeatable, &Reader::readBody};
+        &Reader::readPath, &Reader::readCaller,     &Reader::readDeadline,
+        &Reader::readKey,  &Reader::readRepeatable, &Reader::readBody};
     for (const Step CurrentStep : Steps)
       if (std::optional<FinalResult> Refusal = (this->*CurrentStep)())
         return std::move(*Refusal);
@@ -85,7 +83,7 @@
     Service_ = Config_.findService(Result_.Service_);
     if (!Service_)
       return refuse(RequestReason::UnknownService,
-                    "the bundle in force names no such service");
+                    "the bundle in force has no such service");
     return std::nullopt;
   }
 
@@ -122,7 +120,7 @@
     return std::nullopt;
   }
 
-  std::optional<FinalResult> readIdempotencyKey() {
+  std::optional<FinalResult> readKey() {
     const std::string_view Key = Request_.findHeader(header::IdempotencyKey);
     const std::string_view Ticket = Request_.findHeader(header::Ticket);
     if (!Key.empty() && !Ticket.empty())
@@ -140,7 +138,7 @@
         return refuseBadRequest(Read.error().Message_);
       Result_.TicketHome_ = Read.value().Home_;
     }
-    // The prefixes keep a caller's own key from passing for a ticket.
+    // The prefixes prevent a caller's own key from being taken for a ticket.
     Result_.Key_ = makeRecordKey(Text, /*IsTicket=*/!Ticket.empty());
     KeyText_ = Text;
     Result_.Digest_ = computeRequestDigest(Result_.Service_, Request_);
