--- a/tests/entry/AnnouncementBatcherTest.cpp
+++ b/tests/entry/AnnouncementBatcherTest.cpp
@@ -13,7 +13,7 @@
 using std::chrono::seconds;
 using wire::BatchVerdict;
 
-/// Answers batches as Answer_ says; single announcements as FakeControl.
+/// Answers batches with Next_, and single announcements like FakeControl.
 class BatchControl final : public FakeControl {
 public:
   using FakeControl::FakeControl;
@@ -32,14 +32,15 @@
 
 class AnnouncementBatcherTest : public testing::Test {
 protected:
-  /// One announcement of a server with one running attempt, and all its time.
+  /// Sends an announcement with one running attempt and advances the clock
+  /// until it is answered.
   const Outcome<wire::AnnouncementReply> &announce(const char *Server = "s") {
-    wire::Announcement &Value = Values_[Server];
-    Value.Server_ = BackendServerId(Server);
-    Value.Attempts_.resize(1);
-    ++Value.Sequence_;
+    wire::Announcement &Announcement = Announcements_[Server];
+    Announcement.Server_ = BackendServerId(Server);
+    Announcement.Attempts_.resize(1);
+    ++Announcement.Sequence_;
     Reply_ = fail(ErrorCode::Internal, "no answer");
-    Batcher_.announce(Value, milliseconds(500),
+    Batcher_.announce(Announcement, milliseconds(500),
                       [this](const auto &Reply) { Reply_ = Reply; });
     Timers_.advance(milliseconds(300));
     return Reply_;
@@ -47,11 +48,11 @@
   std::vector<wire::AnnouncementDigest> digests() const {
     return wire::unpackDigests(Control_.Batches_.back().Digests_).value();
   }
-  void except(BatchVerdict Verdict) {
-    wire::BatchException Other;
-    Other.Verdict_ = Verdict;
-    Other.Error_ = getErrorName(ErrorCode::InvalidArgument);
-    Control_.Next_.value().Exceptions_ = {Other};
+  void replyWithException(BatchVerdict Verdict) {
+    wire::BatchException Exception;
+    Exception.Verdict_ = Verdict;
+    Exception.Error_ = getErrorName(ErrorCode::InvalidArgument);
+    Control_.Next_.value().Exceptions_ = {Exception};
   }
 
   ManualClock Clock_;
@@ -62,26 +63,27 @@
                                 Timers_,
                                 Clock_,
                                 {}}};
-  std::map<std::string, wire::Announcement> Values_;
+  std::map<std::string, wire::Announcement> Announcements_;
   Outcome<wire::AnnouncementReply> Reply_ = fail(ErrorCode::Internal, "");
 };
 
-TEST_F(AnnouncementBatcherTest, TheFirstGoesWholeTheNextOnesAsDigests) {
+TEST_F(AnnouncementBatcherTest, FirstAnnouncementIsFullLaterOnesAreDigests) {
   EXPECT_EQ(announce().value().Renewals_.size(), 1U);
-  EXPECT_EQ(Control_.Batches_.back().Full_.at(0).Value_, Values_["s"]);
+  EXPECT_EQ(Control_.Batches_.back().Full_.at(0).Value_, Announcements_["s"]);
   announce();
-  EXPECT_EQ(announce().value(), wire::makeUsualReply(Values_["s"], 3000, 500));
+  EXPECT_EQ(announce().value(),
+            wire::makeUsualReply(Announcements_["s"], 3000, 500));
   EXPECT_TRUE(Control_.Batches_.back().Full_.empty());
   EXPECT_EQ(digests(), (std::vector<wire::AnnouncementDigest>{{1, 2}}));
 }
 
-TEST_F(AnnouncementBatcherTest, ManyServersShareOneBatch) {
+TEST_F(AnnouncementBatcherTest, ManyServersAreSentInOneBatch) {
   for (const char *Server : {"a", "b", "c"})
     announce(Server);
   const std::size_t Before = Control_.Batches_.size();
   for (const char *Server : {"c", "a", "b"}) {
-    ++Values_[Server].Sequence_;
-    Batcher_.announce(Values_[Server], seconds(1), [](const auto &) {});
+    ++Announcements_[Server].Sequence_;
+    Batcher_.announce(Announcements_[Server], seconds(1), [](const auto &) {});
   }
   Timers_.advance(milliseconds(200));
   EXPECT_EQ(Control_.Batches_.size(), Before + 1);
@@ -89,24 +91,26 @@
             (std::vector<wire::AnnouncementDigest>{{1, 1}, {2, 1}, {3, 1}}));
 }
 
-TEST_F(AnnouncementBatcherTest, NewsAndAgeGoWholeUnderANewNumber) {
+TEST_F(AnnouncementBatcherTest,
+       ChangedOrOldAnnouncementIsSentInFullWithANewNumber) {
   announce();
-  Values_["s"].Draining_ = true;
+  Announcements_["s"].Draining_ = true;
   announce();
   EXPECT_EQ(Control_.Batches_.back().Full_.at(0).Number_, 2U);
-  Values_["s"].Attempts_[0].Usage_ = Resources::makeFor(0, 0);
+  Announcements_["s"].Attempts_[0].Usage_ = Resources::makeFor(0, 0);
   Timers_.advance(seconds(61));
   announce();
   EXPECT_EQ(Control_.Batches_.back().Full_.at(0).Number_, 3U);
-  Values_["s"].ServiceReports_.resize(1);
+  Announcements_["s"].ServiceReports_.resize(1);
   announce();
   EXPECT_EQ(Control_.Batches_.back().Full_.at(0).Number_, 4U);
 }
 
-TEST_F(AnnouncementBatcherTest, NewMeasuresWaitForTheRefresh) {
-  Values_["s"].ServiceReports_ = {{ServiceId("v"), 100, 1000, 900, 10, 0}};
+TEST_F(AnnouncementBatcherTest, NewMeasurementsAreSentAfterTheRefreshPeriod) {
+  Announcements_["s"].ServiceReports_ = {
+      {ServiceId("v"), 100, 1000, 900, 10, 0}};
   announce();
-  Values_["s"].ServiceReports_[0].LoadPercent_ = 50;
+  Announcements_["s"].ServiceReports_[0].LoadPercent_ = 50;
   announce();
   EXPECT_TRUE(Control_.Batches_.back().Full_.empty());
   Timers_.advance(seconds(10));
@@ -114,45 +118,47 @@
   EXPECT_EQ(Control_.Batches_.back().Full_.size(), 1U);
 }
 
-TEST_F(AnnouncementBatcherTest, AnUnknownNumberIsSentWholeAtOnce) {
+TEST_F(AnnouncementBatcherTest, UnknownNumberIsResentInFullAtOnce) {
   announce();
-  except(BatchVerdict::SendFull);
+  replyWithException(BatchVerdict::SendFull);
   EXPECT_EQ(announce().value().Renewals_.size(), 1U);
   EXPECT_EQ(Control_.Batches_.size(), 3U);
-  EXPECT_EQ(Control_.Batches_.back().Full_.at(0).Value_, Values_["s"]);
-  // A leader that asks again for what it just got is not asked for ever.
+  EXPECT_EQ(Control_.Batches_.back().Full_.at(0).Value_, Announcements_["s"]);
+  // A leader that repeatedly requests the full announcement does not cause an
+  // endless loop.
   Control_.Next_ = wire::AnnouncementBatchReply{3000, 500, {}};
   announce();
   EXPECT_EQ(digests().size(), 1U);
 }
 
-TEST_F(AnnouncementBatcherTest, ExceptionsReplaceTheUsualAnswer) {
+TEST_F(AnnouncementBatcherTest, ExceptionsReplaceTheDefaultReply) {
   announce();
-  except(BatchVerdict::Differs);
+  replyWithException(BatchVerdict::Differs);
   EXPECT_TRUE(announce().value().Renewals_.empty());
-  except(BatchVerdict::Refused);
+  replyWithException(BatchVerdict::Refused);
   EXPECT_EQ(announce().error().Code_, ErrorCode::InvalidArgument);
 }
 
-TEST_F(AnnouncementBatcherTest, AfterALostAnswerTheNextGoesWhole) {
+TEST_F(AnnouncementBatcherTest, NextAnnouncementAfterALostReplyIsFull) {
   announce();
-  Values_["s"].Slots_ = 9;
+  Announcements_["s"].Slots_ = 9;
   Control_.Next_ = fail(ErrorCode::Timeout, "lost");
   EXPECT_EQ(announce().error().Code_, ErrorCode::Timeout);
-  Values_["s"].Slots_ = 0;
+  Announcements_["s"].Slots_ = 0;
   announce();
   EXPECT_EQ(Control_.Batches_.back().Full_.size(), 1U);
 }
 
-TEST_F(AnnouncementBatcherTest, AVeryLongOneGoesAloneSoThatBatchesFit) {
-  Values_["s"].Attempts_.resize(1);
-  Values_["s"].Attempts_[0].Checkpoint_.assign(9000, 'x');
+TEST_F(AnnouncementBatcherTest, LargeAnnouncementIsSentOutsideTheBatch) {
+  Announcements_["s"].Attempts_.resize(1);
+  Announcements_["s"].Attempts_[0].Checkpoint_.assign(9000, 'x');
   EXPECT_EQ(announce().value().LeaseTtlMs_, 6000U);
   EXPECT_EQ(Control_.Announcements_.size(), 1U);
   EXPECT_TRUE(Control_.Batches_.empty());
 }
 
-TEST_F(AnnouncementBatcherTest, AnEarlierControlGetsThemOneByOne) {
+TEST_F(AnnouncementBatcherTest,
+       ControlWithoutBatchSupportGetsSingleAnnouncements) {
   Control_.Next_ = fail(ErrorCode::VersionMismatch, "");
   EXPECT_EQ(announce().value().LeaseTtlMs_, 6000U);
   EXPECT_EQ(Control_.Announcements_.size(), 1U);
--- a/tests/entry/AnnouncementJsonTest.cpp
+++ b/tests/entry/AnnouncementJsonTest.cpp
@@ -7,19 +7,19 @@
 using namespace tulipweir;
 using namespace tulipweir::entry;
 
-static wire::Announcement makeFull() {
-  wire::Announcement Value;
-  Value.Server_ = BackendServerId("vm-1");
-  Value.Boot_ = BootId("b7");
-  Value.DataCentre_ = DataCentreId("crest-1");
-  Value.Rack_ = RackId("r2");
-  Value.Address_ = "127.0.0.1:80";
-  Value.Capacity_ = Resources::makeFor(32000, 128000, 2);
-  Value.Services_ = {ServiceId("booking"), ServiceId("search")};
-  Value.Slots_ = 8;
-  Value.Connections_ = 64;
-  Value.Draining_ = true;
-  Value.Sequence_ = 99;
+static wire::Announcement makeAnnouncement() {
+  wire::Announcement Announcement;
+  Announcement.Server_ = BackendServerId("vm-1");
+  Announcement.Boot_ = BootId("b7");
+  Announcement.DataCentre_ = DataCentreId("crest-1");
+  Announcement.Rack_ = RackId("r2");
+  Announcement.Address_ = "127.0.0.1:80";
+  Announcement.Capacity_ = Resources::makeFor(32000, 128000, 2);
+  Announcement.Services_ = {ServiceId("booking"), ServiceId("search")};
+  Announcement.Slots_ = 8;
+  Announcement.Connections_ = 64;
+  Announcement.Draining_ = true;
+  Announcement.Sequence_ = 99;
   wire::AttemptReport Attempt;
   Attempt.Task_ = {JobId("rebill"), 4};
   Attempt.Attempt_ = AttemptNumber(3);
@@ -30,21 +30,21 @@
   Attempt.Usage_ = Resources::makeFor(1, 2, 3);
   Attempt.UsageAgeMs_ = 1500;
   Attempt.ProgressMs_ = 60;
-  Value.Attempts_ = {Attempt};
-  Value.ServiceReports_ = {{ServiceId("booking"), 100, 9, 5, 50, 700}};
-  return Value;
+  Announcement.Attempts_ = {Attempt};
+  Announcement.ServiceReports_ = {{ServiceId("booking"), 100, 9, 5, 50, 700}};
+  return Announcement;
 }
 
-TEST(AnnouncementJsonTest, AnnouncementSurvivesTheRoundTrip) {
-  const auto Back = parseAnnouncement(renderAnnouncement(makeFull()));
+TEST(AnnouncementJsonTest, AnnouncementRoundTrip) {
+  const auto Back = parseAnnouncement(renderAnnouncement(makeAnnouncement()));
   ASSERT_TRUE(Back) << Back.error().Message_;
-  EXPECT_EQ(Back.value(), makeFull());
+  EXPECT_EQ(Back.value(), makeAnnouncement());
 }
 
-TEST(AnnouncementJsonTest, ReplySurvivesTheRoundTrip) {
-  wire::AnnouncementReply Value;
-  Value.LeaseTtlMs_ = 6000;
-  Value.HeartbeatMs_ = 500;
+TEST(AnnouncementJsonTest, ReplyRoundTrip) {
+  wire::AnnouncementReply Reply;
+  Reply.LeaseTtlMs_ = 6000;
+  Reply.HeartbeatMs_ = 500;
   wire::TaskCommand Command;
   Command.Kind_ = wire::TaskCommandKind::Throttle;
   Command.Task_ = {JobId("j"), 1};
@@ -54,11 +54,11 @@
   Command.Checkpoint_ = "c";
   Command.Reservation_ = Resources::makeFor(5, 6, 7);
   Command.ThrottlePercent_ = 40;
-  Value.Commands_ = {Command};
-  Value.Renewals_ = {{{JobId("k"), 0}, AttemptNumber(1), {8, 9}}};
-  const auto Back = parseAnnouncementReply(renderAnnouncementReply(Value));
+  Reply.Commands_ = {Command};
+  Reply.Renewals_ = {{{JobId("k"), 0}, AttemptNumber(1), {8, 9}}};
+  const auto Back = parseAnnouncementReply(renderAnnouncementReply(Reply));
   ASSERT_TRUE(Back) << Back.error().Message_;
-  EXPECT_EQ(Back.value(), Value);
+  EXPECT_EQ(Back.value(), Reply);
 }
 
 struct BadCase {
@@ -67,7 +67,7 @@
   const char *Place_;
 };
 
-TEST(AnnouncementJsonTest, BadInputIsATypedErrorThatNamesItsPlace) {
+TEST(AnnouncementJsonTest, InvalidInputFailsWithTheCodeAndPath) {
 #define HEAD                                                                   \
   R"({"server":"s","boot":"b","dataCentre":"d","address":"1.2.3.4:5")"
   const BadCase Cases[] = {
@@ -97,14 +97,14 @@
   }
 }
 
-TEST(AnnouncementJsonTest, AbsurdCountsAndLengthsAreRefused) {
-  wire::Announcement Many = makeFull();
+TEST(AnnouncementJsonTest, ExcessiveCountsAndLengthsAreRejected) {
+  wire::Announcement Many = makeAnnouncement();
   Many.Attempts_.resize(AnnouncementLimits::MaxAttempts + 1,
                         Many.Attempts_.front());
-  wire::Announcement Long = makeFull();
+  wire::Announcement Long = makeAnnouncement();
   Long.Server_ = BackendServerId(std::string(1000, 'x'));
-  for (const wire::Announcement &Value : {Many, Long}) {
-    const auto Result = parseAnnouncement(renderAnnouncement(Value));
+  for (const wire::Announcement &Announcement : {Many, Long}) {
+    const auto Result = parseAnnouncement(renderAnnouncement(Announcement));
     ASSERT_FALSE(Result);
     EXPECT_EQ(Result.error().Code_, ErrorCode::TooLarge);
   }
--- a/tests/entry/EntryApiTest.cpp
+++ b/tests/entry/EntryApiTest.cpp
@@ -1,4 +1,4 @@
-//===- EntryApiTest.cpp - The entry as its callers see it -----------------===//
+//===- EntryApiTest.cpp - Tests of the entry's HTTP API -------------------===//
 
 #include "entry/support/Fakes.h"
 
@@ -24,7 +24,7 @@
   const char *Outcome_;
 };
 
-TEST(EntryApiTest, BadCallsAreRefusedAtOnceWithATypedReason) {
+TEST(EntryApiTest, InvalidCallsAreRejectedAtOnceWithAReason) {
   EntryHarness Harness;
   Harness.setBundle(2, R"(,"maxBodyBytes":3)");
   Harness.advance(seconds(1));
@@ -51,7 +51,8 @@
        Good,
        400,
        "not-run"},
-      // An earlier attempt with this key may have run before it was refused.
+      // An earlier attempt with this key may have run, so the rejection is
+      // "unknown".
       {{{header::IdempotencyKey, "k"}, {header::Deadline, "0"}},
        Good,
        503,
@@ -68,7 +69,7 @@
   EXPECT_TRUE(Harness.Backend_.Sent_.empty());
 }
 
-TEST(EntryApiTest, TheBackendServerGetsTheRequestAndOurHeadersOnly) {
+TEST(EntryApiTest, BackendServerGetsCallerHeadersAndVerifiedEntryHeaders) {
   EntryHarness Harness;
   const auto Call = Harness.call("b",
                                  {{"X-Custom", "kept"},
@@ -90,12 +91,12 @@
   EXPECT_EQ(Ids, 1U);
 }
 
-TEST(EntryApiTest, ServesOnlyAfterABundleAndNeverGoesBackToAnOlderOne) {
+TEST(EntryApiTest, RequiresABundleAndNeverAdoptsAnOlderOne) {
   EntryHarness Harness;
   Harness.setBundle(5, R"(,"maxBodyBytes":3)");
   Harness.advance(seconds(1));
   EXPECT_EQ(Harness.call("abcd")->response().Status_, 413U);
-  Harness.setBundle(4); // An older one arrives late, from a stale control.
+  Harness.setBundle(4); // An outdated control process sends an older bundle.
   Harness.Control_->Reply_.InForce_ = BundleVersion(9);
   Harness.advance(seconds(1));
   EXPECT_EQ(Harness.call("abcd")->response().Status_, 413U);
@@ -107,7 +108,7 @@
   EXPECT_NE(Harness.Entry_->explainUnready(), "");
 }
 
-TEST(EntryApiTest, ADamagedBundleIsNotAdopted) {
+TEST(EntryApiTest, CorruptBundleIsNotAdopted) {
   EntryHarness Harness;
   Harness.setBundle(2, R"(,"maxBodyBytes":3)");
   Harness.Control_->Reply_.Bundle_->Text_ += " ";
@@ -117,7 +118,7 @@
             std::string::npos);
 }
 
-TEST(EntryApiTest, CallersOverTheirLimitGet429AndOthersAreServed) {
+TEST(EntryApiTest, CallerOverItsRateLimitGets429AndOthersAreServed) {
   EntryHarness Harness(3, 20);
   Harness.setBundle(
       2, "",
@@ -138,7 +139,7 @@
   EXPECT_EQ(Later->outcome(), "served");
 }
 
-TEST(EntryApiTest, AResendAttachesWhileItRunsAndIsReplayedAfterwards) {
+TEST(EntryApiTest, ResendAttachesToARunningRequestAndIsReplayedLater) {
   EntryHarness Harness;
   const auto First = Harness.call("m", keyed("k"));
   Harness.advance(milliseconds(3));
@@ -154,7 +155,7 @@
   EXPECT_EQ(Harness.Backend_.getRuns("m"), 1U);
 }
 
-TEST(EntryApiTest, AnAttachedCallerIsToldHonestlyWhenItsOwnDeadlinePasses) {
+TEST(EntryApiTest, AttachedCallerGetsUnknownAtItsOwnDeadline) {
   EntryHarness Harness;
   Harness.Backend_.Script_ = {TryFault::Slow};
   Harness.call("m", keyed("k"));
@@ -168,7 +169,7 @@
             std::string::npos);
 }
 
-TEST(EntryApiTest, ARunningRequestOfAnotherEntryIsAskedForUntilItEnds) {
+TEST(EntryApiTest, RequestRunningAtAnotherEntryIsPolledUntilItEnds) {
   EntryHarness Harness;
   Harness.Control_->NextDisposition_ = RequestDisposition::Running;
   const auto Call = Harness.call("m", keyed("k"));
@@ -179,16 +180,17 @@
   EXPECT_EQ(Call->outcome(), "served");
 }
 
-TEST(EntryApiTest, TheRecordsDispositionsAreToldAsTheyAre) {
-  struct Told {
+TEST(EntryApiTest, RecordDispositionsMapToStatusAndOutcome) {
+  struct DispositionCase {
     RequestDisposition Disposition_;
     unsigned Status_;
     const char *Outcome_;
   };
-  for (const Told &Case : {Told{RequestDisposition::Conflict, 409, "not-run"},
-                           Told{RequestDisposition::Expired, 410, "unknown"},
-                           Told{RequestDisposition::Unknown, 504, "unknown"},
-                           Told{RequestDisposition::Running, 504, "unknown"}}) {
+  for (const DispositionCase &Case :
+       {DispositionCase{RequestDisposition::Conflict, 409, "not-run"},
+        DispositionCase{RequestDisposition::Expired, 410, "unknown"},
+        DispositionCase{RequestDisposition::Unknown, 504, "unknown"},
+        DispositionCase{RequestDisposition::Running, 504, "unknown"}}) {
     EntryHarness Harness;
     Harness.Control_->NextDisposition_ = Case.Disposition_;
     const auto Call = Harness.call("m", keyed("k"));
@@ -199,7 +201,7 @@
   }
 }
 
-TEST(EntryApiTest, TheSameKeyWithAnotherBodyIsAConflict) {
+TEST(EntryApiTest, SameKeyWithAnotherBodyConflicts) {
   EntryHarness Harness;
   Harness.call("m", keyed("k"));
   EXPECT_EQ(Harness.call("n", keyed("k"))->response().Status_, 409U);
@@ -210,7 +212,7 @@
   EXPECT_EQ(Harness.Backend_.getRuns("n"), 0U);
 }
 
-TEST(EntryApiTest, AnAnswerWhoseRecordFailsIsStillToldAndMarked) {
+TEST(EntryApiTest, ResponseWithoutARecordIsReturnedAndMarked) {
   EntryHarness Harness;
   Harness.Control_->FinishFaults_.assign(30, CallFault::LostBefore);
   const auto Call = Harness.call("m", keyed("k"));
@@ -220,7 +222,7 @@
   EXPECT_GT(Harness.Entry_->getInProgress(), 0U) << "it is still being written";
 }
 
-TEST(EntryApiTest, ALostBeginIsGivenBackSoThatAResendRuns) {
+TEST(EntryApiTest, LostBeginIsAbandonedSoThatAResendRuns) {
   EntryHarness Harness;
   Harness.Control_->BeginFaults_ = {CallFault::LostAfter};
   const auto Lost = Harness.call("m", keyed("k"));
@@ -232,7 +234,7 @@
   EXPECT_EQ(Harness.Backend_.getRuns("m"), 1U);
 }
 
-TEST(EntryApiTest, TicketsWorkAtHomeAndAreAnsweredHonestlyElsewhere) {
+TEST(EntryApiTest, TicketRunsAtItsHomeAndIsUnknownIfTheHomeIsUnreachable) {
   EntryHarness Harness;
   Harness.RemoteKnown_ = true;
   Harness.restartEntry();
@@ -250,7 +252,7 @@
   EXPECT_EQ(Harness.Backend_.getRuns("f"), 0U);
 }
 
-TEST(EntryApiTest, OperatorsCallsPassWithoutThePrefix) {
+TEST(EntryApiTest, OperatorCallsAreForwardedWithoutThePrefix) {
   EntryHarness Harness;
   const auto Call =
       Harness.call("{}", {}, "POST", "/v1/operator/jobs/j/cancel");
@@ -259,7 +261,7 @@
   EXPECT_EQ(Harness.Control_->OperatorCalls_.at(0).Path_, "/jobs/j/cancel");
 }
 
-TEST(EntryApiTest, AnnouncementsPassAndBadOnesStopHere) {
+TEST(EntryApiTest, ValidAnnouncementsAreForwardedAndInvalidOnesRejected) {
   EntryHarness Harness;
   const std::string Head =
       R"({"server":"s9","boot":"b","address":"127.0.0.1:9","dataCentre":)";
@@ -269,7 +271,7 @@
       Harness.call(Head + R"("dc2"})", {}, "POST", "/v1/announce");
   const auto Absurd = Harness.call(Head + R"("dc1","slots":4000000000})", {},
                                    "POST", "/v1/announce");
-  // News waits for other news as long.
+  // Changed announcements wait for the urgent period.
   Harness.advance(BatcherSettings().UrgentPeriod_ + milliseconds(5));
   EXPECT_EQ(Good->response().Status_, 200U);
   EXPECT_EQ(Foreign->response().Status_, 400U);
@@ -283,12 +285,12 @@
   EXPECT_EQ(Lost->response().findHeader("Retry-After"), "1");
 }
 
-TEST(EntryApiTest, APlannedStopCutsNothingAndGivesTheGrantsBack) {
+TEST(EntryApiTest, PlannedStopCompletesRequestsAndReleasesGrants) {
   EntryHarness Harness;
   Harness.Backend_.ServiceTime_ = milliseconds(300);
   std::vector<std::shared_ptr<EntryHarness::Call>> Calls;
   Calls.reserve(10);
-  for (int Number = 0; Number < 9; ++Number) // Six run, three wait.
+  for (int Number = 0; Number < 9; ++Number) // Six requests run and three wait.
     Calls.push_back(Harness.call("c" + std::to_string(Number)));
   Calls.push_back(Harness.call("k", keyed("k")));
   Harness.Entry_->beginStop();
@@ -308,7 +310,7 @@
   EXPECT_EQ(Harness.Control_->Reports_.size(), Reports);
 }
 
-TEST(EntryApiTest, ReportsNameWhatIsHeldAndInFlight) {
+TEST(EntryApiTest, ReportsListGrantsAndRequestsInFlight) {
   EntryHarness Harness(2, 2);
   Harness.Backend_.ServiceTime_ = seconds(1);
   Harness.call("a");
@@ -318,7 +320,7 @@
   EXPECT_TRUE(Brief.Brief_ && Brief.Grants_.empty());
   EXPECT_EQ(std::accumulate(Brief.InFlight_.begin(), Brief.InFlight_.end(), 0),
             1);
-  // A leader that does not know the table is told all of it.
+  // A leader that requests a full report gets the complete table.
   Harness.Control_->Reply_.SendFull_ = true;
   Harness.advance(milliseconds(510));
   const wire::EntryReport &Report = Harness.Control_->Reports_.back();
--- a/tests/entry/Fakes.cpp
+++ b/tests/entry/Fakes.cpp
@@ -20,8 +20,8 @@
 }
 
 TryFault FakeBackend::takeFault(const net::Endpoint &To) {
-  const auto Broken = Broken_.find(To);
-  return Broken != Broken_.end() ? Broken->second : takeFirst(Script_);
+  const auto FaultIt = ServerFaults_.find(To);
+  return FaultIt != ServerFaults_.end() ? FaultIt->second : takeFirst(Script_);
 }
 
 void FakeBackend::end(std::uint64_t Exchange, net::HttpResult Result) {
@@ -192,51 +192,52 @@
 wire::BeginRequestReply
 FakeControl::applyBegin(const wire::BeginRequest &Request) {
   if (NextDisposition_) {
-    wire::BeginRequestReply Told;
-    Told.Disposition_ = *NextDisposition_;
-    return Told;
+    wire::BeginRequestReply BeginReply;
+    BeginReply.Disposition_ = *NextDisposition_;
+    return BeginReply;
   }
-  Record &Value = Records_[Request.Key_];
-  if (Value.Attempt_ == 0 || Value.Abandoned_) {
-    const std::uint64_t Attempt = Value.Attempt_ + 1;
-    Value = {Request.Digest_, RequestDisposition::Running, false,       Attempt,
-             Request.Nonce_,  Request.EntryIncarnation_,   std::nullopt};
+  Record &Stored = Records_[Request.Key_];
+  if (Stored.Attempt_ == 0 || Stored.Abandoned_) {
+    const std::uint64_t Attempt = Stored.Attempt_ + 1;
+    Stored = {
+        Request.Digest_, RequestDisposition::Running, false,       Attempt,
+        Request.Nonce_,  Request.EntryIncarnation_,   std::nullopt};
     return {RequestDisposition::Run, Attempt, std::nullopt};
   }
-  if (Value.Digest_ != Request.Digest_)
-    return {RequestDisposition::Conflict, Value.Attempt_, std::nullopt};
-  const bool Again = Value.Nonce_ == Request.Nonce_ &&
-                     Value.Incarnation_ == Request.EntryIncarnation_ &&
-                     Value.State_ == RequestDisposition::Running;
-  return {Again ? RequestDisposition::Run : Value.State_, Value.Attempt_,
-          Value.Answer_};
+  if (Stored.Digest_ != Request.Digest_)
+    return {RequestDisposition::Conflict, Stored.Attempt_, std::nullopt};
+  const bool Again = Stored.Nonce_ == Request.Nonce_ &&
+                     Stored.Incarnation_ == Request.EntryIncarnation_ &&
+                     Stored.State_ == RequestDisposition::Running;
+  return {Again ? RequestDisposition::Run : Stored.State_, Stored.Attempt_,
+          Stored.Answer_};
 }
 
 wire::RecordReply FakeControl::applyFinish(const wire::FinishRequest &Request) {
-  Record &Value = Records_[Request.Key_];
-  if (Value.Attempt_ != Request.Attempt_ || Value.Abandoned_ ||
-      Value.State_ == RequestDisposition::Replay)
-    return {Value.Answer_ == Request.Answer_};
-  Value.Answer_ = Request.Answer_;
-  Value.State_ = Request.Answer_ ? RequestDisposition::Replay
-                                 : RequestDisposition::Unknown;
+  Record &Stored = Records_[Request.Key_];
+  if (Stored.Attempt_ != Request.Attempt_ || Stored.Abandoned_ ||
+      Stored.State_ == RequestDisposition::Replay)
+    return {Stored.Answer_ == Request.Answer_};
+  Stored.Answer_ = Request.Answer_;
+  Stored.State_ = Request.Answer_ ? RequestDisposition::Replay
+                                  : RequestDisposition::Unknown;
   return {true};
 }
 
 wire::RecordReply
 FakeControl::applyAbandon(const wire::AbandonRequest &Request) {
-  Record &Value = Records_[Request.Key_];
-  if (Value.Attempt_ != Request.Attempt_ ||
-      Value.State_ != RequestDisposition::Running)
+  Record &Stored = Records_[Request.Key_];
+  if (Stored.Attempt_ != Request.Attempt_ ||
+      Stored.State_ != RequestDisposition::Running)
     return {false};
-  Value.Abandoned_ = true;
+  Stored.Abandoned_ = true;
   return {true};
 }
 
 void FakeControl::markEntryLost() {
-  for (auto &[Key, Value] : Records_)
-    if (Value.State_ == RequestDisposition::Running && !Value.Abandoned_)
-      Value.State_ = RequestDisposition::Unknown;
+  for (auto &[Key, Stored] : Records_)
+    if (Stored.State_ == RequestDisposition::Running && !Stored.Abandoned_)
+      Stored.State_ = RequestDisposition::Unknown;
 }
 
 EntryHarness::EntryHarness(unsigned Servers, unsigned SlotsEach) {
--- a/tests/entry/FaultMatrixTest.cpp
+++ b/tests/entry/FaultMatrixTest.cpp
@@ -1,10 +1,10 @@
-//===- FaultMatrixTest.cpp - Every fault at every step --------------------===//
+//===- FaultMatrixTest.cpp - Tests of all combinations of faults ----------===//
 //
-// For each kind of request and each fault of the backend servers, the control
-// side and the entry: one answer; a served one is whole and to the caller's
-// own request; "not run" was not run; what may not be repeated ran once at
-// most. Afterwards everything is healthy again, and resends with the same key
-// must keep all of that.
+// Injects each fault of the backend servers, the control processes and the
+// entry for each kind of request. Each request gets exactly one response; a
+// served response is complete and belongs to the request; "not run" means that
+// it did not run; a request that is not repeatable runs at most once. The same
+// holds for repeated requests with the same key after the faults have ended.
 //
 //===----------------------------------------------------------------------===//
 
@@ -37,7 +37,7 @@
   return {};
 }
 
-/// Checks all that was promised about one answered call.
+/// Checks all guarantees for one answered call.
 void check(const EntryHarness &Harness, const EntryHarness::Call &Call,
            Kind RequestKind) {
   ASSERT_EQ(Call.Answers_.size(), 1U);
@@ -56,7 +56,7 @@
   }
 }
 
-/// Ends all faults, then resends a keyed request twice.
+/// Ends all faults and repeats a request with a key twice.
 void resend(EntryHarness &Harness, const std::string &Body,
             const std::string &Key) {
   Harness.Backend_.Script_.clear();
@@ -117,9 +117,9 @@
       }
 }
 
-// The earlier process is not even dead here: like a frozen one that wakes, it
-// goes on with what it had begun.
-TEST(FaultMatrixTest, EntryKilledAtAnyMomentNeverRunsAKeyTwice) {
+// The previous process stays alive and continues its requests, like a frozen
+// process that resumes.
+TEST(FaultMatrixTest, EntryRestartAtAnyMomentNeverRunsAKeyTwice) {
   for (int AfterMs = 0; AfterMs <= 14; ++AfterMs) {
     SCOPED_TRACE(AfterMs);
     EntryHarness Harness;
@@ -137,7 +137,7 @@
   }
 }
 
-TEST(FaultMatrixTest, AnswersOutOfOrderReachTheirOwnCallers) {
+TEST(FaultMatrixTest, OutOfOrderResponsesReachTheirCallers) {
   EntryHarness Harness;
   Harness.Backend_.Script_ = {TryFault::Slow, TryFault::None, TryFault::Slow,
                               TryFault::None};
@@ -150,7 +150,7 @@
   EXPECT_GT(Calls[0]->Answers_[0].At_, Calls[1]->Answers_[0].At_);
 }
 
-TEST(FaultMatrixTest, RandomSchedulesKeepEveryPromise) {
+TEST(FaultMatrixTest, RandomSchedulesKeepAllInvariants) {
   for (unsigned Seed = 1; Seed <= 60; ++Seed) {
     SCOPED_TRACE(Seed);
     std::mt19937 Random(Seed);
@@ -166,7 +166,8 @@
       Harness.Control_->FinishFaults_ = {AllCallFaults[Draw(4)]};
       Harness.Control_->AbandonFaults_ = {AllCallFaults[Draw(4)]};
       const Kind RequestKind = AllKinds[Draw(3)];
-      // Few keys, so that resends meet their originals in every state.
+      // There are only a few keys, so that repeated requests meet earlier ones
+      // in every state.
       const std::string Body = RequestKind == Kind::Keyed
                                    ? "k" + std::to_string(Draw(8))
                                    : "b" + std::to_string(Step);
@@ -178,7 +179,7 @@
         Harness.Control_->markEntryLost();
       }
       Harness.advance(milliseconds(Draw(30)));
-      // "Not run" must hold at the moment it is said.
+      // "Not run" must be true at the time of the response.
       for (const auto &[Call, Kind] : Calls)
         if (!Call->Answers_.empty() &&
             Call->Answers_[0].At_ == Harness.Clock_.now())
--- a/tests/entry/LeaderClientTest.cpp
+++ b/tests/entry/LeaderClientTest.cpp
@@ -52,7 +52,8 @@
                                                  Peers_[Index], Timers_));
     Client_ = std::make_unique<LeaderClient>(std::move(Links), Timers_, Clock_);
   }
-  /// The name of the process that answered, or the error's name.
+  /// Sends an operator call and returns the name of the process that answered,
+  /// or the name of the error.
   std::string ask(Duration Timeout = seconds(2)) {
     std::string Result = "none";
     Client_->callOperator({}, Timeout, [&](Outcome<wire::OperatorAnswer> Got) {
@@ -62,7 +63,7 @@
     Timers_.advance(seconds(5));
     return Result;
   }
-  /// The same for a call that may be repeated.
+  /// Sends an idempotent call and returns "answered" or the name of the error.
   std::string askRecord() {
     std::string Result = "none";
     Client_->finish({}, seconds(2), [&](const Outcome<wire::RecordReply> &Got) {
@@ -80,7 +81,7 @@
 
 } // namespace
 
-TEST_F(LeaderClientTest, FollowsTheNameOfTheLeaderAndRemembersIt) {
+TEST_F(LeaderClientTest, FollowsAndCachesTheNamedLeader) {
   Peers_[0].Fault_ = Error::make(ErrorCode::NotLeader, "c2");
   EXPECT_EQ(ask(), "c2");
   EXPECT_EQ(ask(), "c2");
@@ -89,41 +90,41 @@
   EXPECT_EQ(Client_->getLeaderName(), "c2");
 }
 
-TEST_F(LeaderClientTest, TriesTheOthersWhenOneCannotBeReached) {
+TEST_F(LeaderClientTest, TriesOtherProcessesWhenOneIsUnreachable) {
   Peers_[0].Fault_ = Error::make(ErrorCode::Unavailable, "");
   Peers_[1].Fault_ = Error::make(ErrorCode::NotLeader, "");
   EXPECT_EQ(ask(), "c2");
 }
 
-TEST_F(LeaderClientTest, WithoutALeaderItSaysUnavailableAfterTrying) {
-  for (Peer &One : Peers_)
-    One.Fault_ = Error::make(ErrorCode::NotLeader, "");
+TEST_F(LeaderClientTest, ReturnsUnavailableWhenNoLeaderIsFound) {
+  for (Peer &Process : Peers_)
+    Process.Fault_ = Error::make(ErrorCode::NotLeader, "");
   EXPECT_EQ(ask(), "unavailable");
   EXPECT_GT(Peers_[2].Calls_, 3);
 }
 
-TEST_F(LeaderClientTest, AnOperatorsCallIsNotRepeatedOnceItMayHaveHadEffect) {
+TEST_F(LeaderClientTest, OperatorCallIsNotRetriedAfterATimeout) {
   Peers_[0].Silent_ = true;
   EXPECT_EQ(ask(), "timeout");
   EXPECT_EQ(Peers_[1].Calls_ + Peers_[2].Calls_, 0);
   EXPECT_EQ(ask(), "c1") << "the next call starts elsewhere";
 }
 
-TEST_F(LeaderClientTest, AnIdempotentCallPassesASilentProcessOver) {
+TEST_F(LeaderClientTest, IdempotentCallSkipsAnUnresponsiveProcess) {
   Peers_[0].Silent_ = true;
   askRecord();
   EXPECT_EQ(Peers_[0].Calls_, 1);
   EXPECT_EQ(Peers_[1].Calls_, 1);
 }
 
-TEST_F(LeaderClientTest, AfterATimeoutNoLaterRefusalMakesItCertain) {
+TEST_F(LeaderClientTest, TimeoutIsReportedDespiteLaterRefusals) {
   Peers_[0].Silent_ = true;
   Peers_[1].Fault_ = Error::make(ErrorCode::NotLeader, "");
   Peers_[2].Fault_ = Error::make(ErrorCode::Unavailable, "");
   EXPECT_EQ(askRecord(), "timeout");
 }
 
-TEST_F(LeaderClientTest, TheLeadersOwnErrorsArePassedOn) {
+TEST_F(LeaderClientTest, LeaderErrorsAreReturned) {
   Peers_[0].Fault_ = Error::make(ErrorCode::Conflict, "no");
   EXPECT_EQ(ask(), "conflict");
   EXPECT_EQ(Peers_[1].Calls_, 0);
--- a/tests/entry/QuietLogs.cpp
+++ b/tests/entry/QuietLogs.cpp
@@ -1,4 +1,4 @@
-//===- QuietLogs.cpp - No log lines between the tests' own ----------------===//
+//===- QuietLogs.cpp - Disables log output in the tests -------------------===//
 
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
--- a/tests/entry/RequestTableTest.cpp
+++ b/tests/entry/RequestTableTest.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// The same as RequestTable with one list and no thought.
+/// A reference implementation of RequestTable with a single list.
 class ReferenceTable {
 public:
   struct Row {
@@ -25,9 +25,9 @@
   };
 
   JoinResult join(int Key, int Digest, TimePoint Deadline, int Id) {
-    for (const Row &One : Rows_)
-      if (One.Key_ == Key && One.Owner_) {
-        if (One.Digest_ != Digest)
+    for (const Row &Entry : Rows_)
+      if (Entry.Key_ == Key && Entry.Owner_) {
+        if (Entry.Digest_ != Digest)
           return JoinResult::Conflict;
         Rows_.push_back({Key, Digest, Id, Deadline, false});
         return JoinResult::Attached;
@@ -36,25 +36,26 @@
     return JoinResult::Owner;
   }
   std::vector<int> end(int Key) {
-    return take([&](const Row &One) { return One.Key_ == Key; });
+    return removeIf([&](const Row &Entry) { return Entry.Key_ == Key; });
   }
   std::vector<int> sweep(TimePoint Now) {
-    return take(
-        [&](const Row &One) { return !One.Owner_ && One.Deadline_ <= Now; });
+    return removeIf([&](const Row &Entry) {
+      return !Entry.Owner_ && Entry.Deadline_ <= Now;
+    });
   }
   bool owns(int Key) const {
-    return std::any_of(Rows_.begin(), Rows_.end(), [Key](const Row &One) {
-      return One.Owner_ && One.Key_ == Key;
+    return std::any_of(Rows_.begin(), Rows_.end(), [Key](const Row &Entry) {
+      return Entry.Owner_ && Entry.Key_ == Key;
     });
   }
 
 private:
-  template <class Rule> std::vector<int> take(Rule Takes) {
+  template <class Rule> std::vector<int> removeIf(Rule Matches) {
     std::vector<int> Waiters;
-    for (const Row &One : Rows_)
-      if (Takes(One) && !One.Owner_)
-        Waiters.push_back(One.Id_);
-    std::erase_if(Rows_, Takes);
+    for (const Row &Entry : Rows_)
+      if (Matches(Entry) && !Entry.Owner_)
+        Waiters.push_back(Entry.Id_);
+    std::erase_if(Rows_, Matches);
     std::sort(Waiters.begin(), Waiters.end());
     return Waiters;
   }
@@ -65,7 +66,7 @@
 
 } // namespace
 
-TEST(RequestTableTest, AgreesWithANaiveTableOverRandomSchedules) {
+TEST(RequestTableTest, MatchesTheReferenceTableOnRandomSchedules) {
   for (unsigned Seed = 1; Seed <= 50; ++Seed) {
     SCOPED_TRACE(Seed);
     std::mt19937 Random(Seed);
@@ -108,7 +109,7 @@
   }
 }
 
-TEST(RequestTableTest, ThreadsSeeOneOwnerAtATimeAndEveryWaiterIsCalled) {
+TEST(RequestTableTest, ThreadsGetOneOwnerAtATimeAndEveryCallback) {
   RequestTable Table;
   std::atomic<int> Owners{0}, Most{0}, Attached{0}, Called{0};
   std::vector<std::thread> Threads;
--- a/tests/entry/RoutingTest.cpp
+++ b/tests/entry/RoutingTest.cpp
@@ -1,4 +1,4 @@
-//===- RoutingTest.cpp - Grants, queues, refusals, leaving servers --------===//
+//===- RoutingTest.cpp - Tests of grants and queues -----------------------===//
 
 #include "entry/support/Fakes.h"
 
@@ -27,7 +27,7 @@
   }
 }
 
-TEST(RoutingTest, NoServerGetsMoreThanItsGrantedSlots) {
+TEST(RoutingTest, ServersNeverExceedTheirGrantedSlots) {
   EntryHarness Harness(3, 2);
   Harness.Backend_.ServiceTime_ = milliseconds(50);
   for (int Number = 0; Number < 40; ++Number)
@@ -39,7 +39,7 @@
   EXPECT_EQ(Harness.Backend_.Sent_.size(), 6U);
 }
 
-TEST(RoutingTest, ConnectionsLimitAsSlotsDo) {
+TEST(RoutingTest, ConnectionsLimitRequestsInFlight) {
   EntryHarness Harness(1, 4);
   Harness.Routes_[0].Connections_ = 1;
   Harness.setRoutes(Harness.Routes_);
@@ -49,7 +49,7 @@
   EXPECT_EQ(Harness.Backend_.Sent_.size(), 1U);
 }
 
-TEST(RoutingTest, ADrainingServerGetsNothingNewFromTheNextReportOn) {
+TEST(RoutingTest, DrainingServerGetsNoNewRequestsAfterTheNextReport) {
   EntryHarness Harness;
   Harness.Routes_[0].Draining_ = true;
   Harness.setRoutes(Harness.Routes_);
@@ -60,19 +60,21 @@
   EXPECT_EQ(Harness.Backend_.Sent_.size(), Before + 40);
 }
 
-TEST(RoutingTest, AnAnnouncedLeaveCountsAtOnceAndOldTablesDoNotUndoIt) {
+TEST(RoutingTest, AnnouncedDrainAppliesAtOnceDespiteOlderTables) {
   EntryHarness Harness;
   const std::string Body = R"({"server":"s1","boot":"b","dataCentre":"dc1",)"
                            R"("address":"127.0.0.1:1","draining":true})";
   Harness.call(Body, {}, "POST", "/v1/announce");
   callMany(Harness, 20);
-  Harness.setRoutes(Harness.Routes_); // Still without the draining mark.
+  Harness.setRoutes(
+      Harness
+          .Routes_); // The route table does not contain the draining flag yet.
   Harness.advance(seconds(1));
   callMany(Harness, 20);
   EXPECT_EQ(countSent(Harness, 0, 1), 0U);
 }
 
-TEST(RoutingTest, AVanishedServerGetsNothingNewAndItsRequestsFinish) {
+TEST(RoutingTest, RemovedServerGetsNoNewRequestsAndItsRequestsFinish) {
   EntryHarness Harness;
   Harness.Backend_.ServiceTime_ = milliseconds(900);
   std::vector<std::shared_ptr<EntryHarness::Call>> Calls;
@@ -90,7 +92,7 @@
     EXPECT_EQ(Call->outcome(), "served");
 }
 
-TEST(RoutingTest, GrantsRunOutFromWhenTheReportWasSent) {
+TEST(RoutingTest, GrantsExpireRelativeToTheReportsSendTime) {
   EntryHarness Harness;
   Harness.advance(milliseconds(500));
   Harness.Control_->ReportsLost_ = true;
@@ -108,18 +110,18 @@
   EXPECT_EQ(Next->outcome(), "served");
 }
 
-TEST(RoutingTest, ARefusalIsImmediateAndSaysWhenToComeBack) {
+TEST(RoutingTest, RejectionIsImmediateWithRetryAfter) {
   EntryHarness Harness(1, 1);
   Harness.Backend_.ServiceTime_ = milliseconds(80);
   Harness.call("first");
-  Harness.advance(milliseconds(100)); // The service time is known now.
+  Harness.advance(milliseconds(100)); // The mean latency is known from here on.
   Harness.call("running");
   std::vector<std::shared_ptr<EntryHarness::Call>> Refused;
   Refused.reserve(5);
   for (int Number = 0; Number < 5; ++Number)
     Refused.push_back(Harness.call("r", {ShortDeadline}));
   for (const auto &Call : Refused) {
-    ASSERT_EQ(Call->Answers_.size(), 1U) << "it was held back";
+    ASSERT_EQ(Call->Answers_.size(), 1U) << "the rejection was delayed";
     EXPECT_EQ(Call->Answers_[0].At_, Call->At_);
     EXPECT_EQ(Call->response().Status_, 503U);
     EXPECT_EQ(Call->outcome(), "not-run");
@@ -128,7 +130,7 @@
   EXPECT_EQ(Harness.Backend_.getRuns("r"), 0U);
 }
 
-TEST(RoutingTest, AFullQueueRefusesAtOnce) {
+TEST(RoutingTest, FullQueueRejectsAtOnce) {
   EntryHarness Harness(1, 1);
   Harness.setBundle(2, R"(,"queueLimit":2)");
   Harness.advance(seconds(1));
@@ -139,13 +141,13 @@
   EXPECT_NE(Refused->response().Body_.find("queue-full"), std::string::npos);
 }
 
-TEST(RoutingTest, WhoWaitsIsGivenUpAsSoonAsItsDeadlineCannotBeMade) {
+TEST(RoutingTest, QueuedRequestIsRejectedOnceItsDeadlineIsUnreachable) {
   EntryHarness Harness(1, 1);
   Harness.Backend_.ServiceTime_ = milliseconds(40);
   Harness.call("warm");
   Harness.advance(milliseconds(50));
   Harness.Backend_.Script_ = {TryFault::Slow};
-  Harness.call("slow"); // 800 ms.
+  Harness.call("slow"); // Takes 800 ms.
   const auto Waiting = Harness.call("w", {{header::Deadline, "200"}});
   ASSERT_TRUE(Waiting->Answers_.empty());
   Harness.advance(milliseconds(400));
@@ -158,16 +160,17 @@
 TEST(RoutingTest, RetriesStayWithinTheBudget) {
   EntryHarness Harness(4, 8);
   for (const wire::Route &Route : Harness.Routes_)
-    Harness.Backend_.Broken_[net::Endpoint::parse(Route.Address_).value()] =
+    Harness.Backend_
+        .ServerFaults_[net::Endpoint::parse(Route.Address_).value()] =
         TryFault::Refused;
   callMany(Harness, 500);
   Harness.advance(seconds(1));
-  // A tenth of the requests, and the reserve of ten.
+  // The budget is a tenth of the requests plus a reserve of ten.
   EXPECT_LE(Harness.Backend_.Sent_.size(), 500U + 50U + 10U);
   EXPECT_GE(Harness.Backend_.Sent_.size(), 500U + 40U);
 }
 
-TEST(RoutingTest, OnlyRepeatableRequestsOfAServiceThatAllowsItAreHedged) {
+TEST(RoutingTest, OnlyRepeatableRequestsAreHedgedIfTheServiceAllowsIt) {
   for (const bool Allowed : {false, true})
     for (const char *Method : {"GET", "POST"}) {
       EntryHarness Harness(3, 4);
@@ -189,7 +192,7 @@
     }
 }
 
-TEST(RoutingTest, ARepeatableRequestLeavesAFrozenServerInTime) {
+TEST(RoutingTest, RepeatableRequestIsReplacedWhenAServerHangs) {
   EntryHarness Harness(2, 8);
   callMany(Harness, 20);
   Harness.Backend_.Script_ = {TryFault::Frozen};
@@ -198,7 +201,7 @@
   EXPECT_EQ(Call->outcome(), "served");
 }
 
-TEST(RoutingTest, TheRemainingDeadlineIsPassedOn) {
+TEST(RoutingTest, RemainingDeadlineIsForwarded) {
   EntryHarness Harness(1, 1);
   Harness.call("first");
   Harness.call("second", {{header::Deadline, "500"}});
@@ -208,7 +211,7 @@
             "490");
 }
 
-TEST(RoutingTest, AFreedSlotGoesAtOnceToWhoWaitsForAnyServiceOfTheServer) {
+TEST(RoutingTest, FreedSlotGoesToWaitersOfAnyServiceOfTheServer) {
   for (const char *Service : {"booking", "tariff"}) {
     SCOPED_TRACE(Service);
     EntryHarness Harness(1, 2);
@@ -216,7 +219,8 @@
     Harness.setRoutes(Harness.Routes_);
     Harness.setBundle(2, R"(},{"service":"tariff")");
     Harness.advance(seconds(1));
-    Harness.Backend_.ServiceTime_ = milliseconds(7); // No multiple of a sweep.
+    Harness.Backend_.ServiceTime_ =
+        milliseconds(7); // Not a multiple of the sweep period.
     Harness.call("a");
     Harness.call("b");
     const auto Waiting = Harness.call(
@@ -228,7 +232,7 @@
   }
 }
 
-TEST(RoutingTest, AServerThatAnswersWithAnotherIdLosesItsConnections) {
+TEST(RoutingTest, ServerWithAMismatchedRequestIdLosesItsConnections) {
   EntryHarness Harness(1, 1);
   Harness.Backend_.Script_ = {TryFault::WrongId};
   Harness.call("w");
@@ -240,7 +244,7 @@
   return Harness.Control_->Reports_.back();
 }
 
-TEST(RoutingTest, OnceTheGrantRanOutItNamesNoVersionAndNoSlotsButInFlight) {
+TEST(RoutingTest, ExpiredGrantIsReportedWithoutVersionAndSlots) {
   EntryHarness Harness(1, 2);
   Harness.Backend_.ServiceTime_ = seconds(20);
   Harness.call("long", {{header::Deadline, "30000"}});
@@ -255,7 +259,7 @@
   EXPECT_EQ(lastReport(Harness).Grants_[0].InFlight_, 1U);
 }
 
-TEST(RoutingTest, ATableBelowOneThatWasTakenIsNeverTaken) {
+TEST(RoutingTest, OlderRouteTableIsNeverAdopted) {
   for (const bool RanOut : {false, true}) {
     SCOPED_TRACE(RanOut);
     EntryHarness Harness;
@@ -269,19 +273,20 @@
     EXPECT_EQ(lastReport(Harness).RoutesHeld_, 0U);
     EXPECT_NE(Harness.Entry_->explainUnready(), "");
     EXPECT_EQ(Harness.call("a")->outcome(), "not-run");
-    Harness.Control_->Reply_.RoutesVersion_ = 9; // The same one is as good.
+    Harness.Control_->Reply_.RoutesVersion_ =
+        9; // The same version may be adopted again.
     Harness.advance(seconds(1));
     EXPECT_EQ(lastReport(Harness).RoutesHeld_, 9U);
     EXPECT_EQ(Harness.Entry_->explainUnready(), "");
   }
 }
 
-TEST(RoutingTest, AnEntryIsUnreadyWhileItHasNoSlotOfAnyServer) {
+TEST(RoutingTest, EntryIsNotReadyWithoutAnySlot) {
   EntryHarness Harness;
   const auto SetAll = [&](std::uint32_t Slots, bool Draining) {
-    for (wire::Route &Each : Harness.Routes_) {
-      Each.Slots_ = Slots;
-      Each.Draining_ = Draining;
+    for (wire::Route &Route : Harness.Routes_) {
+      Route.Slots_ = Slots;
+      Route.Draining_ = Draining;
     }
     Harness.setRoutes(Harness.Routes_);
     Harness.advance(seconds(1));
@@ -293,37 +298,41 @@
   Harness.setRoutes(Harness.Routes_);
   Harness.advance(seconds(1));
   EXPECT_EQ(Harness.Entry_->explainUnready(), "");
-  SetAll(0, true); // All entries have none of these: no reason to leave one.
+  SetAll(0, true); // Draining servers have no slots at any entry, so this entry
+                   // stays ready.
   EXPECT_EQ(Harness.Entry_->explainUnready(), "");
-  Harness.setRoutes({}); // Operators and first servers come through it.
+  Harness.setRoutes({}); // Without servers the entry is ready, because
+                         // operators and the first servers connect through it.
   Harness.advance(seconds(1));
   EXPECT_EQ(Harness.Entry_->explainUnready(), "");
 }
 
-TEST(RoutingTest, ATableWhoseGrantRanOutOnTheWayIsNotTaken) {
+TEST(RoutingTest, RouteTableWithAnExpiredGrantIsNotAdopted) {
   EntryHarness Harness;
   Harness.setRoutes(Harness.Routes_);
-  Harness.Control_->Reply_.GrantTtlMs_ = 1; // Replies take as long.
+  Harness.Control_->Reply_.GrantTtlMs_ =
+      1; // A reply takes 1 ms, the same as the grant.
   Harness.advance(milliseconds(1100));
   EXPECT_EQ(lastReport(Harness).RoutesHeld_, 1U);
 }
 
-TEST(RoutingTest, AReplyToWhatItNoLongerHoldsChangesAndRenewsNothing) {
+TEST(RoutingTest, ReplyToAnExpiredVersionIsIgnored) {
   for (const bool NewTable : {false, true}) {
     SCOPED_TRACE(NewTable);
     EntryHarness Harness;
-    Harness.Control_->Reply_.GrantTtlMs_ = 501; // Replies come after 1 ms.
+    Harness.Control_->Reply_.GrantTtlMs_ = 501; // Replies arrive after 1 ms.
     Harness.restartEntry();
     if (NewTable)
       Harness.setRoutes(Harness.Routes_);
-    Harness.advance(milliseconds(500)); // The grant ran out on the way back.
+    Harness.advance(
+        milliseconds(500)); // The grant expired before the reply arrived.
     EXPECT_EQ(lastReport(Harness).RoutesHeld_, 1U);
     Harness.advance(milliseconds(500));
     EXPECT_EQ(lastReport(Harness).RoutesHeld_, 0U);
   }
 }
 
-TEST(RoutingTest, AServerThatLeftTheTableIsNamedWithoutSlots) {
+TEST(RoutingTest, RemovedServerIsReportedWithoutSlots) {
   EntryHarness Harness(1, 2);
   Harness.Backend_.ServiceTime_ = milliseconds(1900);
   Harness.call("running");
@@ -336,7 +345,7 @@
   ASSERT_EQ(Brief.Grants_.size(), 1U);
   EXPECT_EQ(Brief.Grants_[0].Slots_, 0U);
   EXPECT_EQ(Brief.Grants_[0].InFlight_, 1U);
-  // The whole one, which the leader asks for, has the new boot beside it.
+  // The full report that the leader requests also contains the new boot.
   Harness.Control_->Reply_.SendFull_ = true;
   Harness.advance(milliseconds(500));
   std::uint32_t Slots = 0;
@@ -350,7 +359,7 @@
   EXPECT_EQ(InFlight, 1U);
 }
 
-TEST(RoutingTest, NoRequestIsSentWithADeadlineBeyondTheLongestRequest) {
+TEST(RoutingTest, DeadlineIsCappedAtTheMaximumRequestDuration) {
   for (const char *Default : {"2000", "3600000"}) {
     EntryHarness Harness(1, 2);
     Harness.setBundle(2, R"(,"maxDeadlineMs":3600000,"defaultDeadlineMs":)" +
@@ -366,6 +375,8 @@
     EXPECT_EQ(Sent.Deadline_ - Sent.At_, seconds(60));
     EXPECT_EQ(Sent.Request_.findHeader(header::Deadline), "60000");
     Harness.advance(seconds(61));
-    EXPECT_EQ(Call->outcome(), "unknown"); // At the cap, and not "not-run".
+    EXPECT_EQ(
+        Call->outcome(),
+        "unknown"); // The deadline is capped and the outcome is not "not-run".
   }
 }
--- a/tests/entry/ThreadsTest.cpp
+++ b/tests/entry/ThreadsTest.cpp
@@ -1,7 +1,7 @@
-//===- ThreadsTest.cpp - The request path under real threads --------------===//
+//===- ThreadsTest.cpp - Tests of the request path with several threads ---===//
 //
-// Backend servers that answer from several threads at random moments, hedging
-// on, fewer slots than requests. Nothing here depends on how fast it runs.
+// Backend servers answer from several threads at random times, with hedging
+// enabled and fewer slots than requests. The checks do not depend on timing.
 //
 //===----------------------------------------------------------------------===//
 
@@ -35,7 +35,7 @@
   net::IoPool &Pool_;
 };
 
-/// Ends each exchange once: by itself at a random moment, or by cancel.
+/// Ends each exchange once: at a random time, or through cancel.
 class ThreadedBackend final : public BackendClient {
 public:
   ThreadedBackend(net::IoPool &Pool, std::uint32_t Slots)
@@ -45,16 +45,16 @@
                      TimePoint, net::HttpClient::Callback Done) override {
     std::lock_guard Lock(Mutex_);
     const std::uint64_t Number = ++Last_;
-    Overfilled_ |= ++InFlight_[To] > Slots_;
-    const unsigned Fate = Random_() % 10;
-    const bool Runs = Fate >= 3;
+    SlotsExceeded_ |= ++InFlight_[To] > Slots_;
+    const unsigned Behaviour = Random_() % 10;
+    const bool Runs = Behaviour >= 3;
     Run_[Request.Body_] += Runs ? 1 : 0;
     Open_.emplace(Number, Exchange{To, std::move(Done)});
     net::HttpResult Result{net::HttpStage::NothingSent,
                            fail(ErrorCode::Unavailable, "refused")};
-    if (Fate == 3)
+    if (Behaviour == 3)
       Result = {net::HttpStage::Sent, fail(ErrorCode::Unavailable, "lost")};
-    if (Fate > 3) {
+    if (Behaviour > 3) {
       net::HttpResponse Good;
       Good.Headers_ = {{header::RequestId,
                         std::string(Request.findHeader(header::RequestId))}};
@@ -77,9 +77,9 @@
     std::lock_guard Lock(Mutex_);
     return Run_[Body];
   }
-  bool isOverfilled() {
+  bool haveSlotsBeenExceeded() {
     std::lock_guard Lock(Mutex_);
-    return Overfilled_;
+    return SlotsExceeded_;
   }
 
 private:
@@ -109,7 +109,7 @@
   std::map<std::uint64_t, Exchange> Open_;
   std::map<net::Endpoint, std::uint32_t> InFlight_;
   std::map<std::string, unsigned> Run_;
-  bool Overfilled_ = false;
+  bool SlotsExceeded_ = false;
 };
 
 Configuration makeConfiguration() {
@@ -145,19 +145,19 @@
 
 namespace {
 
-/// Runs a hook inside one reading of the time, as another thread might.
-class HookedClock final : public Clock {
+/// Calls a function while the time is read, to simulate another thread.
+class CallbackClock final : public Clock {
 public:
   TimePoint now() const override {
-    if (Hook_ && CallsLeft_-- == 0)
-      std::exchange(Hook_, nullptr)();
+    if (Callback_ && CallsBeforeCallback_-- == 0)
+      std::exchange(Callback_, nullptr)();
     return Manual_.now();
   }
   WallTime wallNow() const override { return Manual_.wallNow(); }
 
   ManualClock Manual_;
-  mutable std::function<void()> Hook_;
-  mutable int CallsLeft_ = 0;
+  mutable std::function<void()> Callback_;
+  mutable int CallsBeforeCallback_ = 0;
 };
 
 /// Keeps every exchange open until the test ends it.
@@ -176,10 +176,10 @@
 
 } // namespace
 
-// The first try is refused just when its hedge has a slot and is about to go
-// out: the caller is told "not run", so the hedge must not go out any more.
-TEST(ThreadsTest, NothingIsSentOnceNotRunWasSaid) {
-  HookedClock Clock;
+// The first try is rejected when its hedge already has a slot and is about to
+// be sent. The caller gets "not run", so the hedge must not be sent.
+TEST(ThreadsTest, NoHedgeIsSentAfterNotRunWasReturned) {
+  CallbackClock Clock;
   test::FakeTimers Timers(Clock.Manual_);
   ManualBackend Backend;
   net::Metrics Metrics;
@@ -191,7 +191,7 @@
   Routes.adopt(makeRoutes(3), Clock.now(), 0);
   RequestSender Sender({Routes, Backend, Timers, Clock, Counters});
   const auto Gate = Routes.findGate(ServiceId("booking"));
-  // A mean latency is known, and the budget has one spending left.
+  // The mean latency is known, and the budget permits one more retry.
   Gate->recordSlotTaken(BackendServerId("1"));
   Gate->recordSlotReleased(BackendServerId("1"), decide::RequestResult::Served,
                            milliseconds(1));
@@ -201,25 +201,25 @@
   Request->Service_ = ServiceId("booking");
   Request->Deadline_ = Clock.now() + seconds(1);
   Request->Repeatable_ = Request->Hedged_ = true;
-  std::optional<RequestOutcome> Told;
-  std::size_t SentWhenTold = 0;
+  std::optional<RequestOutcome> ReportedOutcome;
+  std::size_t SentAtReport = 0;
   Sender.send(Request, [&](const FinalResult &Result) {
-    Told = Result.Outcome_;
-    SentWhenTold = Backend.Open_.size();
+    ReportedOutcome = Result.Outcome_;
+    SentAtReport = Backend.Open_.size();
   });
   ASSERT_EQ(Backend.Open_.size(), 1U);
-  // The first reading is the gate's, under its lock; the second the sender's.
-  Clock.CallsLeft_ = 1;
-  Clock.Hook_ = [&] {
+  // The gate reads the clock first, under its lock, and the sender second.
+  Clock.CallsBeforeCallback_ = 1;
+  Clock.Callback_ = [&] {
     Backend.Open_[0](
         {net::HttpStage::NothingSent, fail(ErrorCode::Unavailable, "refused")});
   };
   Timers.advance(milliseconds(100));
-  ASSERT_EQ(Told, RequestOutcome::NotRun);
-  EXPECT_EQ(Backend.Open_.size(), SentWhenTold);
+  ASSERT_EQ(ReportedOutcome, RequestOutcome::NotRun);
+  EXPECT_EQ(Backend.Open_.size(), SentAtReport);
 }
 
-TEST(ThreadsTest, OneTrueEndPerRequestAndNoServerOverfilled) {
+TEST(ThreadsTest, EachRequestEndsOnceAndSlotLimitsHold) {
   constexpr std::uint32_t Slots = 3;
   constexpr int Requests = 3000;
   constexpr int InitialRequests = 500;
@@ -238,8 +238,9 @@
   std::mutex Mutex;
   std::condition_variable AllEnded;
   std::vector<std::pair<std::string, RequestOutcome>> Ends;
-  // At first a crowd that fills every slot and waits; then, with the slots half
-  // free, each end starts another, so that there is room for hedges.
+  // Initially many requests fill all slots and the queue. Afterwards half of
+  // the slots stay free, and each end starts another request, so that hedges
+  // are possible.
   std::atomic<int> Started{0};
   std::function<void()> StartNext = [&] {
     const int Number = Started++;
@@ -271,7 +272,7 @@
     std::unique_lock Lock(Mutex);
     AllEnded.wait_for(Lock, seconds(100), [&] { return Ended == Requests; });
   }
-  // Hedges that lost still end.
+  // Cancelled hedges still end.
   const auto Idle = [&] {
     for (const wire::GrantHeld &Held : Routes.getSnapshot().Grants_)
       if (Held.InFlight_ > 0)
@@ -284,7 +285,7 @@
   Pool.stop();
   EXPECT_EQ(Ended, Requests);
   EXPECT_EQ(FalseNotRuns, 0);
-  EXPECT_FALSE(Backend.isOverfilled());
+  EXPECT_FALSE(Backend.haveSlotsBeenExceeded());
   for (const auto &[Body, Outcome] : Ends) {
     if (Outcome == RequestOutcome::NotRun) {
       EXPECT_EQ(Backend.getRuns(Body), 0U) << Body;
--- a/tests/entry/support/Fakes.h
+++ b/tests/entry/support/Fakes.h
@@ -1,7 +1,7 @@
-//===- Fakes.h - What stands in for the entry's surroundings ---*- C++ -*-===//
+//===- Fakes.h - Fakes and a harness for tests of the entry ----*- C++ -*-===//
 //
-// Timers on a manual clock, backend servers that go wrong as told, and a
-// control side with naive records. All single-threaded.
+// Provides timers on a manual clock, backend servers with injected faults, and
+// control processes with simple records. All are single-threaded.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,7 @@
   void runAfter(Duration Delay, std::function<void()> Task) override {
     Tasks_.emplace(Clock_.now() + Delay, std::move(Task));
   }
-  /// Moves the clock and runs what falls due, in order.
+  /// Advances the clock and runs the due tasks in order.
   void advance(Duration By) {
     const TimePoint End = Clock_.now() + By;
     while (!Tasks_.empty() && Tasks_.begin()->first <= End) {
@@ -42,21 +42,21 @@
   std::multimap<TimePoint, std::function<void()>> Tasks_;
 };
 
-/// What happens to one try at the backend servers.
+/// A fault of one try at the backend servers.
 enum class TryFault {
   None,
-  Refused,         ///< No connection: nothing was sent.
-  Busy,            ///< "Busy, not run".
-  BrokenBeforeRun, ///< The connection broke after sending, before it ran.
-  BrokenAfterRun,  ///< It broke while or after it ran.
-  Truncated,       ///< It ran; half of the answer came.
-  WrongId,         ///< It ran; the answer to another request came.
-  BusyForOther,    ///< It ran; another request's "busy, not run" came.
-  TooLarge,        ///< It ran; the answer was over the limit.
-  Frozen,          ///< It never ran, and nothing ever came.
-  RunFrozen,       ///< It ran, and nothing ever came.
-  Slow,            ///< It ran and answered well after the others.
-  Late,            ///< It ran and would answer after the deadline.
+  Refused,         ///< The connection is refused and nothing is sent.
+  Busy,            ///< The server answers "busy, not run".
+  BrokenBeforeRun, ///< The connection breaks before the request runs.
+  BrokenAfterRun,  ///< The connection breaks during or after the run.
+  Truncated,       ///< It runs; half of the response arrives.
+  WrongId,         ///< It runs; another request's response arrives.
+  BusyForOther,    ///< It runs; another request's "busy, not run" arrives.
+  TooLarge,        ///< It runs; the response is over the limit.
+  Frozen,          ///< It does not run, and no response arrives.
+  RunFrozen,       ///< It runs, and no response arrives.
+  Slow,            ///< It runs and answers well after the others.
+  Late,            ///< It runs; the response is due after the deadline.
 };
 inline constexpr TryFault AllTryFaults[] = {TryFault::None,
                                             TryFault::Refused,
@@ -92,16 +92,16 @@
   }
   void forget(const net::Endpoint &Peer) override { Forgotten_.insert(Peer); }
 
-  /// How often the request with that body has run.
+  /// Returns how often the request with that body ran.
   unsigned getRuns(const std::string &Body) const {
     const auto It = Runs_.find(Body);
     return It == Runs_.end() ? 0 : It->second;
   }
 
-  /// Faults of the next tries in order; None when there is no more.
+  /// The faults of the next tries, in order. Later tries have no fault.
   std::vector<TryFault> Script_;
-  /// Faults of one server's tries, whatever the script says.
-  std::map<net::Endpoint, TryFault> Broken_;
+  /// Faults of all tries at one server; they override Script_.
+  std::map<net::Endpoint, TryFault> ServerFaults_;
   Duration ServiceTime_ = std::chrono::milliseconds(10);
   std::vector<Sent> Sent_;
   std::set<net::Endpoint> Forgotten_;
@@ -118,12 +118,12 @@
   std::map<std::string, unsigned> Runs_;
 };
 
-/// What happens to the next calls of one kind to the control side.
+/// A fault of a call to the control processes.
 enum class CallFault {
   None,
-  Unavailable, ///< No leader: certainly without effect.
-  LostBefore,  ///< Timed out without effect.
-  LostAfter,   ///< Timed out, but it took effect.
+  Unavailable, ///< There is no leader; the call has no effect.
+  LostBefore,  ///< The call times out without effect.
+  LostAfter,   ///< The call times out after taking effect.
 };
 
 class FakeControl : public ControlClient {
@@ -143,7 +143,7 @@
   void callOperator(const wire::OperatorCall &Call, Duration Timeout,
                     ControlCallback<wire::OperatorCall> Done) override;
 
-  /// The entry process died: what it had begun is unknown.
+  /// Marks the requests that the entry process had begun as unknown.
   void markEntryLost();
 
   wire::EntryReportReply Reply_;
@@ -177,7 +177,7 @@
   std::map<RequestKey, Record> Records_;
 };
 
-/// Every part around one entry, and calls to it.
+/// An entry with fake surroundings, and functions to call it.
 class EntryHarness {
 public:
   static constexpr const char *ServiceName = "booking";
@@ -188,7 +188,7 @@
     net::HttpResponse Response_;
     TimePoint At_;
   };
-  /// One call and its answers, of which there must be one.
+  /// A call and its responses; there must be exactly one.
   struct Call {
     std::string Body_;
     TimePoint At_;
@@ -201,15 +201,15 @@
     }
   };
 
-  /// Sends a request whose body is its own; headers in "Name: value" pairs.
+  /// Sends a request with the given body and headers.
   std::shared_ptr<Call>
   call(const std::string &Body, std::vector<net::HttpHeader> Headers = {},
        const std::string &Method = "POST",
        const std::string &Path = "/v1/services/booking/x");
   void advance(Duration By) { Timers_.advance(By); }
-  /// Puts a new process in the entry's place.
+  /// Replaces the entry process with a new one.
   void restartEntry();
-  /// Changes the routes and lets the next report bring them.
+  /// Changes the routes; the reply to the next report contains them.
   void setRoutes(std::vector<wire::Route> Routes);
   void setBundle(std::uint64_t Version, const std::string &ServiceExtra = "",
                  const std::string &Extra = "");
@@ -221,10 +221,11 @@
       std::make_shared<FakeControl>(Timers_);
   net::Metrics Metrics_;
   std::vector<wire::Route> Routes_;
-  /// Another data centre is known and out of reach; from the next start on.
+  /// Whether the entry knows a second, unreachable data centre. Applies from
+  /// the next start.
   bool RemoteKnown_ = false;
   std::unique_ptr<Entry> Entry_;
-  /// Earlier processes; their timers may still fire.
+  /// Previous processes, whose timers may still fire.
   std::vector<std::unique_ptr<Entry>> PreviousEntries_;
 
 private:
@@ -232,7 +233,7 @@
   std::uint64_t Random_ = 12345;
 };
 
-/// What a backend server answers to the request with that body.
+/// Returns the response of a backend server to the request with that body.
 inline std::string makeAnswerBody(const std::string &Body) {
   return "answer to " + Body;
 }
