--- a/tests/entry/AnnouncementJsonTest.cpp
+++ b/tests/entry/AnnouncementJsonTest.cpp
@@ -36,9 +36,9 @@
 }
 
 TEST(AnnouncementJsonTest, AnnouncementRoundTrip) {
-  const auto Back = parseAnnouncement(renderAnnouncement(makeAnnouncement()));
-  ASSERT_TRUE(Back) << Back.error().Message_;
-  EXPECT_EQ(Back.value(), makeAnnouncement());
+  const auto Parsed = parseAnnouncement(renderAnnouncement(makeAnnouncement()));
+  ASSERT_TRUE(Parsed) << Parsed.error().Message_;
+  EXPECT_EQ(Parsed.value(), makeAnnouncement());
 }
 
 TEST(AnnouncementJsonTest, ReplyRoundTrip) {
@@ -56,9 +56,9 @@
   Command.ThrottlePercent_ = 40;
   Reply.Commands_ = {Command};
   Reply.Renewals_ = {{{JobId("k"), 0}, AttemptNumber(1), {8, 9}}};
-  const auto Back = parseAnnouncementReply(renderAnnouncementReply(Reply));
-  ASSERT_TRUE(Back) << Back.error().Message_;
-  EXPECT_EQ(Back.value(), Reply);
+  const auto Parsed = parseAnnouncementReply(renderAnnouncementReply(Reply));
+  ASSERT_TRUE(Parsed) << Parsed.error().Message_;
+  EXPECT_EQ(Parsed.value(), Reply);
 }
 
 struct BadCase {
@@ -98,12 +98,13 @@
 }
 
 TEST(AnnouncementJsonTest, ExcessiveCountsAndLengthsAreRejected) {
-  wire::Announcement Many = makeAnnouncement();
-  Many.Attempts_.resize(AnnouncementLimits::MaxAttempts + 1,
-                        Many.Attempts_.front());
-  wire::Announcement Long = makeAnnouncement();
-  Long.Server_ = BackendServerId(std::string(1000, 'x'));
-  for (const wire::Announcement &Announcement : {Many, Long}) {
+  wire::Announcement TooManyAttempts = makeAnnouncement();
+  TooManyAttempts.Attempts_.resize(AnnouncementLimits::MaxAttempts + 1,
+                                   TooManyAttempts.Attempts_.front());
+  wire::Announcement NameTooLong = makeAnnouncement();
+  NameTooLong.Server_ = BackendServerId(std::string(1000, 'x'));
+  for (const wire::Announcement &Announcement :
+       {TooManyAttempts, NameTooLong}) {
     const auto Result = parseAnnouncement(renderAnnouncement(Announcement));
     ASSERT_FALSE(Result);
     EXPECT_EQ(Result.error().Code_, ErrorCode::TooLarge);
--- a/tests/entry/EntryApiTest.cpp
+++ b/tests/entry/EntryApiTest.cpp
@@ -102,9 +102,9 @@
   EXPECT_EQ(Harness.call("abcd")->response().Status_, 413U);
   Harness.Control_->Reply_.Bundle_.reset();
   Harness.restartEntry();
-  const auto Early = Harness.call("a");
-  EXPECT_EQ(Early->outcome(), "not-run");
-  EXPECT_EQ(Early->response().findHeader("Retry-After"), "1");
+  const auto BeforeBundle = Harness.call("a");
+  EXPECT_EQ(BeforeBundle->outcome(), "not-run");
+  EXPECT_EQ(BeforeBundle->response().findHeader("Retry-After"), "1");
   EXPECT_NE(Harness.Entry_->explainUnready(), "");
 }
 
@@ -228,9 +228,9 @@
   const auto Lost = Harness.call("m", keyed("k"));
   Harness.advance(seconds(2));
   EXPECT_EQ(Lost->outcome(), "unknown");
-  const auto Again = Harness.call("m", keyed("k"));
+  const auto Repeated = Harness.call("m", keyed("k"));
   Harness.advance(seconds(1));
-  EXPECT_EQ(Again->outcome(), "served");
+  EXPECT_EQ(Repeated->outcome(), "served");
   EXPECT_EQ(Harness.Backend_.getRuns("m"), 1U);
 }
 
@@ -238,17 +238,17 @@
   EntryHarness Harness;
   Harness.RemoteKnown_ = true;
   Harness.restartEntry();
-  const auto Taken = Harness.call("", {}, "POST", "/v1/tickets");
-  const std::string Body = Taken->response().Body_;
+  const auto TicketCall = Harness.call("", {}, "POST", "/v1/tickets");
+  const std::string Body = TicketCall->response().Body_;
   const std::size_t From = Body.find("dc1.");
   const std::string Ticket = Body.substr(From, Body.find('"', From) - From);
-  const auto Home = Harness.call("m", {{header::Ticket, Ticket}});
-  const auto Far =
+  const auto HomeCall = Harness.call("m", {{header::Ticket, Ticket}});
+  const auto RemoteCall =
       Harness.call("f", {{header::Ticket, "far.1." + std::string(32, 'a')}});
   Harness.advance(seconds(1));
-  EXPECT_EQ(Home->outcome(), "served");
-  EXPECT_EQ(Far->response().Status_, 504U);
-  EXPECT_EQ(Far->outcome(), "unknown");
+  EXPECT_EQ(HomeCall->outcome(), "served");
+  EXPECT_EQ(RemoteCall->response().Status_, 504U);
+  EXPECT_EQ(RemoteCall->outcome(), "unknown");
   EXPECT_EQ(Harness.Backend_.getRuns("f"), 0U);
 }
 
@@ -267,15 +267,15 @@
       R"({"server":"s9","boot":"b","address":"127.0.0.1:9","dataCentre":)";
   const auto Good =
       Harness.call(Head + R"("dc1"})", {}, "POST", "/v1/announce");
-  const auto Foreign =
+  const auto OtherDataCentre =
       Harness.call(Head + R"("dc2"})", {}, "POST", "/v1/announce");
-  const auto Absurd = Harness.call(Head + R"("dc1","slots":4000000000})", {},
-                                   "POST", "/v1/announce");
+  const auto TooLarge = Harness.call(Head + R"("dc1","slots":4000000000})", {},
+                                     "POST", "/v1/announce");
   // Changed announcements wait for the urgent period.
   Harness.advance(BatcherSettings().UrgentPeriod_ + milliseconds(5));
   EXPECT_EQ(Good->response().Status_, 200U);
-  EXPECT_EQ(Foreign->response().Status_, 400U);
-  EXPECT_EQ(Absurd->response().Status_, 413U);
+  EXPECT_EQ(OtherDataCentre->response().Status_, 400U);
+  EXPECT_EQ(TooLarge->response().Status_, 413U);
   EXPECT_EQ(Harness.Control_->Announcements_.size(), 1U);
   Harness.Control_->ReportsLost_ = true;
   const auto Lost =
--- a/tests/entry/Fakes.cpp
+++ b/tests/entry/Fakes.cpp
@@ -206,10 +206,10 @@
   }
   if (Stored.Digest_ != Request.Digest_)
     return {RequestDisposition::Conflict, Stored.Attempt_, std::nullopt};
-  const bool Again = Stored.Nonce_ == Request.Nonce_ &&
-                     Stored.Incarnation_ == Request.EntryIncarnation_ &&
-                     Stored.State_ == RequestDisposition::Running;
-  return {Again ? RequestDisposition::Run : Stored.State_, Stored.Attempt_,
+  const bool SameBegin = Stored.Nonce_ == Request.Nonce_ &&
+                         Stored.Incarnation_ == Request.EntryIncarnation_ &&
+                         Stored.State_ == RequestDisposition::Running;
+  return {SameBegin ? RequestDisposition::Run : Stored.State_, Stored.Attempt_,
           Stored.Answer_};
 }
 
--- a/tests/entry/FaultMatrixTest.cpp
+++ b/tests/entry/FaultMatrixTest.cpp
@@ -64,9 +64,9 @@
   Harness.Control_->FinishFaults_.clear();
   Harness.Control_->AbandonFaults_.clear();
   for (int Time = 0; Time < 2; ++Time) {
-    const auto Again = Harness.call(Body, makeHeaders(Kind::Keyed, Key));
+    const auto Repeated = Harness.call(Body, makeHeaders(Kind::Keyed, Key));
     Harness.advance(seconds(3));
-    check(Harness, *Again, Kind::Keyed);
+    check(Harness, *Repeated, Kind::Keyed);
   }
 }
 
@@ -128,11 +128,11 @@
     const bool Answered = !Lost->Answers_.empty();
     Harness.restartEntry();
     Harness.Control_->markEntryLost();
-    const auto Again = Harness.call("m", makeHeaders(Kind::Keyed, "k"));
+    const auto Repeated = Harness.call("m", makeHeaders(Kind::Keyed, "k"));
     Harness.advance(seconds(3));
-    check(Harness, *Again, Kind::Keyed);
+    check(Harness, *Repeated, Kind::Keyed);
     if (Answered) {
-      EXPECT_EQ(Again->outcome(), "served");
+      EXPECT_EQ(Repeated->outcome(), "served");
     }
   }
 }
