--- a/include/tulipweir/entry/ControlClient.h
+++ b/include/tulipweir/entry/ControlClient.h
@@ -1,6 +1,7 @@
-//===- ControlClient.h - Asking a data centre's leader ---------*- C++ -*-===//
+//===- ControlClient.h - Calls to a data centre's leader -------*- C++ -*-===//
 //
-// The calls an entry makes to the control processes of one data centre.
+// Declares the calls that an entry makes to the control processes of one data
+// centre.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,33 +18,33 @@
 namespace tulipweir::entry {
 
 template <class Request>
-using ControlDone = std::function<void(Outcome<typename Request::Reply>)>;
+using ControlCallback = std::function<void(Outcome<typename Request::Reply>)>;
 
-/// Finds the leader by itself. Each call ends exactly once, within Timeout:
-/// with the leader's reply; with Unavailable if it certainly had no effect;
-/// with Timeout if that is open; or with the error the leader gave.
-/// Thread-safe.
+/// Sends calls to the leader, which it locates itself. Each call completes
+/// exactly once within Timeout: with the leader's reply, with Unavailable if
+/// the call certainly had no effect, with Timeout if its effect is unknown, or
+/// with the leader's error. Thread-safe.
 class ControlClient {
 public:
   virtual ~ControlClient() = default;
   virtual void report(const wire::EntryReport &Report, Duration Timeout,
-                      ControlDone<wire::EntryReport> Done) = 0;
+                      ControlCallback<wire::EntryReport> Done) = 0;
   virtual void announce(const wire::Announcement &Announcement,
                         Duration Timeout,
-                        ControlDone<wire::Announcement> Done) = 0;
-  /// Fails with VersionMismatch where nobody knows batches; announcements then
-  /// go one by one.
+                        ControlCallback<wire::Announcement> Done) = 0;
+  /// Fails with VersionMismatch if the control processes do not support
+  /// batches; the caller then sends the announcements individually.
   virtual void announceBatch(const wire::AnnouncementBatch &Batch,
                              Duration Timeout,
-                             ControlDone<wire::AnnouncementBatch> Done);
+                             ControlCallback<wire::AnnouncementBatch> Done);
   virtual void begin(const wire::BeginRequest &Request, Duration Timeout,
-                     ControlDone<wire::BeginRequest> Done) = 0;
+                     ControlCallback<wire::BeginRequest> Done) = 0;
   virtual void finish(const wire::FinishRequest &Request, Duration Timeout,
-                      ControlDone<wire::FinishRequest> Done) = 0;
+                      ControlCallback<wire::FinishRequest> Done) = 0;
   virtual void abandon(const wire::AbandonRequest &Request, Duration Timeout,
-                       ControlDone<wire::AbandonRequest> Done) = 0;
+                       ControlCallback<wire::AbandonRequest> Done) = 0;
   virtual void callOperator(const wire::OperatorCall &Call, Duration Timeout,
-                            ControlDone<wire::OperatorCall> Done) = 0;
+                            ControlCallback<wire::OperatorCall> Done) = 0;
 };
 
 } // namespace tulipweir::entry
--- a/include/tulipweir/entry/LeaderClient.h
+++ b/include/tulipweir/entry/LeaderClient.h
@@ -1,8 +1,8 @@
-//===- LeaderClient.h - Finding the leader over links ----------*- C++ -*-===//
+//===- LeaderClient.h - Control client that locates the leader --*- C++ -*-===//
 //
-// A ControlClient over one link per control process. It sends to the one that
-// last acted as leader, follows a NotLeader answer to the process it names,
-// and tries the others while the call's time lasts.
+// A ControlClient over one link per control process. It sends each call to the
+// last known leader, follows a NotLeader reply to the process that it names,
+// and tries the other processes until the call's deadline.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 
 namespace tulipweir::entry {
 
-/// One control process, as net::LinkClient speaks to it.
+/// A connection to one control process, as provided by net::LinkClient.
 class ControlLink {
 public:
   virtual ~ControlLink() = default;
@@ -37,31 +37,33 @@
   ~LeaderClient() override;
 
   void report(const wire::EntryReport &Report, Duration Timeout,
-              ControlDone<wire::EntryReport> Done) override;
+              ControlCallback<wire::EntryReport> Done) override;
   void announce(const wire::Announcement &Announcement, Duration Timeout,
-                ControlDone<wire::Announcement> Done) override;
+                ControlCallback<wire::Announcement> Done) override;
   void announceBatch(const wire::AnnouncementBatch &Batch, Duration Timeout,
-                     ControlDone<wire::AnnouncementBatch> Done) override;
+                     ControlCallback<wire::AnnouncementBatch> Done) override;
   void begin(const wire::BeginRequest &Request, Duration Timeout,
-             ControlDone<wire::BeginRequest> Done) override;
+             ControlCallback<wire::BeginRequest> Done) override;
   void finish(const wire::FinishRequest &Request, Duration Timeout,
-              ControlDone<wire::FinishRequest> Done) override;
+              ControlCallback<wire::FinishRequest> Done) override;
   void abandon(const wire::AbandonRequest &Request, Duration Timeout,
-               ControlDone<wire::AbandonRequest> Done) override;
+               ControlCallback<wire::AbandonRequest> Done) override;
   void callOperator(const wire::OperatorCall &Call, Duration Timeout,
-                    ControlDone<wire::OperatorCall> Done) override;
+                    ControlCallback<wire::OperatorCall> Done) override;
 
-  /// The name of the process that last answered as leader; empty before.
+  /// Returns the name of the process that last answered as leader, or an empty
+  /// string if none has.
   std::string getLeaderName() const;
 
 private:
   struct Call;
-  class Shared;
+  class Impl;
 
   template <class Request>
-  void send(const Request &Value, Duration Timeout, ControlDone<Request> Done);
+  void send(const Request &Message, Duration Timeout,
+            ControlCallback<Request> Done);
 
-  std::shared_ptr<Shared> Shared_;
+  std::shared_ptr<Impl> Impl_;
 };
 
 } // namespace tulipweir::entry
--- a/src/entry/HeaderFilter.cpp
+++ b/src/entry/HeaderFilter.cpp
@@ -11,13 +11,14 @@
 using namespace tulipweir;
 using namespace tulipweir::entry;
 
-// Headers between two neighbours only, which are not forwarded.
+// Hop-by-hop headers and headers that each HTTP message sets itself. They are
+// not forwarded.
 static constexpr std::array<std::string_view, 11> HopHeaders{
     "connection", "content-length",   "expect",
     "host",       "keep-alive",       "proxy-connection",
     "te",         "trailer",          "proxy-authorization",
     "upgrade",    "transfer-encoding"};
-static constexpr std::string_view OwnPrefix = "x-tulipweir-";
+static constexpr std::string_view TulipweirPrefix = "x-tulipweir-";
 
 static std::string toLower(std::string_view Text) {
   std::string Result(Text);
@@ -30,7 +31,7 @@
 
 bool entry::isPassedOn(const net::HttpHeader &Header) {
   const std::string Name = toLower(Header.Name_);
-  if (Name.starts_with(OwnPrefix))
+  if (Name.starts_with(TulipweirPrefix))
     return false;
   return std::find(HopHeaders.begin(), HopHeaders.end(), Name) ==
          HopHeaders.end();
--- a/src/entry/RequestTable.cpp
+++ b/src/entry/RequestTable.cpp
@@ -8,7 +8,7 @@
 using namespace tulipweir::entry;
 
 RequestTable::RequestTable(std::size_t Shards) {
-  assert(Shards > 0 && "a table needs a shard");
+  assert(Shards > 0 && "the table needs at least one shard");
   for (std::size_t Index = 0; Index < Shards; ++Index)
     Shards_.push_back(std::make_unique<Shard>());
 }
@@ -18,66 +18,66 @@
 }
 
 JoinResult RequestTable::join(const RequestKey &Key, const Digest &Digest,
-                              TimePoint Deadline, TableWaiter Waiter) {
-  Shard &Home = findShard(Key);
-  std::lock_guard Lock(Home.Mutex_);
-  const auto [Found, Inserted] = Home.Held_.try_emplace(Key);
-  Held &Value = Found->second;
+                              TimePoint Deadline, AttachedCallback Callback) {
+  Shard &KeyShard = findShard(Key);
+  std::lock_guard Lock(KeyShard.Mutex_);
+  const auto [It, Inserted] = KeyShard.Keys_.try_emplace(Key);
+  KeyState &State = It->second;
   if (Inserted) {
-    Value.Digest_ = Digest;
+    State.Digest_ = Digest;
     return JoinResult::Owner;
   }
-  if (Value.Digest_ != Digest)
+  if (State.Digest_ != Digest)
     return JoinResult::Conflict;
-  Value.Attached_.push_back({Deadline, std::move(Waiter)});
+  State.AttachedRequests_.push_back({Deadline, std::move(Callback)});
   return JoinResult::Attached;
 }
 
 void RequestTable::end(const RequestKey &Key, const FinalResult &Result) {
   std::vector<Attached> Waiting;
   {
-    Shard &Home = findShard(Key);
-    std::lock_guard Lock(Home.Mutex_);
-    const auto Found = Home.Held_.find(Key);
-    assert(Found != Home.Held_.end() && "ended without an owner");
-    Waiting = std::move(Found->second.Attached_);
-    Home.Held_.erase(Found);
+    Shard &KeyShard = findShard(Key);
+    std::lock_guard Lock(KeyShard.Mutex_);
+    const auto It = KeyShard.Keys_.find(Key);
+    assert(It != KeyShard.Keys_.end() && "the key has no owner");
+    Waiting = std::move(It->second.AttachedRequests_);
+    KeyShard.Keys_.erase(It);
   }
-  for (const Attached &One : Waiting)
-    One.Waiter_(&Result);
+  for (const Attached &Request : Waiting)
+    Request.Callback_(&Result);
 }
 
 void RequestTable::sweep(TimePoint Now) {
-  std::vector<Attached> Late;
-  for (const std::unique_ptr<Shard> &One : Shards_) {
-    std::lock_guard Lock(One->Mutex_);
-    for (auto &[Key, Value] : One->Held_)
-      std::erase_if(Value.Attached_, [&](Attached &Waiting) {
+  std::vector<Attached> Expired;
+  for (const std::unique_ptr<Shard> &TableShard : Shards_) {
+    std::lock_guard Lock(TableShard->Mutex_);
+    for (auto &[Key, State] : TableShard->Keys_)
+      std::erase_if(State.AttachedRequests_, [&](Attached &Waiting) {
         if (Now < Waiting.Deadline_)
           return false;
-        Late.push_back(std::move(Waiting));
+        Expired.push_back(std::move(Waiting));
         return true;
       });
   }
-  for (const Attached &Waiting : Late)
-    Waiting.Waiter_(nullptr);
+  for (const Attached &Waiting : Expired)
+    Waiting.Callback_(nullptr);
 }
 
-std::size_t RequestTable::getOwners() const {
+std::size_t RequestTable::getOwnerCount() const {
   std::size_t Count = 0;
-  for (const std::unique_ptr<Shard> &One : Shards_) {
-    std::lock_guard Lock(One->Mutex_);
-    Count += One->Held_.size();
+  for (const std::unique_ptr<Shard> &TableShard : Shards_) {
+    std::lock_guard Lock(TableShard->Mutex_);
+    Count += TableShard->Keys_.size();
   }
   return Count;
 }
 
-std::size_t RequestTable::getWaiters() const {
+std::size_t RequestTable::getWaiterCount() const {
   std::size_t Count = 0;
-  for (const std::unique_ptr<Shard> &One : Shards_) {
-    std::lock_guard Lock(One->Mutex_);
-    for (const auto &[Key, Value] : One->Held_)
-      Count += Value.Attached_.size();
+  for (const std::unique_ptr<Shard> &TableShard : Shards_) {
+    std::lock_guard Lock(TableShard->Mutex_);
+    for (const auto &[Key, State] : TableShard->Keys_)
+      Count += State.AttachedRequests_.size();
   }
   return Count;
 }
--- a/src/entry/ServiceGate.cpp
+++ b/src/entry/ServiceGate.cpp
@@ -8,10 +8,11 @@
 using namespace tulipweir::entry;
 using std::chrono::milliseconds;
 
-// No server has slots for us: the next report may bring some.
-static constexpr Duration NoServersRetry = milliseconds(1000);
+// The retry time when no server has slots for this entry. The next report may
+// bring some.
+static constexpr Duration NoServersRetryAfter = milliseconds(1000);
 static constexpr double DefaultRetryBudget = 0.1;
-static constexpr int MaxChoices = 3;
+static constexpr int MaxChooseTries = 3;
 
 ServiceGate::ServiceGate(const ServiceId &Service, const Clock &Clock,
                          std::uint64_t Seed)
@@ -40,70 +41,74 @@
   Chooser_.setServers(Granted, Clock_.now());
 }
 
-decide::SlotStatus ServiceGate::viewSlots() const {
+decide::SlotStatus ServiceGate::getSlotView() const {
   return {Chooser_.freeSlots(), Chooser_.totalSlots(), Chooser_.meanLatency()};
 }
 
-TakenSlot ServiceGate::takeSlot(TimePoint Now, const ExceptServer &Except) {
-  // A chosen server's slots may have gone to another service meanwhile.
-  for (int Try = 0; Try < MaxChoices; ++Try) {
-    const std::optional<BackendServerId> Chosen = Chooser_.choose(Now, Except);
+AcquiredSlot ServiceGate::chooseSlot(TimePoint Now,
+                                     const ExcludedServer &Excluded) {
+  // Another service may take the last slot of the chosen server first.
+  for (int Try = 0; Try < MaxChooseTries; ++Try) {
+    const std::optional<BackendServerId> Chosen =
+        Chooser_.choose(Now, Excluded);
     if (!Chosen)
       return nullptr;
-    const auto Found = Servers_.find(*Chosen);
-    if (Found == Servers_.end() || !Found->second->tryTake(Now))
+    const auto It = Servers_.find(*Chosen);
+    if (It == Servers_.end() || !It->second->tryAcquire(Now))
       continue;
     Chooser_.recordStart(*Chosen);
-    return Found->second;
+    return It->second;
   }
   return nullptr;
 }
 
-// Whether waiting makes sense: some grant holds, and it has slots.
+// Returns whether a queued request can get a slot: a grant is valid and there
+// are slots.
 bool ServiceGate::canServe(TimePoint Now) const {
   if (Chooser_.totalSlots() == 0)
     return false;
-  return std::any_of(Servers_.begin(), Servers_.end(), [Now](const auto &One) {
-    return Now < One.second->getUntil();
-  });
+  return std::any_of(
+      Servers_.begin(), Servers_.end(),
+      [Now](const auto &Server) { return Now < Server.second->getExpiry(); });
 }
 
-void ServiceGate::enter(TimePoint Deadline, const ExceptServer &Except,
-                        GateDone Done) {
-  GateAnswer Answer;
+void ServiceGate::acquireSlot(TimePoint Deadline,
+                              const ExcludedServer &Excluded,
+                              SlotCallback Done) {
+  SlotResult Answer;
   {
     std::lock_guard Lock(Mutex_);
     const TimePoint Now = Clock_.now();
     if (Queue_.empty())
-      Answer.Slot_ = takeSlot(Now, Except);
+      Answer.Slot_ = chooseSlot(Now, Excluded);
     if (!Answer.Slot_ && !canServe(Now)) {
-      Answer.RetryAfter_ = NoServersRetry;
+      Answer.RetryAfter_ = NoServersRetryAfter;
     } else if (!Answer.Slot_) {
-      decide::SlotStatus Slots = viewSlots();
-      Slots.Free_ = 0; // What is free is not for this request.
-      const decide::AdmissionResult Asked =
+      decide::SlotStatus Slots = getSlotView();
+      Slots.Free_ = 0; // This request cannot use the free slots.
+      const decide::AdmissionResult Decision =
           Admission_.evaluate(Now, Deadline, Slots);
-      if (Asked.Choice_ == decide::AdmissionChoice::Queue) {
+      if (Decision.Choice_ == decide::AdmissionChoice::Queue) {
         Admission_.recordQueued(Now, Slots);
-        Queue_.push_back({Deadline, Except, std::move(Done)});
+        Queue_.push_back({Deadline, Excluded, std::move(Done)});
         return;
       }
-      const bool Full = Asked.Choice_ == decide::AdmissionChoice::QueueFull;
+      const bool Full = Decision.Choice_ == decide::AdmissionChoice::QueueFull;
       Answer.Reason_ = Full ? RequestReason::QueueFull : RequestReason::TooLate;
-      Answer.RetryAfter_ = Asked.RetryAfter_;
+      Answer.RetryAfter_ = Decision.RetryAfter_;
     }
   }
   Done(std::move(Answer));
 }
 
-TakenSlot ServiceGate::tryEnter(const ExceptServer &Except) {
+AcquiredSlot ServiceGate::tryAcquireSlot(const ExcludedServer &Excluded) {
   std::lock_guard Lock(Mutex_);
   if (!Queue_.empty())
     return nullptr;
-  return takeSlot(Clock_.now(), Except);
+  return chooseSlot(Clock_.now(), Excluded);
 }
 
-void ServiceGate::noteFirstTry() {
+void ServiceGate::countFirstTry() {
   std::lock_guard Lock(Mutex_);
   Budget_.recordFirstTry();
 }
@@ -113,7 +118,7 @@
   return Budget_.trySpend();
 }
 
-bool ServiceGate::noteTaken(const BackendServerId &Server) {
+bool ServiceGate::recordSlotTaken(const BackendServerId &Server) {
   std::lock_guard Lock(Mutex_);
   if (!Servers_.contains(Server))
     return false;
@@ -121,9 +126,9 @@
   return true;
 }
 
-void ServiceGate::noteEnded(const BackendServerId &Server,
-                            std::optional<decide::RequestResult> Result,
-                            Duration Latency) {
+void ServiceGate::recordSlotReleased(
+    const BackendServerId &Server, std::optional<decide::RequestResult> Result,
+    Duration Latency) {
   std::lock_guard Lock(Mutex_);
   if (Result)
     Chooser_.recordEnd(Server, *Result, Latency, Clock_.now());
@@ -131,40 +136,43 @@
     Chooser_.releaseSlot(Server);
 }
 
-std::optional<ServiceGate::Handed> ServiceGate::takeNext(TimePoint Now) {
+std::optional<ServiceGate::QueueResult>
+ServiceGate::dequeueNext(TimePoint Now) {
   if (Queue_.empty())
     return std::nullopt;
   Waiter &First = Queue_.front();
-  GateAnswer Answer;
-  const Duration Left = First.Deadline_ - Now;
-  if (Left <= Duration::zero() || Left < Chooser_.meanLatency()) {
-    // Its answer would come too late: the slot is for one that can use it.
+  SlotResult Answer;
+  const Duration Remaining = First.Deadline_ - Now;
+  if (Remaining <= Duration::zero() || Remaining < Chooser_.meanLatency()) {
+    // The response would miss the deadline, so the slot is left to a request
+    // that can use it.
     Admission_.recordAbandoned();
     Answer.Reason_ = RequestReason::TooLate;
-    Answer.RetryAfter_ = Admission_.evaluate(Now, Now, viewSlots()).RetryAfter_;
+    Answer.RetryAfter_ =
+        Admission_.evaluate(Now, Now, getSlotView()).RetryAfter_;
   } else if (!canServe(Now)) {
     Admission_.recordAbandoned();
-    Answer.RetryAfter_ = NoServersRetry;
+    Answer.RetryAfter_ = NoServersRetryAfter;
   } else {
-    Answer.Slot_ = takeSlot(Now, First.Except_);
-    // Better the server that was tried before than to hold up the queue.
-    if (!Answer.Slot_ && First.Except_)
-      Answer.Slot_ = takeSlot(Now, std::nullopt);
+    Answer.Slot_ = chooseSlot(Now, First.Excluded_);
+    // Reusing the excluded server is better than blocking the queue.
+    if (!Answer.Slot_ && First.Excluded_)
+      Answer.Slot_ = chooseSlot(Now, std::nullopt);
     if (!Answer.Slot_)
       return std::nullopt;
     Admission_.recordDequeued(Now);
   }
-  Handed Result{std::move(First.Done_), std::move(Answer)};
+  QueueResult Result{std::move(First.Done_), std::move(Answer)};
   Queue_.pop_front();
   return Result;
 }
 
-void ServiceGate::drain() {
+void ServiceGate::dispatchQueue() {
   while (true) {
-    std::optional<Handed> Next;
+    std::optional<QueueResult> Next;
     {
       std::lock_guard Lock(Mutex_);
-      Next = takeNext(Clock_.now());
+      Next = dequeueNext(Clock_.now());
     }
     if (!Next)
       return;
@@ -173,29 +181,29 @@
 }
 
 void ServiceGate::sweep() {
-  std::vector<Handed> Refused;
+  std::vector<QueueResult> Expired;
   {
     std::lock_guard Lock(Mutex_);
     const TimePoint Now = Clock_.now();
     const TimePoint Latest = Now + Chooser_.meanLatency();
     std::deque<Waiter> Kept;
-    for (Waiter &One : Queue_) {
-      if (One.Deadline_ > Latest) {
-        Kept.push_back(std::move(One));
+    for (Waiter &Waiting : Queue_) {
+      if (Waiting.Deadline_ > Latest) {
+        Kept.push_back(std::move(Waiting));
         continue;
       }
       Admission_.recordAbandoned();
-      GateAnswer Answer;
+      SlotResult Answer;
       Answer.Reason_ = RequestReason::TooLate;
       Answer.RetryAfter_ =
-          Admission_.evaluate(Now, Now, viewSlots()).RetryAfter_;
-      Refused.push_back({std::move(One.Done_), std::move(Answer)});
+          Admission_.evaluate(Now, Now, getSlotView()).RetryAfter_;
+      Expired.push_back({std::move(Waiting.Done_), std::move(Answer)});
     }
     Queue_ = std::move(Kept);
   }
-  for (Handed &One : Refused)
-    One.Done_(std::move(One.Answer_));
-  drain();
+  for (QueueResult &Refusal : Expired)
+    Refusal.Done_(std::move(Refusal.Answer_));
+  dispatchQueue();
 }
 
 void ServiceGate::clear() {
@@ -206,7 +214,7 @@
     Admission_.recordAbandoned();
 }
 
-Duration ServiceGate::getServiceTime() const {
+Duration ServiceGate::getMeanLatency() const {
   std::lock_guard Lock(Mutex_);
   return Chooser_.meanLatency();
 }
--- a/tests/entry/Fakes.cpp
+++ b/tests/entry/Fakes.cpp
@@ -19,9 +19,9 @@
   return First;
 }
 
-TryFault FakeBackend::drawFault(const net::Endpoint &To) {
-  const auto Broken = Broken_.find(To);
-  return Broken != Broken_.end() ? Broken->second : takeFirst(Script_);
+TryFault FakeBackend::takeFault(const net::Endpoint &To) {
+  const auto FaultIt = ServerFaults_.find(To);
+  return FaultIt != ServerFaults_.end() ? FaultIt->second : takeFirst(Script_);
 }
 
 void FakeBackend::end(std::uint64_t Exchange, net::HttpResult Result) {
@@ -57,7 +57,7 @@
   net::HttpResponse Busy = Good;
   Busy.Status_ = 503;
   Busy.Headers_.push_back({header::NotRun, "1"});
-  const TryFault Fault = drawFault(To);
+  const TryFault Fault = takeFault(To);
   switch (Fault) {
   case TryFault::Refused:
     Break(HttpStage::NothingSent, ErrorCode::Unavailable);
@@ -65,7 +65,7 @@
   case TryFault::Busy:
     endAfter(milliseconds(1), Exchange, {HttpStage::Answered, Busy});
     return Exchange;
-  case TryFault::KilledUnrun:
+  case TryFault::BrokenBeforeRun:
     Break(HttpStage::Sent, ErrorCode::Unavailable);
     return Exchange;
   case TryFault::Frozen:
@@ -77,7 +77,7 @@
   net::HttpResponse Other = Fault == TryFault::BusyForOther ? Busy : Good;
   Other.Headers_[0].Value_ = "another";
   switch (Fault) {
-  case TryFault::KilledRun:
+  case TryFault::BrokenAfterRun:
     Break(HttpStage::Sent, ErrorCode::Unavailable);
     break;
   case TryFault::Truncated:
@@ -123,7 +123,7 @@
 }
 
 void FakeControl::report(const wire::EntryReport &Report, Duration Timeout,
-                         ControlDone<wire::EntryReport> Done) {
+                         ControlCallback<wire::EntryReport> Done) {
   Reports_.push_back(Report);
   std::vector<CallFault> Faults;
   if (ReportsLost_)
@@ -143,7 +143,7 @@
 
 void FakeControl::announce(const wire::Announcement &Announcement,
                            Duration Timeout,
-                           ControlDone<wire::Announcement> Done) {
+                           ControlCallback<wire::Announcement> Done) {
   Announcements_.push_back(Announcement);
   std::vector<CallFault> Faults;
   if (ReportsLost_)
@@ -157,28 +157,28 @@
 }
 
 void FakeControl::begin(const wire::BeginRequest &Request, Duration Timeout,
-                        ControlDone<wire::BeginRequest> Done) {
+                        ControlCallback<wire::BeginRequest> Done) {
   answer<wire::BeginRequestReply>(
       BeginFaults_, Timeout, [this, Request] { return applyBegin(Request); },
       Done);
 }
 
 void FakeControl::finish(const wire::FinishRequest &Request, Duration Timeout,
-                         ControlDone<wire::FinishRequest> Done) {
+                         ControlCallback<wire::FinishRequest> Done) {
   answer<wire::RecordReply>(
       FinishFaults_, Timeout, [this, Request] { return applyFinish(Request); },
       Done);
 }
 
 void FakeControl::abandon(const wire::AbandonRequest &Request, Duration Timeout,
-                          ControlDone<wire::AbandonRequest> Done) {
+                          ControlCallback<wire::AbandonRequest> Done) {
   answer<wire::RecordReply>(
       AbandonFaults_, Timeout,
       [this, Request] { return applyAbandon(Request); }, Done);
 }
 
 void FakeControl::callOperator(const wire::OperatorCall &Call, Duration Timeout,
-                               ControlDone<wire::OperatorCall> Done) {
+                               ControlCallback<wire::OperatorCall> Done) {
   OperatorCalls_.push_back(Call);
   std::vector<CallFault> Faults;
   answer<wire::OperatorAnswer>(
@@ -192,54 +192,55 @@
 wire::BeginRequestReply
 FakeControl::applyBegin(const wire::BeginRequest &Request) {
   if (NextDisposition_) {
-    wire::BeginRequestReply Told;
-    Told.Disposition_ = *NextDisposition_;
-    return Told;
+    wire::BeginRequestReply BeginReply;
+    BeginReply.Disposition_ = *NextDisposition_;
+    return BeginReply;
   }
-  Record &Value = Records_[Request.Key_];
-  if (Value.Attempt_ == 0 || Value.Abandoned_) {
-    const std::uint64_t Attempt = Value.Attempt_ + 1;
-    Value = {Request.Digest_, RequestDisposition::Running, false,       Attempt,
-             Request.Nonce_,  Request.EntryIncarnation_,   std::nullopt};
+  Record &Stored = Records_[Request.Key_];
+  if (Stored.Attempt_ == 0 || Stored.Abandoned_) {
+    const std::uint64_t Attempt = Stored.Attempt_ + 1;
+    Stored = {
+        Request.Digest_, RequestDisposition::Running, false,       Attempt,
+        Request.Nonce_,  Request.EntryIncarnation_,   std::nullopt};
     return {RequestDisposition::Run, Attempt, std::nullopt};
   }
-  if (Value.Digest_ != Request.Digest_)
-    return {RequestDisposition::Conflict, Value.Attempt_, std::nullopt};
-  const bool Again = Value.Nonce_ == Request.Nonce_ &&
-                     Value.Incarnation_ == Request.EntryIncarnation_ &&
-                     Value.State_ == RequestDisposition::Running;
-  return {Again ? RequestDisposition::Run : Value.State_, Value.Attempt_,
-          Value.Answer_};
+  if (Stored.Digest_ != Request.Digest_)
+    return {RequestDisposition::Conflict, Stored.Attempt_, std::nullopt};
+  const bool SameBegin = Stored.Nonce_ == Request.Nonce_ &&
+                         Stored.Incarnation_ == Request.EntryIncarnation_ &&
+                         Stored.State_ == RequestDisposition::Running;
+  return {SameBegin ? RequestDisposition::Run : Stored.State_, Stored.Attempt_,
+          Stored.Answer_};
 }
 
 wire::RecordReply FakeControl::applyFinish(const wire::FinishRequest &Request) {
-  Record &Value = Records_[Request.Key_];
-  if (Value.Attempt_ != Request.Attempt_ || Value.Abandoned_ ||
-      Value.State_ == RequestDisposition::Replay)
-    return {Value.Answer_ == Request.Answer_};
-  Value.Answer_ = Request.Answer_;
-  Value.State_ = Request.Answer_ ? RequestDisposition::Replay
-                                 : RequestDisposition::Unknown;
+  Record &Stored = Records_[Request.Key_];
+  if (Stored.Attempt_ != Request.Attempt_ || Stored.Abandoned_ ||
+      Stored.State_ == RequestDisposition::Replay)
+    return {Stored.Answer_ == Request.Answer_};
+  Stored.Answer_ = Request.Answer_;
+  Stored.State_ = Request.Answer_ ? RequestDisposition::Replay
+                                  : RequestDisposition::Unknown;
   return {true};
 }
 
 wire::RecordReply
 FakeControl::applyAbandon(const wire::AbandonRequest &Request) {
-  Record &Value = Records_[Request.Key_];
-  if (Value.Attempt_ != Request.Attempt_ ||
-      Value.State_ != RequestDisposition::Running)
+  Record &Stored = Records_[Request.Key_];
+  if (Stored.Attempt_ != Request.Attempt_ ||
+      Stored.State_ != RequestDisposition::Running)
     return {false};
-  Value.Abandoned_ = true;
+  Stored.Abandoned_ = true;
   return {true};
 }
 
-void FakeControl::endEntry() {
-  for (auto &[Key, Value] : Records_)
-    if (Value.State_ == RequestDisposition::Running && !Value.Abandoned_)
-      Value.State_ = RequestDisposition::Unknown;
+void FakeControl::markEntryLost() {
+  for (auto &[Key, Stored] : Records_)
+    if (Stored.State_ == RequestDisposition::Running && !Stored.Abandoned_)
+      Stored.State_ = RequestDisposition::Unknown;
 }
 
-World::World(unsigned Servers, unsigned SlotsEach) {
+EntryHarness::EntryHarness(unsigned Servers, unsigned SlotsEach) {
   for (unsigned Number = 1; Number <= Servers; ++Number) {
     wire::Route Route;
     Route.Server_ = BackendServerId("s" + std::to_string(Number));
@@ -256,14 +257,15 @@
   restartEntry();
 }
 
-void World::setRoutes(std::vector<wire::Route> Routes) {
+void EntryHarness::setRoutes(std::vector<wire::Route> Routes) {
   Routes_ = std::move(Routes);
   Control_->Reply_.Routes_ = Routes_;
   ++Control_->Reply_.RoutesVersion_;
 }
 
-void World::setBundle(std::uint64_t Version, const std::string &ServiceExtra,
-                      const std::string &Extra) {
+void EntryHarness::setBundle(std::uint64_t Version,
+                             const std::string &ServiceExtra,
+                             const std::string &Extra) {
   wire::SignedBundle Signed;
   Signed.Version_ = BundleVersion(Version);
   const std::string Key(64, '1');
@@ -281,16 +283,16 @@
   Control_->Reply_.InForce_ = Signed.Version_;
 }
 
-void World::restartEntry() {
+void EntryHarness::restartEntry() {
   if (Entry_)
-    Dead_.push_back(std::move(Entry_));
+    PreviousEntries_.push_back(std::move(Entry_));
   EntryIdentity Identity{EntryId("e1"), DataCentreId("dc1"), "127.0.0.1:1",
                          ++Incarnation_};
   std::map<DataCentreId, std::shared_ptr<ControlClient>> Controls = {
       {DataCentreId("dc1"), Control_}};
-  if (FarKnown_)
+  if (RemoteKnown_)
     Controls[DataCentreId("far")] = nullptr;
-  Entry_ = std::make_unique<Entry>(EntryParts{
+  Entry_ = std::make_unique<Entry>(EntryDependencies{
       Identity, Controls, Backend_, Timers_, Clock_,
       [this] { return Random_ = Random_ * 6364136223846793005ULL + 1; },
       Metrics_});
@@ -298,10 +300,10 @@
   advance(milliseconds(5));
 }
 
-std::shared_ptr<World::Call> World::call(const std::string &Body,
-                                         std::vector<net::HttpHeader> Headers,
-                                         const std::string &Method,
-                                         const std::string &Path) {
+std::shared_ptr<EntryHarness::Call>
+EntryHarness::call(const std::string &Body,
+                   std::vector<net::HttpHeader> Headers,
+                   const std::string &Method, const std::string &Path) {
   auto Result = std::make_shared<Call>();
   Result->Body_ = Body;
   Result->At_ = Clock_.now();
--- a/tests/entry/RequestTableTest.cpp
+++ b/tests/entry/RequestTableTest.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// The same as RequestTable with one list and no thought.
-class NaiveTable {
+/// A reference implementation of RequestTable with a single list.
+class ReferenceTable {
 public:
   struct Row {
     int Key_, Digest_, Id_;
@@ -25,9 +25,9 @@
   };
 
   JoinResult join(int Key, int Digest, TimePoint Deadline, int Id) {
-    for (const Row &One : Rows_)
-      if (One.Key_ == Key && One.Owner_) {
-        if (One.Digest_ != Digest)
+    for (const Row &Entry : Rows_)
+      if (Entry.Key_ == Key && Entry.Owner_) {
+        if (Entry.Digest_ != Digest)
           return JoinResult::Conflict;
         Rows_.push_back({Key, Digest, Id, Deadline, false});
         return JoinResult::Attached;
@@ -36,36 +36,37 @@
     return JoinResult::Owner;
   }
   std::vector<int> end(int Key) {
-    return take([&](const Row &One) { return One.Key_ == Key; });
+    return removeIf([&](const Row &Entry) { return Entry.Key_ == Key; });
   }
   std::vector<int> sweep(TimePoint Now) {
-    return take(
-        [&](const Row &One) { return !One.Owner_ && One.Deadline_ <= Now; });
+    return removeIf([&](const Row &Entry) {
+      return !Entry.Owner_ && Entry.Deadline_ <= Now;
+    });
   }
   bool owns(int Key) const {
-    return std::any_of(Rows_.begin(), Rows_.end(), [Key](const Row &One) {
-      return One.Owner_ && One.Key_ == Key;
+    return std::any_of(Rows_.begin(), Rows_.end(), [Key](const Row &Entry) {
+      return Entry.Owner_ && Entry.Key_ == Key;
     });
   }
 
 private:
-  template <class Rule> std::vector<int> take(Rule Takes) {
+  template <class Rule> std::vector<int> removeIf(Rule Matches) {
     std::vector<int> Waiters;
-    for (const Row &One : Rows_)
-      if (Takes(One) && !One.Owner_)
-        Waiters.push_back(One.Id_);
-    std::erase_if(Rows_, Takes);
+    for (const Row &Entry : Rows_)
+      if (Matches(Entry) && !Entry.Owner_)
+        Waiters.push_back(Entry.Id_);
+    std::erase_if(Rows_, Matches);
     std::sort(Waiters.begin(), Waiters.end());
     return Waiters;
   }
   std::vector<Row> Rows_;
 };
 
-RequestKey keyOf(int Number) { return RequestKey(std::to_string(Number)); }
+RequestKey makeKey(int Number) { return RequestKey(std::to_string(Number)); }
 
 } // namespace
 
-TEST(RequestTableTest, AgreesWithANaiveTableOverRandomSchedules) {
+TEST(RequestTableTest, MatchesTheReferenceTableOnRandomSchedules) {
   for (unsigned Seed = 1; Seed <= 50; ++Seed) {
     SCOPED_TRACE(Seed);
     std::mt19937 Random(Seed);
@@ -73,7 +74,7 @@
       return static_cast<int>(Random() % static_cast<unsigned>(Below));
     };
     RequestTable Table(3);
-    NaiveTable Naive;
+    ReferenceTable Reference;
     TimePoint Now;
     std::vector<int> Called;
     const auto CheckCalled = [&](const std::vector<int> &Expected) {
@@ -88,27 +89,27 @@
         const int Digest = Draw(8) == 0 ? 1 : 0;
         const TimePoint Deadline = Now + milliseconds(Draw(60));
         EXPECT_EQ(
-            Table.join(keyOf(Key),
+            Table.join(makeKey(Key),
                        Digest ? tulipweir::Digest("x") : tulipweir::Digest("y"),
                        Deadline,
                        [&Called, Step](const FinalResult *) {
                          Called.push_back(Step);
                        }),
-            Naive.join(Key, Digest, Deadline, Step));
+            Reference.join(Key, Digest, Deadline, Step));
       } else if (Choice < 8) {
-        if (Naive.owns(Key)) {
-          Table.end(keyOf(Key), FinalResult());
-          CheckCalled(Naive.end(Key));
+        if (Reference.owns(Key)) {
+          Table.end(makeKey(Key), FinalResult());
+          CheckCalled(Reference.end(Key));
         }
       } else {
         Table.sweep(Now);
-        CheckCalled(Naive.sweep(Now));
+        CheckCalled(Reference.sweep(Now));
       }
     }
   }
 }
 
-TEST(RequestTableTest, ThreadsSeeOneOwnerAtATimeAndEveryWaiterIsCalled) {
+TEST(RequestTableTest, ThreadsGetOneOwnerAtATimeAndEveryCallback) {
   RequestTable Table;
   std::atomic<int> Owners{0}, Most{0}, Attached{0}, Called{0};
   std::vector<std::thread> Threads;
@@ -117,7 +118,7 @@
     Threads.emplace_back([&] {
       for (int Round = 0; Round < 2000; ++Round) {
         const JoinResult Joined =
-            Table.join(keyOf(1), Digest("d"), TimePoint::max(),
+            Table.join(makeKey(1), Digest("d"), TimePoint::max(),
                        [&](const FinalResult *) { ++Called; });
         if (Joined != JoinResult::Owner) {
           ++Attached;
@@ -127,12 +128,12 @@
         if (Now > Most)
           Most = Now;
         --Owners;
-        Table.end(keyOf(1), FinalResult());
+        Table.end(makeKey(1), FinalResult());
       }
     });
   for (std::thread &Thread : Threads)
     Thread.join();
   EXPECT_EQ(Most, 1);
   EXPECT_EQ(Called, Attached);
-  EXPECT_EQ(Table.getOwners() + Table.getWaiters(), 0U);
+  EXPECT_EQ(Table.getOwnerCount() + Table.getWaiterCount(), 0U);
 }
--- a/tests/entry/support/Fakes.h
+++ b/tests/entry/support/Fakes.h
@@ -1,7 +1,7 @@
-//===- Fakes.h - What stands in for the entry's surroundings ---*- C++ -*-===//
+//===- Fakes.h - Fakes and a harness for tests of the entry ----*- C++ -*-===//
 //
-// Timers on a manual clock, backend servers that go wrong as told, and a
-// control side with naive records. All single-threaded.
+// Provides timers on a manual clock, backend servers with injected faults, and
+// control processes with simple records. All are single-threaded.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +25,7 @@
   void runAfter(Duration Delay, std::function<void()> Task) override {
     Tasks_.emplace(Clock_.now() + Delay, std::move(Task));
   }
-  /// Moves the clock and runs what falls due, in order.
+  /// Advances the clock and runs the due tasks in order.
   void advance(Duration By) {
     const TimePoint End = Clock_.now() + By;
     while (!Tasks_.empty() && Tasks_.begin()->first <= End) {
@@ -42,28 +42,35 @@
   std::multimap<TimePoint, std::function<void()>> Tasks_;
 };
 
-/// What happens to one try at the backend servers.
+/// A fault of one try at the backend servers.
 enum class TryFault {
   None,
-  Refused,      ///< No connection: nothing was sent.
-  Busy,         ///< "Busy, not run".
-  KilledUnrun,  ///< The connection broke after sending, before it ran.
-  KilledRun,    ///< It broke while or after it ran.
-  Truncated,    ///< It ran; half of the answer came.
-  WrongId,      ///< It ran; the answer to another request came.
-  BusyForOther, ///< It ran; another request's "busy, not run" came.
-  TooLarge,     ///< It ran; the answer was over the limit.
-  Frozen,       ///< It never ran, and nothing ever came.
-  RunFrozen,    ///< It ran, and nothing ever came.
-  Slow,         ///< It ran and answered well after the others.
-  Late,         ///< It ran and would answer after the deadline.
+  Refused,         ///< The connection is refused and nothing is sent.
+  Busy,            ///< The server answers "busy, not run".
+  BrokenBeforeRun, ///< The connection breaks before the request runs.
+  BrokenAfterRun,  ///< The connection breaks during or after the run.
+  Truncated,       ///< It runs; half of the response arrives.
+  WrongId,         ///< It runs; another request's response arrives.
+  BusyForOther,    ///< It runs; another request's "busy, not run" arrives.
+  TooLarge,        ///< It runs; the response is over the limit.
+  Frozen,          ///< It does not run, and no response arrives.
+  RunFrozen,       ///< It runs, and no response arrives.
+  Slow,            ///< It runs and answers well after the others.
+  Late,            ///< It runs; the response is due after the deadline.
 };
-inline constexpr TryFault AllTryFaults[] = {
-    TryFault::None,        TryFault::Refused,      TryFault::Busy,
-    TryFault::KilledUnrun, TryFault::KilledRun,    TryFault::Truncated,
-    TryFault::WrongId,     TryFault::BusyForOther, TryFault::TooLarge,
-    TryFault::Frozen,      TryFault::RunFrozen,    TryFault::Slow,
-    TryFault::Late};
+inline constexpr TryFault AllTryFaults[] = {TryFault::None,
+                                            TryFault::Refused,
+                                            TryFault::Busy,
+                                            TryFault::BrokenBeforeRun,
+                                            TryFault::BrokenAfterRun,
+                                            TryFault::Truncated,
+                                            TryFault::WrongId,
+                                            TryFault::BusyForOther,
+                                            TryFault::TooLarge,
+                                            TryFault::Frozen,
+                                            TryFault::RunFrozen,
+                                            TryFault::Slow,
+                                            TryFault::Late};
 
 class FakeBackend final : public BackendClient {
 public:
@@ -85,22 +92,22 @@
   }
   void forget(const net::Endpoint &Peer) override { Forgotten_.insert(Peer); }
 
-  /// How often the request with that body has run.
+  /// Returns how often the request with that body ran.
   unsigned getRuns(const std::string &Body) const {
-    const auto Found = Runs_.find(Body);
-    return Found == Runs_.end() ? 0 : Found->second;
+    const auto It = Runs_.find(Body);
+    return It == Runs_.end() ? 0 : It->second;
   }
 
-  /// Faults of the next tries in order; None when there is no more.
+  /// The faults of the next tries, in order. Later tries have no fault.
   std::vector<TryFault> Script_;
-  /// Faults of one server's tries, whatever the script says.
-  std::map<net::Endpoint, TryFault> Broken_;
+  /// Faults of all tries at one server; they override Script_.
+  std::map<net::Endpoint, TryFault> ServerFaults_;
   Duration ServiceTime_ = std::chrono::milliseconds(10);
   std::vector<Sent> Sent_;
   std::set<net::Endpoint> Forgotten_;
 
 private:
-  TryFault drawFault(const net::Endpoint &To);
+  TryFault takeFault(const net::Endpoint &To);
   void end(std::uint64_t Exchange, net::HttpResult Result);
   void endAfter(Duration Delay, std::uint64_t Exchange, net::HttpResult Result);
 
@@ -111,12 +118,12 @@
   std::map<std::string, unsigned> Runs_;
 };
 
-/// What happens to the next calls of one kind to the control side.
+/// A fault of a call to the control processes.
 enum class CallFault {
   None,
-  Unavailable, ///< No leader: certainly without effect.
-  LostBefore,  ///< Timed out without effect.
-  LostAfter,   ///< Timed out, but it took effect.
+  Unavailable, ///< There is no leader; the call has no effect.
+  LostBefore,  ///< The call times out without effect.
+  LostAfter,   ///< The call times out after taking effect.
 };
 
 class FakeControl : public ControlClient {
@@ -124,20 +131,20 @@
   explicit FakeControl(FakeTimers &Timers) : Timers_(Timers) {}
 
   void report(const wire::EntryReport &Report, Duration Timeout,
-              ControlDone<wire::EntryReport> Done) override;
+              ControlCallback<wire::EntryReport> Done) override;
   void announce(const wire::Announcement &Announcement, Duration Timeout,
-                ControlDone<wire::Announcement> Done) override;
+                ControlCallback<wire::Announcement> Done) override;
   void begin(const wire::BeginRequest &Request, Duration Timeout,
-             ControlDone<wire::BeginRequest> Done) override;
+             ControlCallback<wire::BeginRequest> Done) override;
   void finish(const wire::FinishRequest &Request, Duration Timeout,
-              ControlDone<wire::FinishRequest> Done) override;
+              ControlCallback<wire::FinishRequest> Done) override;
   void abandon(const wire::AbandonRequest &Request, Duration Timeout,
-               ControlDone<wire::AbandonRequest> Done) override;
+               ControlCallback<wire::AbandonRequest> Done) override;
   void callOperator(const wire::OperatorCall &Call, Duration Timeout,
-                    ControlDone<wire::OperatorCall> Done) override;
+                    ControlCallback<wire::OperatorCall> Done) override;
 
-  /// The entry process died: what it had begun is unknown.
-  void endEntry();
+  /// Marks the requests that the entry process had begun as unknown.
+  void markEntryLost();
 
   wire::EntryReportReply Reply_;
   std::vector<CallFault> BeginFaults_, FinishFaults_, AbandonFaults_;
@@ -170,18 +177,18 @@
   std::map<RequestKey, Record> Records_;
 };
 
-/// Every part around one entry, and calls to it.
-class World {
+/// An entry with fake surroundings, and functions to call it.
+class EntryHarness {
 public:
   static constexpr const char *ServiceName = "booking";
 
-  explicit World(unsigned Servers = 3, unsigned SlotsEach = 2);
+  explicit EntryHarness(unsigned Servers = 3, unsigned SlotsEach = 2);
 
   struct Answer {
     net::HttpResponse Response_;
     TimePoint At_;
   };
-  /// One call and its answers, of which there must be one.
+  /// A call and its responses; there must be exactly one.
   struct Call {
     std::string Body_;
     TimePoint At_;
@@ -194,15 +201,15 @@
     }
   };
 
-  /// Sends a request whose body is its own; headers in "Name: value" pairs.
+  /// Sends a request with the given body and headers.
   std::shared_ptr<Call>
   call(const std::string &Body, std::vector<net::HttpHeader> Headers = {},
        const std::string &Method = "POST",
        const std::string &Path = "/v1/services/booking/x");
   void advance(Duration By) { Timers_.advance(By); }
-  /// Puts a new process in the entry's place.
+  /// Replaces the entry process with a new one.
   void restartEntry();
-  /// Changes the routes and lets the next report bring them.
+  /// Changes the routes; the reply to the next report contains them.
   void setRoutes(std::vector<wire::Route> Routes);
   void setBundle(std::uint64_t Version, const std::string &ServiceExtra = "",
                  const std::string &Extra = "");
@@ -214,18 +221,19 @@
       std::make_shared<FakeControl>(Timers_);
   net::Metrics Metrics_;
   std::vector<wire::Route> Routes_;
-  /// Another data centre is known and out of reach; from the next start on.
-  bool FarKnown_ = false;
+  /// Whether the entry knows a second, unreachable data centre. Applies from
+  /// the next start.
+  bool RemoteKnown_ = false;
   std::unique_ptr<Entry> Entry_;
-  /// Earlier processes; their timers may still fire.
-  std::vector<std::unique_ptr<Entry>> Dead_;
+  /// Previous processes, whose timers may still fire.
+  std::vector<std::unique_ptr<Entry>> PreviousEntries_;
 
 private:
   std::uint64_t Incarnation_ = 0;
   std::uint64_t Random_ = 12345;
 };
 
-/// What a backend server answers to the request with that body.
+/// Returns the response of a backend server to the request with that body.
 inline std::string makeAnswerBody(const std::string &Body) {
   return "answer to " + Body;
 }
