--- a/include/tulipweir/control/ControlProcess.h
+++ b/include/tulipweir/control/ControlProcess.h
@@ -1,6 +1,7 @@
-//===- ControlProcess.h - A whole control process --------------*- C++ -*-===//
+//===- ControlProcess.h - A complete control process -----------*- C++ -*-===//
 //
-// Puts the parts of a control together, starts them and stops them in order.
+// Creates the components of a control process and starts and stops them in
+// order.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,34 +20,36 @@
 
 namespace tulipweir::control {
 
-/// Thread-safe unless said otherwise.
+/// A control process. Thread-safe unless stated otherwise.
 class ControlProcess {
 public:
   ControlProcess(const ControlSettings &Settings, const Clock &Time);
-  /// Stops without grace if stop was not called.
+  /// Closes everything immediately if stop() was not called.
   ~ControlProcess();
   ControlProcess(const ControlProcess &) = delete;
   ControlProcess &operator=(const ControlProcess &) = delete;
 
-  /// Opens the logs, listens, and takes part in both groups. Called once, not
-  /// on a network thread. Message_ says why it failed.
+  /// Opens the logs, starts listening and joins both replication groups. Must
+  /// be called once and not on a network thread. Message_ holds the reason of a
+  /// failure.
   struct StartResult {
     net::ExitCode Code_ = net::ExitCode::Success;
     std::string Message_;
   };
   StartResult start();
 
-  /// A planned stop: leadership moves, calls in progress end, the logs close.
-  /// Blocks for the grace time at most; not on a network thread. Success, or
-  /// GraceExceeded if something was cut off.
+  /// Performs a planned stop: transfers leadership, waits for calls in progress
+  /// and closes the logs. Blocks for at most the grace time; must not be called
+  /// on a network thread. Returns Success, or GraceExceeded if something was
+  /// cut off.
   net::ExitCode stop();
-  /// Lets a stop that is under way end at once, with GraceExceeded.
+  /// Makes a stop in progress return at once with GraceExceeded.
   void abortStop();
 
-  /// Where it listens for links, with the chosen port.
+  /// Returns the address for links, with the port that was actually bound.
   net::Endpoint getLinkEndpoint() const;
   net::Endpoint getHttpEndpoint() const;
-  /// The whole state for people, as JSON.
+  /// Returns the complete state as JSON, for operators.
   std::string makeStateDump() const;
   boost::asio::io_context &context();
 
--- a/include/tulipweir/control/ControlSettings.h
+++ b/include/tulipweir/control/ControlSettings.h
@@ -1,8 +1,9 @@
 //===- ControlSettings.h - Settings of a control process -------*- C++ -*-===//
 //
-// The control module: replicas of the data centre's log and of the fleet log,
-// the duties of whichever replica leads, and the answers to entries, operators
-// and other controls. This file: its settings, with the rules between them.
+// The control module holds a replica of the data centre's log and one of the
+// fleet log, runs the leader's duties while its replica leads, and answers
+// entries, operators and other control processes. This file declares its
+// settings and the rules between them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,49 +21,52 @@
 
 namespace tulipweir::control {
 
-/// What a control process is told at its start; not changed afterwards.
+/// Settings of a control process; immutable after the start.
 struct ControlSettings {
-  std::string Name_;       ///< Unique in the fleet; one control per VM.
+  std::string Name_;       ///< Unique in the fleet; one control process per VM.
   std::string DataCentre_; ///< Also the name of its replication group.
-  std::string Region_;     ///< For people; empty is allowed.
+  std::string Region_;     ///< Shown to operators only; may be empty.
   net::Endpoint ListenLinks_;
   net::Endpoint ListenHttp_;
-  std::string DataFolder_; ///< Empty only together with MemoryOnly_.
+  std::string DataFolder_; ///< Empty only if MemoryOnly_ is set.
   bool MemoryOnly_ = false;
-  /// It comes to groups that run already: it founds nothing and waits until
-  /// it is added as a learner.
+  /// Joins existing groups: the process does not bootstrap a group and waits
+  /// until it is added as a learner.
   bool Join_ = false;
   std::string Secret_;
-  /// The controls of this data centre, itself among them.
+  /// The control processes of this data centre, including this one.
   std::vector<net::NamedEndpoint> DataCentreMembers_;
-  /// The controls that hold the fleet log, itself among them.
+  /// The control processes that hold the fleet log, including this one.
   std::vector<net::NamedEndpoint> FleetMembers_;
 
   Duration ElectionTimeout_ = std::chrono::milliseconds(500);
   Duration FleetElectionTimeout_ = std::chrono::milliseconds(1000);
-  /// How often backend servers announce themselves.
+  /// Interval between announcements of a backend server.
   Duration Heartbeat_ = std::chrono::milliseconds(500);
-  /// A backend server that was silent this long gets no new requests.
+  /// A backend server that has been silent for this long gets no new requests.
   Duration Silence_ = std::chrono::milliseconds(1200);
-  /// How long a task may run on without a renewal.
+  /// Maximum time that a task runs without a lease renewal.
   Duration LeaseTtl_ = std::chrono::seconds(5);
-  /// How far any clock's rate may be off, in millionths. The same, like the
-  /// two durations around it, at all controls of a data centre.
+  /// Maximum clock rate error, in parts per million. This value and the two
+  /// durations around it must be equal at all control processes of a data
+  /// centre.
   std::int64_t DriftPpm_ = 1000;
-  /// How long a backend server may take to stop a task whose lease ran out.
+  /// Maximum time that a backend server takes to stop a task after its lease
+  /// expired.
   Duration StopGrace_ = std::chrono::milliseconds(200);
-  /// How long an entry may use its slots without a renewal.
+  /// Maximum time that an entry uses its slots without a renewal.
   Duration GrantTtl_ = std::chrono::seconds(3);
-  /// The longest time that entries let a request run. A dead entry's slots
-  /// are free again only after it.
+  /// Maximum duration of a request at an entry. The slots of a failed entry are
+  /// released only after this time.
   Duration MaxRequest_ = std::chrono::seconds(60);
-  /// How long a data centre holds a batch job without reaching the fleet.
+  /// Maximum time that a data centre keeps a batch job without contact to the
+  /// fleet's leader.
   Duration AssignmentTtl_ = std::chrono::hours(2);
-  /// A server that is silent this long and holds nothing is forgotten.
+  /// A server that has been silent for this long and holds no tasks is removed.
   Duration ForgetAfter_ = std::chrono::seconds(60);
-  /// What a planned stop may take.
+  /// Maximum duration of a planned stop.
   Duration Grace_ = std::chrono::seconds(20);
-  /// How long answers to non-repeatable requests are kept.
+  /// How long answers to non-idempotent requests are kept.
   Duration RequestRetention_ = std::chrono::hours(24);
   std::int64_t MaxRecords_ = 1'000'000;
   std::int64_t SnapshotEvery_ = 10'000;
@@ -70,14 +74,15 @@
   net::LogSettings Log_;
 };
 
-/// Adds every flag and every rule between them. Target must outlive parsing.
-void addControlOptions(net::Options &To, ControlSettings &Target);
+/// Adds all flags and the rules between them. Target must outlive parsing.
+void addControlOptions(net::Options &Flags, ControlSettings &Target);
 
-/// Every rule between the settings that is broken; empty when all is well.
+/// Returns a message for every violated rule; empty if the settings are valid.
 std::vector<std::string> listSettingProblems(const ControlSettings &Settings);
 
-/// What is allowed but does not survive a fault that operators care about, for
-/// the log and the operators' pages.
+/// Returns a warning for each allowed setting that does not survive a fault
+/// which matters to operators. The warnings go to the log and to the operator
+/// pages.
 std::vector<std::string> listSettingWarnings(const ControlSettings &Settings);
 
 } // namespace tulipweir::control
--- a/src/control/AnnouncementCheck.h
+++ b/src/control/AnnouncementCheck.h
@@ -1,7 +1,8 @@
-//===- AnnouncementCheck.h - Limits on what servers announce ---*- C++ -*-===//
+//===- AnnouncementCheck.h - Validation of announcements -------*- C++ -*-===//
 //
-// A backend server's announcement comes from outside: absurd sizes and foreign
-// data centres are refused before anything is kept of them.
+// Announcements come from outside the fleet's own processes: those with
+// implausible sizes or of another data centre are rejected before any of their
+// content is stored.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,8 +14,9 @@
 
 namespace tulipweir::control {
 
-/// Fails with InvalidArgument, saying what is wrong and what is allowed.
-Outcome<void> checkAnnouncement(const wire::Announcement &Value,
+/// Returns InvalidArgument with the violated limit if the announcement is
+/// invalid.
+Outcome<void> checkAnnouncement(const wire::Announcement &Announced,
                                 const DataCentreId &DataCentre);
 
 } // namespace tulipweir::control
--- a/src/control/BundleFile.h
+++ b/src/control/BundleFile.h
@@ -1,9 +1,9 @@
-//===- BundleFile.h - The bundle in force, on disk -------------*- C++ -*-===//
+//===- BundleFile.h - The current bundle on disk ---------------*- C++ -*-===//
 //
-// One small file in the control's data folder: a frame (magic, format's number,
-// length, xxh3) around the encoded bundle. It is written under another name,
-// synced, renamed, and the folder is synced, so that a loss of power leaves the
-// older bundle or the newer one, both whole.
+// A small file in the data folder that holds the encoded bundle in a frame
+// (magic number, format version, length, xxh3 checksum). A bundle is written
+// to a temporary file, synced and renamed, and the folder is synced, so that a
+// power loss leaves either the old or the new bundle, complete.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,22 +19,23 @@
 
 namespace tulipweir::control {
 
-/// For one thread at a time.
+/// Must not be used by two threads at a time.
 class BundleFile {
 public:
-  /// The folder exists; nobody else writes its files.
+  /// The folder must exist, and no one else may write its files.
   BundleFile(replication::FileSystem &Files, std::string Folder);
 
-  /// On return the bundle outlasts a loss of power. StorageFailed otherwise;
-  /// then the file holds the older bundle or this one.
-  Outcome<void> save(const wire::SignedBundle &Value);
-  /// nullopt if there is no file. Corrupt for a damaged one, VersionMismatch
-  /// for one of another format, StorageFailed if it cannot be read.
+  /// The bundle survives a power loss once this returns success. On
+  /// StorageFailed the file holds either the old bundle or this one.
+  Outcome<void> save(const wire::SignedBundle &Bundle);
+  /// Returns nullopt if there is no file, Corrupt if it is damaged,
+  /// VersionMismatch if it has another format and StorageFailed if it cannot be
+  /// read.
   Outcome<std::optional<wire::SignedBundle>> load() const;
 
 private:
   Outcome<bool> exists(const std::string &Name) const;
-  std::string pathOf(const std::string &Name) const;
+  std::string getPath(const std::string &Name) const;
 
   replication::FileSystem &Files_;
   const std::string Folder_;
--- a/src/control/BundleJson.cpp
+++ b/src/control/BundleJson.cpp
@@ -8,10 +8,11 @@
 static constexpr std::size_t MaxNameBytes = 128;
 static constexpr std::size_t MaxSignatureBytes = 256;
 
-static fleet::SignOff takeSignOff(JsonFields &Fields) {
+static fleet::SignOff readSignOff(JsonFields &Fields) {
   fleet::SignOff Value;
-  Value.Operator_ = OperatorId(Fields.takeText("operator", true, MaxNameBytes));
-  Value.Signature_ = Fields.takeText("signature", true, MaxSignatureBytes);
+  Value.Operator_ =
+      OperatorId(Fields.readString("operator", true, MaxNameBytes));
+  Value.Signature_ = Fields.readString("signature", true, MaxSignatureBytes);
   return Value;
 }
 
@@ -22,8 +23,8 @@
     return std::move(Parsed).as_failure();
   JsonFields &Fields = Parsed.value();
   fleet::ProposeBundle Value;
-  Value.Text_ = Fields.takeText("text", true, fleet::MaxBundleBytes);
-  Value.SignOff_ = takeSignOff(Fields);
+  Value.Text_ = Fields.readString("text", true, fleet::MaxBundleBytes);
+  Value.SignOff_ = readSignOff(Fields);
   Value.WallMs_ = WallMs;
   if (const Outcome<void> Checked = Fields.finish(); !Checked)
     return Checked.as_failure();
@@ -39,14 +40,14 @@
   JsonFields &Fields = Parsed.value();
   fleet::SignBundle Signed;
   Signed.Digest_ = Value;
-  Signed.SignOff_ = takeSignOff(Fields);
+  Signed.SignOff_ = readSignOff(Fields);
   Signed.WallMs_ = WallMs;
   if (const Outcome<void> Checked = Fields.finish(); !Checked)
     return Checked.as_failure();
   return Signed;
 }
 
-std::string control::takeBundleText(const std::string &Body) {
+std::string control::extractBundleText(const std::string &Body) {
   const Json Parsed = Json::parse(Body, nullptr, /*allow_exceptions=*/false);
   const bool Wrapped = Parsed.is_object() && Parsed.size() == 1 &&
                        Parsed.contains("text") && Parsed["text"].is_string();
@@ -89,11 +90,11 @@
 }
 
 Json control::makeProposedJson(const Digest &Value,
-                               const fleet::ProposedBundle &From) {
+                               const fleet::ProposedBundle &Proposal) {
   Json Signers = Json::array();
-  for (const fleet::SignOff &Signed : From.SignOffs_)
+  for (const fleet::SignOff &Signed : Proposal.SignOffs_)
     Signers.push_back(Signed.Operator_.value());
-  return {{"version", From.Version_.value()},
+  return {{"version", Proposal.Version_.value()},
           {"digest", Value.value()},
           {"signedBy", std::move(Signers)}};
 }
@@ -102,23 +103,23 @@
   BundleVersion Newest;
   for (const ControlReport &Report : Survey.Reports_)
     Newest = std::max(Newest, Report.Held_);
-  bool Everywhere = Survey.Silent_.empty();
+  bool InForceEverywhere = Survey.Unanswered_.empty();
   Json Controls = Json::array();
-  std::uint64_t TookMs = 0;
+  std::uint64_t DurationMs = 0;
   for (const ControlReport &Report : Survey.Reports_) {
-    Everywhere = Everywhere && Report.Held_ == Newest;
+    InForceEverywhere = InForceEverywhere && Report.Held_ == Newest;
     for (const EntryVersion &Entry : Report.Entries_)
-      Everywhere = Everywhere && Entry.Held_ == Newest;
+      InForceEverywhere = InForceEverywhere && Entry.Held_ == Newest;
     if (Report.Leads_ && Report.RollOut_.Version_ == Newest)
-      TookMs = std::max(TookMs, Report.RollOut_.TookMs_);
+      DurationMs = std::max(DurationMs, Report.RollOut_.DurationMs_);
     Controls.push_back(makeReportJson(Report));
   }
   Json Result = {{"version", Newest.value()},
-                 {"everywhere", Everywhere},
+                 {"everywhere", InForceEverywhere},
                  {"controls", std::move(Controls)},
-                 {"silent", Survey.Silent_}};
-  if (Everywhere)
-    Result["lastRollOutMs"] = TookMs;
+                 {"silent", Survey.Unanswered_}};
+  if (InForceEverywhere)
+    Result["lastRollOutMs"] = DurationMs;
   return Result;
 }
 
--- a/src/control/BundleJson.h
+++ b/src/control/BundleJson.h
@@ -1,6 +1,7 @@
-//===- BundleJson.h - Bundles as operators send and see them ---*- C++ -*-===//
+//===- BundleJson.h - JSON form of bundles ---------------------*- C++ -*-===//
 //
-// Conversion between the JSON of docs/API.md and the fleet's bundles.
+// Converts between the fleet's bundles and the JSON that docs/API.md
+// describes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,22 +18,25 @@
 
 namespace tulipweir::control {
 
-/// Fails with Malformed or InvalidArgument, naming every problem.
+/// Returns Malformed or InvalidArgument with every problem if the body is
+/// invalid.
 Outcome<fleet::ProposeBundle> parseProposal(const std::string &Body,
                                             std::uint64_t WallMs);
 Outcome<fleet::SignBundle> parseSignOff(const Digest &Value,
                                         const std::string &Body,
                                         std::uint64_t WallMs);
-/// The bundle's text: the body itself, or its only field "text".
-std::string takeBundleText(const std::string &Body);
+/// Returns the text of the bundle: the body itself, or its field "text" if that
+/// is the only field.
+std::string extractBundleText(const std::string &Body);
 
 Json makeCheckJson(const fleet::BundleCheck &Check, const std::string &Text);
 Json makeResultJson(const fleet::CommandResult &Result);
-/// Without the text.
+/// Omits the bundle's text.
 Json makeAcceptedJson(const fleet::AcceptedBundle &Value);
-Json makeProposedJson(const Digest &Value, const fleet::ProposedBundle &From);
+Json makeProposedJson(const Digest &Value,
+                      const fleet::ProposedBundle &Proposal);
 Json makeStatusJson(const SurveyResult &Survey);
-/// What limits there are in force, for callers and teams.
+/// Returns the limits in force for callers and teams.
 Json makeLimitsJson(const fleet::Bundle &Value);
 
 } // namespace tulipweir::control
--- a/src/control/BundleRoutes.h
+++ b/src/control/BundleRoutes.h
@@ -1,13 +1,13 @@
-//===- BundleRoutes.h - Bundles: check, propose, sign, show ----*- C++ -*-===//
+//===- BundleRoutes.h - Routes of bundles ----------------------*- C++ -*-===//
 //
-// The part of the operators' API below /bundles.
+// The part of the operator API below /bundles.
 //
 //===----------------------------------------------------------------------===//
 
 #ifndef TULIPWEIR_SRC_CONTROL_BUNDLEROUTES_H
 #define TULIPWEIR_SRC_CONTROL_BUNDLEROUTES_H
 
-#include "control/BundleKeeper.h"
+#include "control/BundleStore.h"
 #include "control/FleetProposer.h"
 #include "control/FleetSurvey.h"
 #include "control/RouteTable.h"
@@ -18,7 +18,7 @@
 /// Thread-safe.
 class BundleRoutes final : public RouteSet {
 public:
-  BundleRoutes(const fleet::FleetMachine &Fleet, BundleKeeper &Keeper,
+  BundleRoutes(const fleet::FleetMachine &Fleet, BundleStore &Store,
                FleetProposer &Proposer, FleetSurvey &Survey, const Clock &Time);
 
   RouteMatch handle(const wire::OperatorCall &Call,
@@ -39,7 +39,7 @@
   static const RouteEntry<BundleRoutes> Table[];
 
   const fleet::FleetMachine &Fleet_;
-  BundleKeeper &Keeper_;
+  BundleStore &Store_;
   FleetProposer &Proposer_;
   FleetSurvey &Survey_;
   const Clock &Time_;
--- a/src/control/ChangeFeed.h
+++ b/src/control/ChangeFeed.h
@@ -1,7 +1,7 @@
-//===- ChangeFeed.h - From the applying thread to the leader ---*- C++ -*-===//
+//===- ChangeFeed.h - Passes applied changes to the leader -----*- C++ -*-===//
 //
-// Passes what a log applied on to whoever leads at the moment; costs a load
-// while nobody does.
+// Passes the changes of applied commands to the current leadership. Costs one
+// atomic load while this process does not lead.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,7 +24,7 @@
   using Sink =
       std::function<void(std::uint64_t Index, std::vector<datacentre::Change>)>;
 
-  /// Called on the applying thread, in the log's order.
+  /// Called on the applying thread, in log order.
   void publish(const datacentre::AppliedCommand &Applied) {
     if (!Open_.load(std::memory_order_acquire) || Applied.Changes_.empty())
       return;
@@ -33,7 +33,7 @@
       Sink_(Applied.Index_, Applied.Changes_);
   }
 
-  /// Sink gets everything that is applied from now on; it must not block.
+  /// Sink receives all changes applied from now on; it must not block.
   void open(Sink To) {
     const std::lock_guard Lock(Mutex_);
     Sink_ = std::move(To);
--- a/src/control/CommandProposer.cpp
+++ b/src/control/CommandProposer.cpp
@@ -16,12 +16,12 @@
     : Group_(Group), Strand_(Strand) {}
 
 bool CommandProposer::propose(const ProposalKey &Key,
-                              const datacentre::Command &Value, Callback Done) {
+                              const datacentre::Command &Cmd, Callback Done) {
   if (!Open_->insert(Key).second)
     return false;
   std::weak_ptr<std::set<ProposalKey>> Open = Open_;
   Group_.propose(
-      datacentre::encodeCommand(Value),
+      datacentre::encodeCommand(Cmd),
       [&Strand = Strand_, Open, Key,
        Done = std::move(Done)](Outcome<replication::Applied> Result) {
         Strand.post([Open, Key, Done, Read = readResult(std::move(Result))] {
--- a/src/control/CommandProposer.h
+++ b/src/control/CommandProposer.h
@@ -1,7 +1,7 @@
 //===- CommandProposer.h - Proposals of one leadership ---------*- C++ -*-===//
 //
-// Proposes commands to the data centre's log, one at a time for each thing
-// they are about, and brings the results back to the leader's strand.
+// Proposes commands to the data centre's log, at most one at a time per
+// subject, and posts the results to the leader's strand.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,20 +22,20 @@
 
 namespace tulipweir::control {
 
-/// What a proposal is about.
+/// The subject of a proposal.
 using ProposalKey = std::variant<TaskId, BackendServerId, JobId, EntryId>;
 
-/// Lives on the leader's strand, as long as one leadership.
+/// Lives on the leader's strand for the duration of one leadership.
 class CommandProposer {
 public:
   using Callback = std::function<void(Outcome<datacentre::CommandResult>)>;
 
   CommandProposer(replication::Replica &Group, Executor &Strand);
 
-  /// False, and nothing proposed, while another proposal for Key is open.
-  /// Otherwise Done is called on the strand, unless this object is gone by
-  /// then: the leadership it belonged to has ended.
-  bool propose(const ProposalKey &Key, const datacentre::Command &Value,
+  /// Returns false and proposes nothing while another proposal for Key is open.
+  /// Otherwise Done is called on the strand, unless this object was destroyed
+  /// before because its leadership ended.
+  bool propose(const ProposalKey &Key, const datacentre::Command &Cmd,
                Callback Done);
 
   bool isOpen(const ProposalKey &Key) const { return Open_->contains(Key); }
--- a/src/control/ControlCore.cpp
+++ b/src/control/ControlCore.cpp
@@ -8,7 +8,7 @@
 using namespace tulipweir;
 using namespace tulipweir::control;
 
-static constexpr std::size_t DecisionsKept = 10'000;
+static constexpr std::size_t MaxDecisions = 10'000;
 static constexpr const char *FleetGroupName = "fleet";
 
 LeadershipSettings
@@ -51,15 +51,15 @@
   return std::move(Latest.front());
 }
 
-/// The parts of a leadership. Takes what the core owns besides what it got.
+/// Combines the dependencies of the core with the objects that the core owns.
 static LeadershipParts
 makeLeadershipParts(const CoreParts &Parts, const fleet::AssignmentLease &Lease,
                     FleetProposer &Proposer, DecisionStream &Stream,
-                    RollOutTracker &RollOuts, const BundleKeeper &Keeper) {
+                    RollOutTracker &RollOuts, const BundleStore &Bundles) {
   return {Parts.DataCentreGroup_,
           Parts.DataCentreMachine_,
           Parts.FleetMachine_,
-          Keeper,
+          Bundles,
           Lease,
           Proposer,
           Stream,
@@ -74,24 +74,26 @@
     : Settings_(Settings), Parts_(Parts),
       Times_(fleet::AssignmentTimes::makeFor(Settings.AssignmentTtl_)),
       Lease_(Times_), RollOuts_(Parts.Time_),
-      Keeper_(
+      BundleStore_(
           Parts.BundleFile_, Parts.FleetStrand_,
           [this] { return findLatest(Parts_.FleetMachine_); },
-          [this](const fleet::AcceptedBundle &Value) { onBundleTaken(Value); },
-          KeeperCounters::makeFor(Parts.Metrics_)),
-      Stream_(Parts.FleetStrand_, DecisionsKept),
+          [this](const fleet::AcceptedBundle &Bundle) {
+            onBundleAccepted(Bundle);
+          },
+          BundleStoreCounters::makeFor(Parts.Metrics_)),
+      Stream_(Parts.FleetStrand_, MaxDecisions),
       Proposer_(Parts.FleetGroup_, Parts.Peers_, Parts.FleetStrand_,
                 Parts.Time_),
-      DataCentre_(makeLeadershipParts(Parts, Lease_, Proposer_, Stream_,
-                                      RollOuts_, Keeper_),
-                  makeLeadershipSettings(Settings), Parts.Feed_),
-      Fleet_(
+      DataCentreService_(makeLeadershipParts(Parts, Lease_, Proposer_, Stream_,
+                                             RollOuts_, BundleStore_),
+                         makeLeadershipSettings(Settings), Parts.Feed_),
+      FleetService_(
           {Parts.FleetGroup_, Parts.FleetMachine_, Lease_, Parts.Peers_,
            Parts.FleetStrand_, Parts.Time_,
            FleetCounters::makeFor(Parts.Metrics_)},
           DataCentreId(Settings.DataCentre_), Times_,
-          [this] { return DataCentre_.findLoad(); },
-          [this](const JobId &Job) { DataCentre_.noteJob(Job); }),
+          [this] { return DataCentreService_.findLoad(); },
+          [this](const JobId &Job) { DataCentreService_.onJobChanged(Job); }),
       DataCentreLearners_(Settings.DataCentre_, Parts.DataCentreGroup_,
                           Parts.DataCentreStrand_,
                           listNames(Settings.DataCentreMembers_)),
@@ -99,19 +101,20 @@
                      listNames(Settings.FleetMembers_)),
       Survey_(Parts.Peers_, listPeerNames(Settings),
               [this] { return makeReport(); }),
-      Bundles_(Parts.FleetMachine_, Keeper_, Proposer_, Survey_, Parts.Time_),
-      Jobs_(DataCentreId(Settings.DataCentre_), Parts.FleetMachine_, Keeper_,
-            Parts.DataCentreMachine_, Proposer_, Survey_, DataCentre_,
-            Parts.Time_),
-      Servers_(Keeper_, Parts.DataCentreMachine_, Stream_, DataCentre_,
-               Parts.Time_, [this] { return makeDump(); }),
+      Bundles_(Parts.FleetMachine_, BundleStore_, Proposer_, Survey_,
+               Parts.Time_),
+      Jobs_(DataCentreId(Settings.DataCentre_), Parts.FleetMachine_,
+            BundleStore_, Parts.DataCentreMachine_, Proposer_, Survey_,
+            DataCentreService_, Parts.Time_),
+      Servers_(BundleStore_, Parts.DataCentreMachine_, Stream_,
+               DataCentreService_, Parts.Time_, [this] { return makeDump(); }),
       Members_({{Settings.DataCentre_, &Parts.DataCentreGroup_},
                 {FleetGroupName, &Parts.FleetGroup_}},
                Parts.Peers_, Parts.FleetStrand_, Parts.Time_),
       Operators_({&Bundles_, &Jobs_, &Servers_, &Members_}),
       Handlers_({DataCentreId(Settings.DataCentre_), Parts.DataCentreGroup_,
-                 Parts.FleetGroup_, DataCentre_, Fleet_, Operators_,
-                 Parts.Time_,
+                 Parts.FleetGroup_, DataCentreService_, FleetService_,
+                 Operators_, Parts.Time_,
                  Parts.Metrics_.addCounter("tulipweir_messages_malformed_total",
                                            "Messages that do not decode"),
                  Parts.Metrics_.addCounter(
@@ -120,8 +123,8 @@
 
 void ControlCore::start() {
   onFleetRestored();
-  DataCentre_.start();
-  Fleet_.start();
+  DataCentreService_.start();
+  FleetService_.start();
   DataCentreLearners_.start();
   FleetLearners_.start();
 }
@@ -130,64 +133,67 @@
   DataCentreLearners_.stop();
   FleetLearners_.stop();
   Stream_.close();
-  DataCentre_.stop(
-      [this, Stopped = std::move(Stopped)] { Fleet_.stop(Stopped); });
+  DataCentreService_.stop(
+      [this, Stopped = std::move(Stopped)] { FleetService_.stop(Stopped); });
 }
 
-void ControlCore::onBundleTaken(const fleet::AcceptedBundle &Value) {
-  RollOuts_.noteAccepted(Value.Version_, Value.WallMs_);
-  spdlog::info("bundle {} ({}) is in force", Value.Version_.value(),
-               Value.Digest_.value());
-  DataCentre_.noteBundle();
+void ControlCore::onBundleAccepted(const fleet::AcceptedBundle &Bundle) {
+  RollOuts_.recordAccepted(Bundle.Version_, Bundle.WallMs_);
+  spdlog::info("bundle {} ({}) is in force", Bundle.Version_.value(),
+               Bundle.Digest_.value());
+  DataCentreService_.onBundleChanged();
 }
 
 void ControlCore::onFleetRestored() {
-  Keeper_.noteChanged();
-  Fleet_.noteJobs();
+  BundleStore_.scheduleUpdate();
+  FleetService_.onJobsChanged();
 }
 
 namespace {
-/// The job that a fleet command is about; nullopt for bundles.
-struct JobOf {
-  template <class T> std::optional<JobId> operator()(const T &Value) const {
-    if constexpr (requires { Value.Job_; })
-      return Value.Job_;
+/// Returns the job that a fleet command refers to; nullopt for commands about
+/// bundles.
+struct GetJobId {
+  template <class T> std::optional<JobId> operator()(const T &Cmd) const {
+    if constexpr (requires { Cmd.Job_; })
+      return Cmd.Job_;
     else
       return std::nullopt;
   }
 };
 } // namespace
 
-void ControlCore::onFleetApplied(const fleet::Command &Value,
+void ControlCore::onFleetApplied(const fleet::Command &Cmd,
                                  const fleet::CommandResult &Result) {
   if (!Result.Error_.empty())
     return;
-  const std::optional<JobId> Job = std::visit(JobOf(), Value);
+  const std::optional<JobId> Job = std::visit(GetJobId(), Cmd);
   if (!Job) {
     if (Result.Accepted_)
-      Keeper_.noteChanged();
+      BundleStore_.scheduleUpdate();
     return;
   }
-  Fleet_.noteJobs();
-  DataCentre_.noteJob(*Job);
+  FleetService_.onJobsChanged();
+  DataCentreService_.onJobChanged(*Job);
 }
 
-std::string ControlCore::findUnready() const {
-  const replication::ReplicaStatus Own = Parts_.DataCentreGroup_.getStatus();
-  if (!Own.Failure_.empty())
-    return "the data centre's log stopped: " + Own.Failure_;
-  const replication::ReplicaStatus All = Parts_.FleetGroup_.getStatus();
-  if (!All.Failure_.empty())
-    return "the fleet's log stopped: " + All.Failure_;
-  return Own.LeaderName_.empty() ? "the data centre has no leader" : "";
+std::string ControlCore::getUnreadyReason() const {
+  const replication::ReplicaStatus DataCentreStatus =
+      Parts_.DataCentreGroup_.getStatus();
+  if (!DataCentreStatus.Failure_.empty())
+    return "the data centre's log stopped: " + DataCentreStatus.Failure_;
+  const replication::ReplicaStatus FleetStatus = Parts_.FleetGroup_.getStatus();
+  if (!FleetStatus.Failure_.empty())
+    return "the fleet's log stopped: " + FleetStatus.Failure_;
+  return DataCentreStatus.LeaderName_.empty() ? "the data centre has no leader"
+                                              : "";
 }
 
 Json ControlCore::makeBundleDump() const {
   const auto Latest = findLatest(Parts_.FleetMachine_);
   const BundleVersion InLog = Latest ? Latest->Version_ : BundleVersion();
-  return {{"held", Keeper_.getVersion().value()},
+  return {{"held", BundleStore_.getVersion().value()},
           {"inLog", InLog.value()},
-          {"unwritten", Keeper_.getUnwritten().value()},
+          {"unwritten", BundleStore_.getUnwrittenVersion().value()},
           {"onDisk", Parts_.BundleFile_ != nullptr}};
 }
 
@@ -200,8 +206,8 @@
   Json Result = {{"control", Settings_.Name_},
                  {"dataCentre", Settings_.DataCentre_},
                  {"region", Settings_.Region_},
-                 {"leadsDataCentre", DataCentre_.isLeading()},
-                 {"leadsFleet", Fleet_.isLeading()},
+                 {"leadsDataCentre", DataCentreService_.isLeading()},
+                 {"leadsFleet", FleetService_.isLeading()},
                  {"groups", std::move(Groups)},
                  {"bundle", makeBundleDump()},
                  {"warnings", listSettingWarnings(Settings_)},
@@ -227,8 +233,8 @@
   Report.Name_ = Settings_.Name_;
   Report.DataCentre_ = DataCentreId(Settings_.DataCentre_);
   Report.Region_ = Settings_.Region_;
-  Report.Leads_ = DataCentre_.isLeading();
-  if (const auto Held = Keeper_.get()) {
+  Report.Leads_ = DataCentreService_.isLeading();
+  if (const auto Held = BundleStore_.get()) {
     Report.Held_ = Held->Accepted_.Version_;
     Report.Digest_ = Held->Accepted_.Digest_;
   }
--- a/src/control/ControlCore.h
+++ b/src/control/ControlCore.h
@@ -1,26 +1,26 @@
-//===- ControlCore.h - A control between its logs and its links -*- C++ -*-===//
+//===- ControlCore.h - A control process without its sockets ---*- C++ -*-===//
 //
-// The duties, the operators' API and the handlers of frames, built over two
-// open replicas. Has no sockets of its own.
+// Combines the leader services, the operator API and the message handlers over
+// two open replicas.
 //
 //===----------------------------------------------------------------------===//
 
 #ifndef TULIPWEIR_SRC_CONTROL_CONTROLCORE_H
 #define TULIPWEIR_SRC_CONTROL_CONTROLCORE_H
 
-#include "control/BundleKeeper.h"
 #include "control/BundleRoutes.h"
+#include "control/BundleStore.h"
 #include "control/ControlHandlers.h"
 #include "control/JobRoutes.h"
-#include "control/LearnerDuty.h"
+#include "control/LearnerAdmission.h"
 #include "control/MemberRoutes.h"
 #include "control/ServerRoutes.h"
 #include "tulipweir/control/ControlSettings.h"
 
 namespace tulipweir::control {
 
-/// What the core is built over; all outlive it. The executors are one each for
-/// the data centre's and the fleet's duties.
+/// The dependencies of the core; all must outlive it. There is one executor for
+/// the data centre's work and one for the fleet's.
 struct CoreParts {
   const Clock &Time_;
   Executor &DataCentreStrand_;
@@ -32,11 +32,11 @@
   replication::Replica &DataCentreGroup_;
   replication::Replica &FleetGroup_;
   net::Metrics &Metrics_;
-  /// Where the bundle in force is kept; nullptr with memory only.
+  /// Stores the bundle in force; nullptr if nothing is kept on disk.
   BundleFile *BundleFile_ = nullptr;
 };
 
-/// Settings of the leader's duties, out of those of the process.
+/// Derives the settings of a leadership from those of the process.
 LeadershipSettings makeLeadershipSettings(const ControlSettings &Settings);
 
 /// Thread-safe.
@@ -47,30 +47,31 @@
   // Commands.
 
   void start();
-  /// Calls Stopped once the duties are given up.
+  /// Calls Stopped after all leader's work has ended.
   void stop(std::function<void()> Stopped);
   void handle(wire::MessageKind Kind, std::string Body, net::LinkReply Reply) {
     Handlers_.handle(Kind, std::move(Body), std::move(Reply));
   }
-  /// The fleet's log applied a command.
-  void onFleetApplied(const fleet::Command &Value,
+  /// Called after the fleet log applied a command.
+  void onFleetApplied(const fleet::Command &Cmd,
                       const fleet::CommandResult &Result);
-  /// The fleet's state was replaced by a snapshot's.
+  /// Called after a snapshot replaced the fleet's state.
   void onFleetRestored();
-  void onDataCentreRestored() { DataCentre_.noteRestored(); }
+  void onDataCentreRestored() { DataCentreService_.onStateRestored(); }
 
   // Queries.
 
-  const BundleKeeper &keeper() const { return Keeper_; }
+  const BundleStore &getBundleStore() const { return BundleStore_; }
   std::uint64_t getInProgress() const { return Handlers_.getInProgress(); }
-  bool isLeadingDataCentre() const { return DataCentre_.isLeading(); }
-  /// Empty when ready, or why not.
-  std::string findUnready() const;
-  /// The state without the leader's part.
+  bool isLeadingDataCentre() const { return DataCentreService_.isLeading(); }
+  /// Returns an empty text if the process is ready; otherwise the reason why it
+  /// is not.
+  std::string getUnreadyReason() const;
+  /// Returns the state without the parts that only a leader has.
   Json makeDump() const;
 
 private:
-  void onBundleTaken(const fleet::AcceptedBundle &Value);
+  void onBundleAccepted(const fleet::AcceptedBundle &Bundle);
   Json makeBundleDump() const;
   ControlReport makeReport() const;
 
@@ -79,13 +80,13 @@
   const fleet::AssignmentTimes Times_;
   fleet::AssignmentLease Lease_;
   RollOutTracker RollOuts_;
-  BundleKeeper Keeper_;
+  BundleStore BundleStore_;
   DecisionStream Stream_;
   FleetProposer Proposer_;
-  DataCentreDuties DataCentre_;
-  FleetDuties Fleet_;
-  LearnerDuty DataCentreLearners_;
-  LearnerDuty FleetLearners_;
+  DataCentreService DataCentreService_;
+  FleetService FleetService_;
+  LearnerAdmission DataCentreLearners_;
+  LearnerAdmission FleetLearners_;
   FleetSurvey Survey_;
   BundleRoutes Bundles_;
   JobRoutes Jobs_;
--- a/src/control/ControlHandlers.cpp
+++ b/src/control/ControlHandlers.cpp
@@ -23,10 +23,10 @@
     {MessageKind::FleetCommand, &ControlHandlers::onFleetCommand},
     {MessageKind::AssignmentReport, &ControlHandlers::onAssignmentReport}};
 
-static constexpr std::string_view PassedOn = "/passed-on/";
+static constexpr std::string_view ForwardedPrefix = "/passed-on/";
 
-/// The code with that stable name; Internal for an unknown one.
-static ErrorCode findCode(std::string_view Name) {
+/// Returns the code with that stable name; Internal for an unknown name.
+static ErrorCode parseErrorCode(std::string_view Name) {
   constexpr int Last = static_cast<int>(ErrorCode::Internal);
   for (int Code = 0; Code <= Last; ++Code)
     if (getErrorName(static_cast<ErrorCode>(Code)) == Name)
@@ -34,22 +34,22 @@
   return ErrorCode::Internal;
 }
 
-/// Encodes a reply, or passes its error on.
+/// Encodes a reply or forwards its error.
 template <class Message>
-static void sendReply(const LinkReply &Reply, const Outcome<Message> &Value) {
-  if (!Value)
-    return Reply(Value.as_failure());
-  Reply(wire::encode(Value.value()));
+static void sendReply(const LinkReply &Reply, const Outcome<Message> &Result) {
+  if (!Result)
+    return Reply(Result.as_failure());
+  Reply(wire::encode(Result.value()));
 }
 
 ControlHandlers::ControlHandlers(const HandlerParts &Parts) : Parts_(Parts) {}
 
-LinkReply ControlHandlers::track(LinkReply Reply) {
+LinkReply ControlHandlers::trackCall(LinkReply Reply) {
   ++*InProgress_;
-  return [Count = InProgress_, &TurnedAway = Parts_.TurnedAway_,
+  return [Count = InProgress_, &NotLeaderReplies = Parts_.NotLeaderReplies_,
           Reply = std::move(Reply)](Outcome<std::string> Answer) {
     if (!Answer && Answer.error().Code_ == ErrorCode::NotLeader)
-      TurnedAway.add();
+      NotLeaderReplies.add();
     Reply(std::move(Answer));
     --*Count;
   };
@@ -59,29 +59,29 @@
                              LinkReply Reply) {
   if (Kind == MessageKind::Replication)
     return onReplication(Body, std::move(Reply));
-  for (const Entry &Known : Table)
-    if (Known.Kind_ == Kind)
-      return (this->*Known.Handle_)(Body, track(std::move(Reply)));
+  for (const Entry &Handler : Table)
+    if (Handler.Kind_ == Kind)
+      return (this->*Handler.Handle_)(Body, trackCall(std::move(Reply)));
   Parts_.Malformed_.add();
   Reply(fail(ErrorCode::VersionMismatch,
-             "this control knows no message of kind " +
+             "unknown message kind " +
                  std::to_string(static_cast<unsigned>(Kind))));
 }
 
 template <class Message>
-std::optional<Message> ControlHandlers::read(const std::string &Body,
-                                             const LinkReply &Reply) {
-  Outcome<Message> Value = wire::decode<Message>(Body);
-  if (Value)
-    return std::move(Value.value());
+std::optional<Message> ControlHandlers::decodeOrReply(const std::string &Body,
+                                                      const LinkReply &Reply) {
+  Outcome<Message> Decoded = wire::decode<Message>(Body);
+  if (Decoded)
+    return std::move(Decoded.value());
   Parts_.Malformed_.add();
-  Reply(Value.as_failure());
+  Reply(Decoded.as_failure());
   return std::nullopt;
 }
 
 void ControlHandlers::onReplication(const std::string &Body, LinkReply Reply) {
   std::optional<wire::ReplicationMessage> Message =
-      read<wire::ReplicationMessage>(Body, Reply);
+      decodeOrReply<wire::ReplicationMessage>(Body, Reply);
   if (!Message)
     return;
   if (Message->Group_ == Parts_.DataCentre_.value())
@@ -94,49 +94,51 @@
 
 void ControlHandlers::onEntryReport(const std::string &Body, LinkReply Reply) {
   std::optional<wire::EntryReport> Report =
-      read<wire::EntryReport>(Body, Reply);
+      decodeOrReply<wire::EntryReport>(Body, Reply);
   if (!Report)
     return;
-  Parts_.Duties_.onEntryReport(
-      std::move(*Report),
-      [Reply = std::move(Reply)](const Outcome<wire::EntryReportReply> &Got) {
-        sendReply(Reply, Got);
+  Parts_.DataCentreService_.onEntryReport(
+      std::move(*Report), [Reply = std::move(Reply)](
+                              const Outcome<wire::EntryReportReply> &Answer) {
+        sendReply(Reply, Answer);
       });
 }
 
 void ControlHandlers::onAnnouncement(const std::string &Body, LinkReply Reply) {
-  std::optional<wire::Announcement> Value =
-      read<wire::Announcement>(Body, Reply);
-  if (!Value)
+  std::optional<wire::Announcement> Announced =
+      decodeOrReply<wire::Announcement>(Body, Reply);
+  if (!Announced)
     return;
-  if (Outcome<void> Checked = checkAnnouncement(*Value, Parts_.DataCentre_);
+  if (Outcome<void> Checked = checkAnnouncement(*Announced, Parts_.DataCentre_);
       !Checked)
     return Reply(Checked.as_failure());
-  Parts_.Duties_.onAnnouncement(
-      std::move(*Value),
-      [Reply = std::move(Reply)](const Outcome<wire::AnnouncementReply> &Got) {
-        sendReply(Reply, Got);
+  Parts_.DataCentreService_.onAnnouncement(
+      std::move(*Announced),
+      [Reply =
+           std::move(Reply)](const Outcome<wire::AnnouncementReply> &Answer) {
+        sendReply(Reply, Answer);
       });
 }
 
 void ControlHandlers::onAnnouncementBatch(const std::string &Body,
                                           LinkReply Reply) {
   std::optional<wire::AnnouncementBatch> Batch =
-      read<wire::AnnouncementBatch>(Body, Reply);
+      decodeOrReply<wire::AnnouncementBatch>(Body, Reply);
   if (!Batch)
     return;
-  Parts_.Duties_.onAnnouncementBatch(
-      std::move(*Batch), [Reply = std::move(Reply)](
-                             const Outcome<wire::AnnouncementBatchReply> &Got) {
-        sendReply(Reply, Got);
+  Parts_.DataCentreService_.onAnnouncementBatch(
+      std::move(*Batch),
+      [Reply = std::move(Reply)](
+          const Outcome<wire::AnnouncementBatchReply> &Answer) {
+        sendReply(Reply, Answer);
       });
 }
 
 template <class MakeReply>
-void ControlHandlers::commitRecord(const datacentre::Command &Value,
+void ControlHandlers::commitRecord(const datacentre::Command &Cmd,
                                    LinkReply Reply, MakeReply Make) {
   Parts_.DataCentreGroup_.propose(
-      datacentre::encodeCommand(Value),
+      datacentre::encodeCommand(Cmd),
       [Reply = std::move(Reply), Make](Outcome<Applied> Done) {
         if (!Done)
           return Reply(std::move(Done).as_failure());
@@ -148,58 +150,61 @@
       });
 }
 
-static std::uint64_t readWall(const Clock &Time) {
+static std::uint64_t getWallMs(const Clock &Time) {
   return static_cast<std::uint64_t>(Time.wallNow().count());
 }
 
 void ControlHandlers::onBegin(const std::string &Body, LinkReply Reply) {
   std::optional<wire::BeginRequest> Request =
-      read<wire::BeginRequest>(Body, Reply);
+      decodeOrReply<wire::BeginRequest>(Body, Reply);
   if (!Request)
     return;
   commitRecord(
-      datacentre::BeginRecord{std::move(*Request), readWall(Parts_.Time_)},
+      datacentre::BeginRecord{std::move(*Request), getWallMs(Parts_.Time_)},
       std::move(Reply), [](const CommandResult &Result, const LinkReply &To) {
         if (!Result.Error_.empty())
-          return To(fail(findCode(Result.Error_), Result.Message_));
+          return To(fail(parseErrorCode(Result.Error_), Result.Message_));
         To(wire::encode(Result.Begin_));
       });
 }
 
-/// A refusal is an answer here: another attempt or outcome stands.
-static void sendRecorded(const CommandResult &Result, const LinkReply &To) {
+/// A rejected record is a regular reply: another attempt or outcome was
+/// recorded first.
+static void sendRecordReply(const CommandResult &Result, const LinkReply &To) {
   To(wire::encode(wire::RecordReply{Result.Error_.empty()}));
 }
 
 void ControlHandlers::onFinish(const std::string &Body, LinkReply Reply) {
   std::optional<wire::FinishRequest> Request =
-      read<wire::FinishRequest>(Body, Reply);
+      decodeOrReply<wire::FinishRequest>(Body, Reply);
   if (!Request)
     return;
   commitRecord(
-      datacentre::FinishRecord{std::move(*Request), readWall(Parts_.Time_)},
-      std::move(Reply), &sendRecorded);
+      datacentre::FinishRecord{std::move(*Request), getWallMs(Parts_.Time_)},
+      std::move(Reply), &sendRecordReply);
 }
 
 void ControlHandlers::onAbandon(const std::string &Body, LinkReply Reply) {
   std::optional<wire::AbandonRequest> Request =
-      read<wire::AbandonRequest>(Body, Reply);
+      decodeOrReply<wire::AbandonRequest>(Body, Reply);
   if (!Request)
     return;
   commitRecord(
-      datacentre::AbandonRecord{std::move(*Request), readWall(Parts_.Time_)},
-      std::move(Reply), &sendRecorded);
+      datacentre::AbandonRecord{std::move(*Request), getWallMs(Parts_.Time_)},
+      std::move(Reply), &sendRecordReply);
 }
 
 void ControlHandlers::onOperatorCall(const std::string &Body, LinkReply Reply) {
   std::optional<wire::OperatorCall> Call =
-      read<wire::OperatorCall>(Body, Reply);
+      decodeOrReply<wire::OperatorCall>(Body, Reply);
   if (!Call)
     return;
-  // While nobody leads, any control shows what it can.
-  const std::string Leader = Parts_.Duties_.findLeader();
-  const bool Elsewhere = !Leader.empty() && !Parts_.Duties_.isLeading();
-  if (Elsewhere && !Call->Path_.starts_with(PassedOn))
+  // While there is no leader, any control process answers with the state it
+  // has.
+  const std::string Leader = Parts_.DataCentreService_.findLeader();
+  const bool Elsewhere =
+      !Leader.empty() && !Parts_.DataCentreService_.isLeading();
+  if (Elsewhere && !Call->Path_.starts_with(ForwardedPrefix))
     return Reply(fail(ErrorCode::NotLeader, Leader));
   Parts_.Operators_.handle(
       *Call, [Reply = std::move(Reply)](const wire::OperatorAnswer &Answer) {
@@ -209,7 +214,7 @@
 
 void ControlHandlers::onFleetCommand(const std::string &Body, LinkReply Reply) {
   std::optional<wire::FleetCommand> Command =
-      read<wire::FleetCommand>(Body, Reply);
+      decodeOrReply<wire::FleetCommand>(Body, Reply);
   if (!Command)
     return;
   Parts_.FleetGroup_.propose(std::move(Command->Command_),
@@ -228,11 +233,12 @@
     Parts_.Malformed_.add();
     return Reply(Report.as_failure());
   }
-  Parts_.Fleet_.onReport(
+  Parts_.FleetService_.onReport(
       std::move(Report.value()),
-      [Reply = std::move(Reply)](const Outcome<fleet::AssignmentReply> &Got) {
-        if (!Got)
-          return Reply(Got.as_failure());
-        Reply(fleet::encodeReply(Got.value()));
+      [Reply =
+           std::move(Reply)](const Outcome<fleet::AssignmentReply> &Answer) {
+        if (!Answer)
+          return Reply(Answer.as_failure());
+        Reply(fleet::encodeReply(Answer.value()));
       });
 }
--- a/src/control/ControlHandlers.h
+++ b/src/control/ControlHandlers.h
@@ -1,15 +1,15 @@
-//===- ControlHandlers.h - One handler per kind of message -----*- C++ -*-===//
+//===- ControlHandlers.h - Handlers by message kind ------------*- C++ -*-===//
 //
-// Decodes frames from entries and other controls, hands them to whoever is in
-// charge, and encodes the answers.
+// Decodes messages from entries and other control processes, dispatches them
+// and encodes the replies.
 //
 //===----------------------------------------------------------------------===//
 
 #ifndef TULIPWEIR_SRC_CONTROL_CONTROLHANDLERS_H
 #define TULIPWEIR_SRC_CONTROL_CONTROLHANDLERS_H
 
-#include "control/DataCentreDuties.h"
-#include "control/FleetDuties.h"
+#include "control/DataCentreService.h"
+#include "control/FleetService.h"
 #include "control/OperatorRouter.h"
 #include "tulipweir/net/Link.h"
 
@@ -18,17 +18,17 @@
 
 namespace tulipweir::control {
 
-/// What the handlers work with; all outlive them.
+/// The dependencies of the handlers; all must outlive them.
 struct HandlerParts {
   DataCentreId DataCentre_;
   replication::Replica &DataCentreGroup_;
   replication::Replica &FleetGroup_;
-  DataCentreDuties &Duties_;
-  FleetDuties &Fleet_;
+  DataCentreService &DataCentreService_;
+  FleetService &FleetService_;
   const OperatorRouter &Operators_;
   const Clock &Time_;
   net::Counter &Malformed_;
-  net::Counter &TurnedAway_; ///< Answered with NotLeader.
+  net::Counter &NotLeaderReplies_; ///< Calls answered with NotLeader.
 };
 
 /// Thread-safe; runs on network threads and never blocks.
@@ -37,7 +37,7 @@
   explicit ControlHandlers(const HandlerParts &Parts);
 
   void handle(wire::MessageKind Kind, std::string Body, net::LinkReply Reply);
-  /// Calls that were handed on and are not answered yet.
+  /// Returns the number of calls without a reply yet.
   std::uint64_t getInProgress() const { return *InProgress_; }
 
 private:
@@ -60,15 +60,15 @@
   void onFleetCommand(const std::string &Body, net::LinkReply Reply);
   void onAssignmentReport(const std::string &Body, net::LinkReply Reply);
 
-  /// Decodes; or answers Malformed and returns nullopt.
+  /// Decodes a message. On failure replies with Malformed and returns nullopt.
   template <class Message>
-  std::optional<Message> read(const std::string &Body,
-                              const net::LinkReply &Reply);
-  /// Commits a command about a record, then answers by MakeReply.
+  std::optional<Message> decodeOrReply(const std::string &Body,
+                                       const net::LinkReply &Reply);
+  /// Commits a command about a record, then calls Make to send the reply.
   template <class MakeReply>
-  void commitRecord(const datacentre::Command &Value, net::LinkReply Reply,
+  void commitRecord(const datacentre::Command &Cmd, net::LinkReply Reply,
                     MakeReply Make);
-  net::LinkReply track(net::LinkReply Reply);
+  net::LinkReply trackCall(net::LinkReply Reply);
 
   const HandlerParts Parts_;
   std::shared_ptr<std::atomic<std::uint64_t>> InProgress_ =
--- a/src/control/ControlMetrics.cpp
+++ b/src/control/ControlMetrics.cpp
@@ -6,14 +6,14 @@
 using replication::ReplicaStatus;
 
 namespace {
-/// One number of a replica's status.
+/// A gauge over one field of a replica's status.
 struct GroupGauge {
   const char *Name_;
   const char *Help_;
   double (*Read_)(const ReplicaStatus &);
 };
 
-/// One number of a listening side's counters.
+/// A gauge over one counter of the listening side.
 struct LinkGauge {
   const char *Name_;
   const char *Help_;
@@ -56,46 +56,51 @@
     {"tulipweir_link_frames_malformed_total", "Frames that were malformed",
      &LinkCounters::FramesMalformed_}};
 
-void control::addGroupMetrics(net::Metrics &To, const std::string &Group,
+void control::addGroupMetrics(net::Metrics &Registry, const std::string &Group,
                               const replication::Replica &Replica,
                               const ReplicationTransport &Out) {
   const std::string Labels = "group=\"" + Group + "\"";
   for (const GroupGauge &Gauge : GroupGauges)
-    To.addGauge(
+    Registry.addGauge(
         Gauge.Name_, Gauge.Help_,
         [&Replica, Read = Gauge.Read_] { return Read(Replica.getStatus()); },
         Labels);
-  To.addGauge(
+  Registry.addGauge(
       "tulipweir_group_sent_messages_total", "Replication messages sent",
-      [&Out] { return double(Out.getMessages()); }, Labels);
-  To.addGauge(
+      [&Out] { return double(Out.getMessageCount()); }, Labels);
+  Registry.addGauge(
       "tulipweir_group_sent_bytes_total", "Replication bytes sent",
-      [&Out] { return double(Out.getBytes()); }, Labels);
+      [&Out] { return double(Out.getByteCount()); }, Labels);
 }
 
-void control::addLinkMetrics(net::Metrics &To, const net::LinkServer &Server) {
+void control::addLinkMetrics(net::Metrics &Registry,
+                             const net::LinkServer &Server) {
   for (const LinkGauge &Gauge : LinkGauges)
-    To.addGauge(Gauge.Name_, Gauge.Help_, [&Server, Field = Gauge.Field_] {
-      return double(Server.getCounters().*Field);
-    });
+    Registry.addGauge(Gauge.Name_, Gauge.Help_,
+                      [&Server, Field = Gauge.Field_] {
+                        return double(Server.getCounters().*Field);
+                      });
 }
 
-void control::addBundleMetrics(net::Metrics &To, const BundleKeeper &Keeper,
+void control::addBundleMetrics(net::Metrics &Registry, const BundleStore &Store,
                                const fleet::FleetMachine &Fleet) {
-  To.addGauge("tulipweir_bundle_version", "Version of the bundle in force",
-              [&Keeper] { return double(Keeper.getVersion().value()); });
-  To.addGauge("tulipweir_bundle_log_version",
-              "Version of the newest bundle in this control's log", [&Fleet] {
-                const auto InLog = Fleet.getBundle();
-                return InLog ? double(InLog->Version_.value()) : 0.0;
-              });
-  To.addGauge("tulipweir_bundle_unwritten_version",
-              "Version that is not handed on as its file was not written; or 0",
-              [&Keeper] { return double(Keeper.getUnwritten().value()); });
-  To.addGauge("tulipweir_jobs_open", "Batch jobs that have not ended",
-              [&Fleet] {
-                return Fleet.read([](const fleet::FleetState &State) {
-                  return double(State.jobs().countOpen());
-                });
-              });
+  Registry.addGauge("tulipweir_bundle_version",
+                    "Version of the bundle in force",
+                    [&Store] { return double(Store.getVersion().value()); });
+  Registry.addGauge("tulipweir_bundle_log_version",
+                    "Version of the newest bundle in this control's log",
+                    [&Fleet] {
+                      const auto InLog = Fleet.getBundle();
+                      return InLog ? double(InLog->Version_.value()) : 0.0;
+                    });
+  Registry.addGauge(
+      "tulipweir_bundle_unwritten_version",
+      "Version that is not handed on as its file was not written; or 0",
+      [&Store] { return double(Store.getUnwrittenVersion().value()); });
+  Registry.addGauge("tulipweir_jobs_open", "Batch jobs that have not ended",
+                    [&Fleet] {
+                      return Fleet.read([](const fleet::FleetState &State) {
+                        return double(State.jobs().countOpen());
+                      });
+                    });
 }
--- a/src/control/ControlMetrics.h
+++ b/src/control/ControlMetrics.h
@@ -1,13 +1,13 @@
-//===- ControlMetrics.h - What a control shows on /metrics -----*- C++ -*-===//
+//===- ControlMetrics.h - Metrics of a control process ---------*- C++ -*-===//
 //
-// Gauges over the parts that count for themselves.
+// Adds gauges over the components that keep their own counters.
 //
 //===----------------------------------------------------------------------===//
 
 #ifndef TULIPWEIR_SRC_CONTROL_CONTROLMETRICS_H
 #define TULIPWEIR_SRC_CONTROL_CONTROLMETRICS_H
 
-#include "control/BundleKeeper.h"
+#include "control/BundleStore.h"
 #include "control/ReplicationTransport.h"
 #include "tulipweir/fleet/FleetMachine.h"
 #include "tulipweir/net/Link.h"
@@ -18,12 +18,12 @@
 
 namespace tulipweir::control {
 
-/// All arguments outlive the metrics.
-void addGroupMetrics(net::Metrics &To, const std::string &Group,
+/// All arguments must outlive the metrics.
+void addGroupMetrics(net::Metrics &Registry, const std::string &Group,
                      const replication::Replica &Replica,
                      const ReplicationTransport &Out);
-void addLinkMetrics(net::Metrics &To, const net::LinkServer &Server);
-void addBundleMetrics(net::Metrics &To, const BundleKeeper &Keeper,
+void addLinkMetrics(net::Metrics &Registry, const net::LinkServer &Server);
+void addBundleMetrics(net::Metrics &Registry, const BundleStore &Store,
                       const fleet::FleetMachine &Fleet);
 
 } // namespace tulipweir::control
--- a/src/control/ControlProcess.cpp
+++ b/src/control/ControlProcess.cpp
@@ -19,11 +19,12 @@
 using replication::ReplicaSettings;
 
 static constexpr const char *FleetGroupName = "fleet";
-/// One may be lost without a gap in the leader's lease, which lasts 7/8 of the
-/// timeout. More cost bytes while nothing happens: docs/HEARTBEATS.md.
+/// One heartbeat may be lost without a gap in the leader's lease, which lasts
+/// 7/8 of the election timeout. More heartbeats would only add idle traffic:
+/// docs/HEARTBEATS.md.
 static constexpr int HeartbeatsPerElection = 3;
 static constexpr Duration TransferTimeout = std::chrono::seconds(3);
-static constexpr Duration PollPause = std::chrono::milliseconds(10);
+static constexpr Duration PollInterval = std::chrono::milliseconds(10);
 
 static std::vector<std::string>
 listVoters(const std::vector<net::NamedEndpoint> &Members, bool Join) {
@@ -70,12 +71,12 @@
 }
 
 namespace {
-/// Counts down to nothing; waited for with a limit. Shared with callbacks that
-/// may come after the wait.
-class Countdown {
+/// A latch with a timed wait. Shared with callbacks that may run after the wait
+/// has ended.
+class Latch {
 public:
-  explicit Countdown(int Count) : Count_(Count) {}
-  void arrive() {
+  explicit Latch(int Count) : Count_(Count) {}
+  void countDown() {
     const std::lock_guard Lock(Mutex_);
     if (--Count_ == 0)
       Reached_.notify_all();
@@ -100,7 +101,7 @@
   StartResult start();
   ExitCode stop();
 
-  std::string findUnready() const;
+  std::string getUnreadyReason() const;
   std::string makeDump() const;
 
   const ControlSettings Settings_;
@@ -114,7 +115,7 @@
   Outcome<void> openGroups();
   void handleHttp(const net::HttpRequest &Request,
                   const net::HttpRespond &Respond);
-  void moveLeadership();
+  void transferLeaderships();
   bool waitUntil(const std::function<bool()> &Done, TimePoint Deadline) const;
   void close();
 
@@ -123,7 +124,7 @@
   ReplicationTransport DataCentreOut_;
   ReplicationTransport FleetOut_;
   ChangeFeed Feed_;
-  /// Set once Core_ stands; the machines apply entries before that.
+  /// Set once Core_ is ready; the state machines apply entries before that.
   std::atomic<ControlCore *> Ready_{nullptr};
   datacentre::DataCentreMachine DataCentreMachine_;
   fleet::FleetMachine FleetMachine_;
@@ -149,18 +150,18 @@
       FleetOut_(Peers_, FleetGroupName),
       DataCentreMachine_(
           makeLimits(Settings),
-          [this](const datacentre::AppliedCommand &Value) {
-            Feed_.publish(Value);
+          [this](const datacentre::AppliedCommand &Applied) {
+            Feed_.publish(Applied);
           },
           [this] {
             if (ControlCore *Core = Ready_)
               Core->onDataCentreRestored();
           }),
       FleetMachine_(
-          [this](const fleet::Command &Value,
+          [this](const fleet::Command &Cmd,
                  const fleet::CommandResult &Result) {
             if (ControlCore *Core = Ready_)
-              Core->onFleetApplied(Value, Result);
+              Core->onFleetApplied(Cmd, Result);
           },
           [this] {
             if (ControlCore *Core = Ready_)
@@ -168,24 +169,25 @@
           }),
       DataCentreStrand_(Pool_), FleetStrand_(Pool_),
       Pages_(
-          Metrics_, [this] { return findUnready(); },
+          Metrics_, [this] { return getUnreadyReason(); },
           [this] { return makeDump(); }) {}
 
 ControlProcess::Impl::~Impl() { close(); }
 
 Outcome<void> ControlProcess::Impl::openGroups() {
-  auto Own =
+  auto DataCentreGroup =
       Replica::open(makeReplicaSettings(Settings_, Settings_.DataCentre_),
                     DataCentreMachine_, DataCentreOut_, Time_);
-  if (!Own)
-    return std::move(Own).as_failure();
-  DataCentreGroup_ = std::move(Own.value());
-  auto All = Replica::open(makeReplicaSettings(Settings_, FleetGroupName),
-                           FleetMachine_, FleetOut_, Time_);
-  if (!All)
-    return std::move(All).as_failure();
-  FleetGroup_ = std::move(All.value());
-  // The replicas refused a folder of another member, and hold their locks.
+  if (!DataCentreGroup)
+    return std::move(DataCentreGroup).as_failure();
+  DataCentreGroup_ = std::move(DataCentreGroup.value());
+  auto FleetGroup =
+      Replica::open(makeReplicaSettings(Settings_, FleetGroupName),
+                    FleetMachine_, FleetOut_, Time_);
+  if (!FleetGroup)
+    return std::move(FleetGroup).as_failure();
+  FleetGroup_ = std::move(FleetGroup.value());
+  // The replicas have rejected a folder of another member and hold its locks.
   if (!Settings_.DataFolder_.empty())
     BundleFile_.emplace(Files_, Settings_.DataFolder_);
   return succeed();
@@ -204,7 +206,7 @@
   addGroupMetrics(Metrics_, Settings_.DataCentre_, *DataCentreGroup_,
                   DataCentreOut_);
   addGroupMetrics(Metrics_, FleetGroupName, *FleetGroup_, FleetOut_);
-  addBundleMetrics(Metrics_, Core_->keeper(), FleetMachine_);
+  addBundleMetrics(Metrics_, Core_->getBundleStore(), FleetMachine_);
   Peers_.addMetrics(Metrics_);
   Links_ = std::make_unique<net::LinkServer>(
       Pool_.context(), Settings_.ListenLinks_, makeLinkSettings(Settings_),
@@ -244,11 +246,11 @@
              R"(entry; here are /healthz, /readyz, /metrics, /debug/state"})"));
 }
 
-std::string ControlProcess::Impl::findUnready() const {
+std::string ControlProcess::Impl::getUnreadyReason() const {
   if (Stopping_)
     return "stopping";
   const ControlCore *Core = Ready_;
-  return Core ? Core->findUnready() : "starting";
+  return Core ? Core->getUnreadyReason() : "starting";
 }
 
 std::string ControlProcess::Impl::makeDump() const {
@@ -261,25 +263,24 @@
   while (!Done()) {
     if (Aborted_ || Time_.now() >= Deadline)
       return false;
-    std::this_thread::sleep_for(PollPause);
+    std::this_thread::sleep_for(PollInterval);
   }
   return true;
 }
 
-/// Hands both leaderships on, so that nobody has to wait for an election.
-void ControlProcess::Impl::moveLeadership() {
-  const auto Moved = std::make_shared<Countdown>(2);
+/// Transfers the leadership of both groups, which avoids an election.
+void ControlProcess::Impl::transferLeaderships() {
+  const auto Moved = std::make_shared<Latch>(2);
   for (Replica *Group : {DataCentreGroup_.get(), FleetGroup_.get()}) {
     const replication::ReplicaStatus Status = Group->getStatus();
     if (!Status.IsLeader_ || Status.Members_.size() < 2) {
-      Moved->arrive();
+      Moved->countDown();
       continue;
     }
     Group->transferLeadership([Moved](const Outcome<void> &Result) {
       if (!Result)
-        spdlog::warn("leadership was not handed on: {}",
-                     Result.error().Message_);
-      Moved->arrive();
+        spdlog::warn("leadership transfer failed: {}", Result.error().Message_);
+      Moved->countDown();
     });
   }
   Moved->waitFor(TransferTimeout);
@@ -290,15 +291,16 @@
     return ExitCode::Success;
   const TimePoint Deadline = Time_.now() + Settings_.Grace_;
   Stopping_ = true;
-  spdlog::info("stops: hands leadership on, lets calls end");
-  moveLeadership();
-  const auto Stopped = std::make_shared<Countdown>(1);
-  Core_->stop([Stopped] { Stopped->arrive(); });
+  spdlog::info(
+      "stopping: transferring leadership and waiting for calls to end");
+  transferLeaderships();
+  const auto Stopped = std::make_shared<Latch>(1);
+  Core_->stop([Stopped] { Stopped->countDown(); });
   const bool DutiesEnded = Stopped->waitFor(Deadline - Time_.now());
   const bool CallsEnded =
       waitUntil([this] { return Core_->getInProgress() == 0; }, Deadline);
-  const auto Drained = std::make_shared<Countdown>(1);
-  Http_->drain([Drained] { Drained->arrive(); });
+  const auto Drained = std::make_shared<Latch>(1);
+  Http_->drain([Drained] { Drained->countDown(); });
   const bool PagesEnded = Drained->waitFor(Deadline - Time_.now());
   close();
   const bool InTime = DutiesEnded && CallsEnded && PagesEnded && !Aborted_;
@@ -314,7 +316,7 @@
   if (Links_)
     Links_->stop();
   Peers_.stop();
-  // The replicas end first: no callback of theirs runs afterwards.
+  // The replicas stop first: none of their callbacks runs afterwards.
   if (DataCentreGroup_)
     DataCentreGroup_->stop();
   if (FleetGroup_)
--- a/src/control/ControlReport.h
+++ b/src/control/ControlReport.h
@@ -1,7 +1,7 @@
-//===- ControlReport.h - What a control says of itself ---------*- C++ -*-===//
+//===- ControlReport.h - Status report of a control process ----*- C++ -*-===//
 //
-// Controls ask each other for this when an operator wants to know about the
-// whole fleet, and to find the leader of another data centre.
+// Control processes request this report from each other to answer operators'
+// calls about the whole fleet and to find the leader of another data centre.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,16 +22,16 @@
   std::string Name_;
   DataCentreId DataCentre_;
   std::string Region_;
-  bool Leads_ = false; ///< Its data centre's group.
+  bool Leads_ = false; ///< Whether it leads its data centre's group.
   BundleVersion Held_;
   Digest Digest_;
-  std::vector<EntryVersion> Entries_; ///< Filled by a leader only.
-  RollOut RollOut_;                   ///< Filled by a leader only.
+  std::vector<EntryVersion> Entries_; ///< Set by a leader only.
+  RollOut RollOut_;                   ///< Set by a leader only.
   bool operator==(const ControlReport &) const = default;
 };
 
-Json makeReportJson(const ControlReport &Value);
-/// nullopt if the text is no such report.
+Json makeReportJson(const ControlReport &Status);
+/// Returns nullopt if the text is not a valid report.
 std::optional<ControlReport> parseReport(const std::string &Text);
 
 } // namespace tulipweir::control
--- a/src/control/ControlSettings.cpp
+++ b/src/control/ControlSettings.cpp
@@ -9,10 +9,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Renewals that may be lost in a row before a task's lease runs out.
-static constexpr int LeaseHeartbeats = 3;
-/// Below this, the loss of one member stops a group.
-static constexpr std::size_t LeastMembers = 3;
+/// Number of consecutive renewals that may be lost before a task's lease
+/// expires.
+static constexpr int MinHeartbeatsPerLease = 3;
+/// With fewer members, the loss of one member stops a group.
+static constexpr std::size_t MinMembers = 3;
 
 static const net::NamedEndpoint *
 findMember(const std::vector<net::NamedEndpoint> &Members,
@@ -60,12 +61,12 @@
 
 static std::string checkSameAddresses(const ControlSettings &Settings) {
   for (const net::NamedEndpoint &Member : Settings.DataCentreMembers_) {
-    const net::NamedEndpoint *Same =
+    const net::NamedEndpoint *FleetMember =
         findMember(Settings.FleetMembers_, Member.Name_);
-    if (Same && Same->Endpoint_ != Member.Endpoint_)
+    if (FleetMember && FleetMember->Endpoint_ != Member.Endpoint_)
       return Member.Name_ + " is " + Member.Endpoint_.toString() +
-             " in --data-centre-members, but " + Same->Endpoint_.toString() +
-             " in --fleet-members";
+             " in --data-centre-members, but " +
+             FleetMember->Endpoint_.toString() + " in --fleet-members";
   }
   return "";
 }
@@ -86,7 +87,7 @@
 }
 
 static std::string checkLease(const ControlSettings &Settings) {
-  if (Settings.LeaseTtl_ >= LeaseHeartbeats * Settings.Heartbeat_)
+  if (Settings.LeaseTtl_ >= MinHeartbeatsPerLease * Settings.Heartbeat_)
     return "";
   return "--lease-ttl must be at least three times --heartbeat, or one lost "
          "announcement stops tasks";
@@ -125,77 +126,78 @@
     checkGroupName, checkSameAddresses, checkFolder,          checkLease,
     checkGrace,     checkSilence,       checkElection,        checkAssignment};
 
-static void addIdentity(net::Options &To, ControlSettings &Target) {
-  To.addText("name", Target.Name_, "Name of this control, unique in the fleet",
-             true);
-  To.addText("data-centre", Target.DataCentre_, "Data centre it belongs to",
-             true);
-  To.addText("region", Target.Region_, "Region of the data centre");
-  To.addEndpoint("listen-links", Target.ListenLinks_,
-                 "Address for entries and other controls", true);
-  To.addEndpoint("listen-http", Target.ListenHttp_,
-                 "Address for /healthz, /readyz, /metrics and /debug/state",
-                 true);
-  To.addSecret("secret", Target.Secret_,
-               "Secret that all processes of the fleet share", 16);
-}
-
-static void addGroups(net::Options &To, ControlSettings &Target) {
-  To.addPeers("data-centre-members", Target.DataCentreMembers_,
-              "Controls of this data centre, itself among them", true);
-  To.addPeers("fleet-members", Target.FleetMembers_,
-              "Controls that hold the fleet log, itself among them", true);
-  To.addText("data-folder", Target.DataFolder_,
-             "Folder for the logs; its content survives a loss of power");
-  To.addSwitch("memory-only", Target.MemoryOnly_,
-               "Keep the logs in memory: a restart counts as a lost disk");
-  To.addSwitch("join", Target.Join_,
-               "Join groups that run already, as a learner");
-  To.addInteger("snapshot-every", Target.SnapshotEvery_, 100, 10'000'000,
-                "Log entries between two snapshots");
-}
-
-static void addTimes(net::Options &To, ControlSettings &Target) {
-  To.addDuration("election-timeout", Target.ElectionTimeout_, milliseconds(50),
-                 seconds(60),
-                 "Silence of the data centre's leader before an election");
-  To.addDuration("fleet-election-timeout", Target.FleetElectionTimeout_,
-                 milliseconds(50), seconds(60),
-                 "Silence of the fleet's leader before an election");
-  To.addDuration("heartbeat", Target.Heartbeat_, milliseconds(50), seconds(60),
-                 "Time between announcements of a backend server");
-  To.addDuration("silence", Target.Silence_, milliseconds(100), seconds(120),
-                 "Silence of a backend server before it gets no requests");
-  To.addDuration("lease-ttl", Target.LeaseTtl_, milliseconds(200), hours(1),
-                 "How long a task runs on without a renewal");
-  To.addInteger("drift-ppm", Target.DriftPpm_, 1, 100'000,
-                "How far a clock's rate may be off, in millionths");
-  To.addDuration("stop-grace", Target.StopGrace_, milliseconds(1), seconds(60),
-                 "What a backend server takes to stop a task");
-  To.addDuration("grant-ttl", Target.GrantTtl_, milliseconds(200), seconds(60),
-                 "How long an entry uses slots unrenewed");
-  To.addDuration("max-request", Target.MaxRequest_, milliseconds(100), hours(1),
-                 "The longest that entries let a request run");
-  To.addDuration("assignment-ttl", Target.AssignmentTtl_, seconds(1), hours(48),
-                 "How long a cut-off data centre keeps its jobs");
-  To.addDuration("forget-after", Target.ForgetAfter_, seconds(1), hours(24),
-                 "Silence before an empty backend server is forgotten");
-  To.addDuration("request-retention", Target.RequestRetention_, seconds(10),
-                 hours(24 * 7), "How long non-repeatable requests are kept");
-  To.addDuration("grace", Target.Grace_, milliseconds(100), hours(1),
-                 "What a planned stop may take");
-}
-
-void control::addControlOptions(net::Options &To, ControlSettings &Target) {
-  addIdentity(To, Target);
-  addGroups(To, Target);
-  addTimes(To, Target);
-  To.addInteger("max-records", Target.MaxRecords_, 1'000, 100'000'000,
-                "Non-repeatable requests on record before new ones wait");
-  To.addInteger("threads", Target.Threads_, 1, 64, "Network threads");
-  net::addLogOptions(To, Target.Log_);
+static void addIdentity(net::Options &Flags, ControlSettings &Target) {
+  Flags.addText("name", Target.Name_,
+                "Name of this control, unique in the fleet", true);
+  Flags.addText("data-centre", Target.DataCentre_, "Data centre it belongs to",
+                true);
+  Flags.addText("region", Target.Region_, "Region of the data centre");
+  Flags.addEndpoint("listen-links", Target.ListenLinks_,
+                    "Address for entries and other controls", true);
+  Flags.addEndpoint("listen-http", Target.ListenHttp_,
+                    "Address for /healthz, /readyz, /metrics and /debug/state",
+                    true);
+  Flags.addSecret("secret", Target.Secret_,
+                  "Secret that all processes of the fleet share", 16);
+}
+
+static void addGroups(net::Options &Flags, ControlSettings &Target) {
+  Flags.addPeers("data-centre-members", Target.DataCentreMembers_,
+                 "Controls of this data centre, itself among them", true);
+  Flags.addPeers("fleet-members", Target.FleetMembers_,
+                 "Controls that hold the fleet log, itself among them", true);
+  Flags.addText("data-folder", Target.DataFolder_,
+                "Folder for the logs; its content survives a loss of power");
+  Flags.addSwitch("memory-only", Target.MemoryOnly_,
+                  "Keep the logs in memory: a restart counts as a lost disk");
+  Flags.addSwitch("join", Target.Join_,
+                  "Join groups that run already, as a learner");
+  Flags.addInteger("snapshot-every", Target.SnapshotEvery_, 100, 10'000'000,
+                   "Log entries between two snapshots");
+}
+
+static void addTimes(net::Options &Flags, ControlSettings &Target) {
+  Flags.addDuration("election-timeout", Target.ElectionTimeout_,
+                    milliseconds(50), seconds(60),
+                    "Silence of the data centre's leader before an election");
+  Flags.addDuration("fleet-election-timeout", Target.FleetElectionTimeout_,
+                    milliseconds(50), seconds(60),
+                    "Silence of the fleet's leader before an election");
+  Flags.addDuration("heartbeat", Target.Heartbeat_, milliseconds(50),
+                    seconds(60),
+                    "Time between announcements of a backend server");
+  Flags.addDuration("silence", Target.Silence_, milliseconds(100), seconds(120),
+                    "Silence of a backend server before it gets no requests");
+  Flags.addDuration("lease-ttl", Target.LeaseTtl_, milliseconds(200), hours(1),
+                    "How long a task runs on without a renewal");
+  Flags.addInteger("drift-ppm", Target.DriftPpm_, 1, 100'000,
+                   "How far a clock's rate may be off, in millionths");
+  Flags.addDuration("stop-grace", Target.StopGrace_, milliseconds(1),
+                    seconds(60), "What a backend server takes to stop a task");
+  Flags.addDuration("grant-ttl", Target.GrantTtl_, milliseconds(200),
+                    seconds(60), "How long an entry uses slots unrenewed");
+  Flags.addDuration("max-request", Target.MaxRequest_, milliseconds(100),
+                    hours(1), "The longest that entries let a request run");
+  Flags.addDuration("assignment-ttl", Target.AssignmentTtl_, seconds(1),
+                    hours(48), "How long a cut-off data centre keeps its jobs");
+  Flags.addDuration("forget-after", Target.ForgetAfter_, seconds(1), hours(24),
+                    "Silence before an empty backend server is forgotten");
+  Flags.addDuration("request-retention", Target.RequestRetention_, seconds(10),
+                    hours(24 * 7), "How long non-repeatable requests are kept");
+  Flags.addDuration("grace", Target.Grace_, milliseconds(100), hours(1),
+                    "What a planned stop may take");
+}
+
+void control::addControlOptions(net::Options &Flags, ControlSettings &Target) {
+  addIdentity(Flags, Target);
+  addGroups(Flags, Target);
+  addTimes(Flags, Target);
+  Flags.addInteger("max-records", Target.MaxRecords_, 1'000, 100'000'000,
+                   "Non-repeatable requests on record before new ones wait");
+  Flags.addInteger("threads", Target.Threads_, 1, 64, "Network threads");
+  net::addLogOptions(Flags, Target.Log_);
   for (SettingRule Rule : Rules)
-    To.addRule([Rule, &Target] { return Rule(Target); });
+    Flags.addRule([Rule, &Target] { return Rule(Target); });
 }
 
 std::vector<std::string>
@@ -207,9 +209,9 @@
   return Problems;
 }
 
-static void warnOfSize(std::vector<std::string> &Warnings,
-                       const std::string &Flag, std::size_t Size) {
-  if (Size < LeastMembers)
+static void addSizeWarning(std::vector<std::string> &Warnings,
+                           const std::string &Flag, std::size_t Size) {
+  if (Size < MinMembers)
     Warnings.push_back(Flag + " has " + std::to_string(Size) +
                        ": losing one VM stops the group; use 3 or 5");
   else if (Size % 2 == 0)
@@ -220,9 +222,9 @@
 std::vector<std::string>
 control::listSettingWarnings(const ControlSettings &Settings) {
   std::vector<std::string> Warnings;
-  warnOfSize(Warnings, "--data-centre-members",
-             Settings.DataCentreMembers_.size());
-  warnOfSize(Warnings, "--fleet-members", Settings.FleetMembers_.size());
+  addSizeWarning(Warnings, "--data-centre-members",
+                 Settings.DataCentreMembers_.size());
+  addSizeWarning(Warnings, "--fleet-members", Settings.FleetMembers_.size());
   if (Settings.MemoryOnly_)
     Warnings.push_back(
         "--memory-only: this member forgets its logs when it stops. The group "
--- a/src/control/DataCentreLeadership.cpp
+++ b/src/control/DataCentreLeadership.cpp
@@ -11,19 +11,19 @@
 using datacentre::ServerRecord;
 using datacentre::SlotServer;
 
-/// Ticks between the slower parts of the work.
-static constexpr std::uint64_t RouteTicks = 2;
-static constexpr std::uint64_t SweepTicks = 10;
-/// How far ahead a job's assignment is looked up.
-static constexpr Duration CoverAhead = std::chrono::seconds(5);
-/// Usage moves slowly and lags anyway: one announcement within this time
-/// feeds the planner, services' reports all do.
-static constexpr Duration UsagePeriod = std::chrono::seconds(2);
+/// Number of ticks between two runs of the slower work.
+static constexpr std::uint64_t TicksPerRouteUpdate = 2;
+static constexpr std::uint64_t TicksPerSweep = 10;
+/// Extra time by which a cached coverage check looks ahead.
+static constexpr Duration CoverageMargin = std::chrono::seconds(5);
+/// Usage changes slowly and is reported late anyway, so only one announcement
+/// per interval updates the planner. Service reports are always used.
+static constexpr Duration UsageInterval = std::chrono::seconds(2);
 
-/// Reads a machine for a constructor, where the value is needed at once.
-template <class Make>
+/// Reads the state for a constructor, which needs the value at once.
+template <class Reader>
 static auto readState(const datacentre::DataCentreMachine &Machine,
-                      Make Function) {
+                      Reader Function) {
   std::optional<decltype(Function(std::declval<const DataCentreState &>()))>
       Result;
   Machine.withState(
@@ -32,15 +32,15 @@
 }
 
 static SlotServer makeSlotServer(const datacentre::RegisterServer &Info) {
-  SlotServer Value;
-  Value.Server_ = Info.Server_;
-  Value.Boot_ = Info.Boot_;
-  Value.Address_ = Info.Address_;
-  Value.Services_ = Info.Services_;
-  Value.Slots_ = Info.Slots_;
-  Value.Connections_ = Info.Connections_;
-  Value.Draining_ = Info.Draining_;
-  return Value;
+  SlotServer SlotInfo;
+  SlotInfo.Server_ = Info.Server_;
+  SlotInfo.Boot_ = Info.Boot_;
+  SlotInfo.Address_ = Info.Address_;
+  SlotInfo.Services_ = Info.Services_;
+  SlotInfo.Slots_ = Info.Slots_;
+  SlotInfo.Connections_ = Info.Connections_;
+  SlotInfo.Draining_ = Info.Draining_;
+  return SlotInfo;
 }
 
 static std::vector<SlotServer> listSlotServers(const DataCentreState &State) {
@@ -51,39 +51,39 @@
 }
 
 namespace {
-/// What a proposal is about.
-struct KeyOf {
-  template <class T> ProposalKey operator()(const T &Value) const {
-    if constexpr (requires { Value.Task_; })
-      return Value.Task_;
-    else if constexpr (requires { Value.Server_; })
-      return Value.Server_;
-    else if constexpr (requires { Value.Job_; })
-      return Value.Job_;
-    else if constexpr (requires { Value.Entry_; })
-      return Value.Entry_;
+/// Returns the subject of a command, by which its proposal is tracked.
+struct GetProposalKey {
+  template <class T> ProposalKey operator()(const T &Cmd) const {
+    if constexpr (requires { Cmd.Task_; })
+      return Cmd.Task_;
+    else if constexpr (requires { Cmd.Server_; })
+      return Cmd.Server_;
+    else if constexpr (requires { Cmd.Job_; })
+      return Cmd.Job_;
+    else if constexpr (requires { Cmd.Entry_; })
+      return Cmd.Entry_;
     else
       return EntryId();
   }
 };
 } // namespace
 
-LeadershipCounters LeadershipCounters::makeFor(net::Metrics &From) {
-  return {
-      From.addCounter("tulipweir_announcements_total",
-                      "Announcements of backend servers"),
-      From.addCounter("tulipweir_announcements_stale_total",
-                      "Announcements that were late or repeated"),
-      From.addCounter("tulipweir_entry_reports_total", "Reports of entries"),
-      From.addCounter("tulipweir_lease_renewals_total",
-                      "Leases of tasks renewed"),
-      From.addCounter("tulipweir_lease_renewals_withheld_total",
-                      "Renewals withheld as the job's assignment ends"),
-      From.addCounter("tulipweir_task_commands_total",
-                      "Commands to backend servers, repeats included"),
-      From.addCounter("tulipweir_attempts_ended_total",
-                      "Attempts of tasks that ended"),
-      PlanningCounters::makeFor(From)};
+LeadershipCounters LeadershipCounters::makeFor(net::Metrics &Registry) {
+  return {Registry.addCounter("tulipweir_announcements_total",
+                              "Announcements of backend servers"),
+          Registry.addCounter("tulipweir_announcements_stale_total",
+                              "Announcements that were late or repeated"),
+          Registry.addCounter("tulipweir_entry_reports_total",
+                              "Reports of entries"),
+          Registry.addCounter("tulipweir_lease_renewals_total",
+                              "Leases of tasks renewed"),
+          Registry.addCounter("tulipweir_lease_renewals_withheld_total",
+                              "Renewals withheld as the job's assignment ends"),
+          Registry.addCounter("tulipweir_task_commands_total",
+                              "Commands to backend servers, repeats included"),
+          Registry.addCounter("tulipweir_attempts_ended_total",
+                              "Attempts of tasks that ended"),
+          PlanningCounters::makeFor(Registry)};
 }
 
 DataCentreLeadership::DataCentreLeadership(const LeadershipParts &Parts,
@@ -106,74 +106,74 @@
           Parts.Machine_, Proposer_, Servers_.attempts(), Parts.Stream_,
           Parts.Time_, Parts.Counters_.Planning_,
           [this](const JobId &Job) { return Jobs_.mayRun(Job); }, Term) {
-  std::vector<datacentre::Change> Rebuilt;
+  std::vector<datacentre::Change> InitialChanges;
   Parts_.Machine_.withStateAndIndex(
       [&](const DataCentreState &State, std::uint64_t Index) {
-        Rebuilt = State.listChanges();
-        BuiltAtIndex_ = Index;
+        InitialChanges = State.listChanges();
+        InitialIndex_ = Index;
       });
-  Parts_.Stream_.beginTerm(Term);
-  noteBundle();
-  Planning_.noteChanges(Rebuilt);
-  Jobs_.noteChanges(Rebuilt);
-  refreshRoutes(Parts_.Time_.now());
+  Parts_.Stream_.startTerm(Term);
+  onBundleChanged();
+  Planning_.onChanges(InitialChanges);
+  Jobs_.onChanges(InitialChanges);
+  updateRoutes(Parts_.Time_.now());
 }
 
-void DataCentreLeadership::noteChanges(
+void DataCentreLeadership::onChanges(
     std::uint64_t Index, const std::vector<datacentre::Change> &Changes) {
-  if (Index <= BuiltAtIndex_)
+  if (Index <= InitialIndex_)
     return;
-  for (const datacentre::Change &Value : Changes) {
-    Servers_.note(Value);
-    if (Value.Kind_ == ChangeKind::AttemptEnded)
+  for (const datacentre::Change &AppliedChange : Changes) {
+    Servers_.note(AppliedChange);
+    if (AppliedChange.Kind_ == ChangeKind::AttemptEnded)
       Parts_.Counters_.AttemptsEnded_.add();
-    if (Value.Kind_ == ChangeKind::JobAdopted ||
-        Value.Kind_ == ChangeKind::JobDropped)
-      CoveredUntil_.erase(Value.Task_.Job_);
-    if (Value.Kind_ == ChangeKind::ServerForgotten) {
-      Slots_.removeServer(Value.Server_);
-      Routes_.erase(Value.Server_);
+    if (AppliedChange.Kind_ == ChangeKind::JobAdopted ||
+        AppliedChange.Kind_ == ChangeKind::JobDropped)
+      CoverageCache_.erase(AppliedChange.Task_.Job_);
+    if (AppliedChange.Kind_ == ChangeKind::ServerForgotten) {
+      Slots_.removeServer(AppliedChange.Server_);
+      Routes_.erase(AppliedChange.Server_);
     }
-    if (Value.Kind_ != ChangeKind::ServerChanged)
+    if (AppliedChange.Kind_ != ChangeKind::ServerChanged)
       continue;
     Parts_.Machine_.withState([&](const DataCentreState &State) {
-      if (const ServerRecord *Record = State.findServer(Value.Server_))
-        refreshRoute(*Record, Parts_.Time_.now(), true);
+      if (const ServerRecord *Record = State.findServer(AppliedChange.Server_))
+        updateRoute(*Record, Parts_.Time_.now(), true);
     });
   }
-  Planning_.noteChanges(Changes);
-  Jobs_.noteChanges(Changes);
+  Planning_.onChanges(Changes);
+  Jobs_.onChanges(Changes);
 }
 
-void DataCentreLeadership::noteBundle() {
-  Planning_.setBundle(Parts_.Keeper_.getBundle());
+void DataCentreLeadership::onBundleChanged() {
+  Planning_.setBundle(Parts_.Bundles_.getBundle());
 }
 
-datacentre::LeaderMoment DataCentreLeadership::readMoment() const {
+datacentre::LeaderMoment DataCentreLeadership::checkLeadership() const {
   const TimePoint Now = Parts_.Time_.now();
   return {Now, Parts_.Group_.findLeaseTerm(Now) == Term_};
 }
 
 Outcome<wire::AnnouncementReply>
-DataCentreLeadership::onAnnouncement(const wire::Announcement &Value) {
+DataCentreLeadership::onAnnouncement(const wire::Announcement &Announced) {
   Parts_.Counters_.Announcements_.add();
-  const datacentre::LeaderMoment Moment = readMoment();
+  const datacentre::LeaderMoment Check = checkLeadership();
   Outcome<datacentre::AnnouncementResult> Result =
       fail(ErrorCode::Internal, "");
   Parts_.Machine_.withState([&](const DataCentreState &State) {
-    Result = Servers_.onAnnouncement(Value, State, Moment);
+    Result = Servers_.onAnnouncement(Announced, State, Check);
     if (!Result)
       return;
-    if (const ServerRecord *Record = State.findServer(Value.Server_))
-      refreshRoute(*Record, Moment.Now_, false);
+    if (const ServerRecord *Record = State.findServer(Announced.Server_))
+      updateRoute(*Record, Check.Now_, false);
   });
   if (!Result)
     return std::move(Result).as_failure();
   datacentre::AnnouncementResult &Answer = Result.value();
-  submit(Answer.Proposals_);
-  withhold(Answer.Reply_);
+  proposeAll(Answer.Proposals_);
+  removeUncoveredLeases(Answer.Reply_);
   if (Answer.Fresh_)
-    learn(Value, Moment.Now_);
+    recordReports(Announced, Check.Now_);
   else
     Parts_.Counters_.StaleAnnouncements_.add();
   Parts_.Counters_.Renewals_.add(Answer.Reply_.Renewals_.size());
@@ -183,148 +183,158 @@
 
 Outcome<wire::AnnouncementBatchReply> DataCentreLeadership::onAnnouncementBatch(
     const wire::AnnouncementBatch &Batch) {
-  return Digests_.onBatch(
-      Batch, Parts_.Time_.now(), [this](const wire::Announcement &Value) {
+  return AnnouncementCache_.onBatch(
+      Batch, Parts_.Time_.now(), [this](const wire::Announcement &Announced) {
         const Outcome<void> Checked =
-            checkAnnouncement(Value, Settings_.DataCentre_);
+            checkAnnouncement(Announced, Settings_.DataCentre_);
         if (!Checked)
           return Outcome<wire::AnnouncementReply>(Checked.as_failure());
-        return onAnnouncement(Value);
+        return onAnnouncement(Announced);
       });
 }
 
-/// Takes out of the reply what would let a task run on beyond its job's
-/// assignment. The ledger counts those leases as renewed all the same, so it
+/// Removes renewals and start commands that would let a task run beyond its
+/// job's assignment. The ledger still counts those leases as renewed, so it
 /// waits longer than needed, never shorter.
-void DataCentreLeadership::withhold(wire::AnnouncementReply &Reply) {
+void DataCentreLeadership::removeUncoveredLeases(
+    wire::AnnouncementReply &Reply) {
   const TimePoint Until =
       Parts_.Time_.now() + Settings_.Servers_.Leases_.longestRun();
   const std::size_t Before = Reply.Renewals_.size() + Reply.Commands_.size();
   std::erase_if(Reply.Renewals_, [&](const wire::LeaseRenewal &Renewal) {
-    return !mayRunOn(Renewal.Task_.Job_, Until);
+    return !isCoveredUntil(Renewal.Task_.Job_, Until);
   });
   std::erase_if(Reply.Commands_, [&](const wire::TaskCommand &Command) {
     return Command.Kind_ == wire::TaskCommandKind::Start &&
-           !mayRunOn(Command.Task_.Job_, Until);
+           !isCoveredUntil(Command.Task_.Job_, Until);
   });
   const std::size_t After = Reply.Renewals_.size() + Reply.Commands_.size();
   Parts_.Counters_.RenewalsWithheld_.add(Before - After);
 }
 
-/// Asked for every task of every announcement, so an answer that stays right
-/// for a while is remembered.
-bool DataCentreLeadership::mayRunOn(const JobId &Job, TimePoint Until) {
-  TimePoint &Known = CoveredUntil_[Job];
-  if (Until <= Known)
+/// Called for every task of every announcement, so a positive result is cached
+/// while it stays valid.
+bool DataCentreLeadership::isCoveredUntil(const JobId &Job, TimePoint Until) {
+  TimePoint &KnownUntil = CoverageCache_[Job];
+  if (Until <= KnownUntil)
     return true;
   const fleet::AssignmentHeld Held{Job, Planning_.findAssignment(Job)};
-  if (Parts_.Lease_.covers(Held, Until + CoverAhead)) {
-    Known = Until + CoverAhead;
+  if (Parts_.Lease_.covers(Held, Until + CoverageMargin)) {
+    KnownUntil = Until + CoverageMargin;
     return true;
   }
   return Parts_.Lease_.covers(Held, Until);
 }
 
-void DataCentreLeadership::learn(const wire::Announcement &Value,
-                                 TimePoint Now) {
-  const auto Every = static_cast<std::uint64_t>(
-      std::max<std::int64_t>(1, UsagePeriod / Settings_.Servers_.Heartbeat_));
-  const bool UsageDue = Value.Sequence_ % Every == 0;
-  for (const wire::AttemptReport &Report : Value.Attempts_)
+void DataCentreLeadership::recordReports(const wire::Announcement &Announced,
+                                         TimePoint Now) {
+  const auto AnnouncementsPerUsageUpdate = static_cast<std::uint64_t>(
+      std::max<std::int64_t>(1, UsageInterval / Settings_.Servers_.Heartbeat_));
+  const bool UsageDue = Announced.Sequence_ % AnnouncementsPerUsageUpdate == 0;
+  for (const wire::AttemptReport &Report : Announced.Attempts_)
     if (UsageDue && Report.State_ == wire::AttemptState::Running)
-      Planning_.noteUsage(Value.Server_, Report, Now);
-  for (const wire::ServiceReport &Report : Value.ServiceReports_) {
-    Planning_.noteService(Value.Server_, Report, Now);
-    Services_[{Report.Service_, Value.Server_}] = {Value.Server_, Report, Now};
+      Planning_.recordUsage(Announced.Server_, Report, Now);
+  for (const wire::ServiceReport &Report : Announced.ServiceReports_) {
+    Planning_.recordServiceReport(Announced.Server_, Report, Now);
+    Services_[{Report.Service_, Announced.Server_}] = {Announced.Server_,
+                                                       Report, Now};
   }
 }
 
-void DataCentreLeadership::submit(
+void DataCentreLeadership::proposeAll(
     const std::vector<datacentre::Command> &Proposals) {
-  for (const datacentre::Command &Value : Proposals) {
-    const bool Taken = Proposer_.propose(
-        std::visit(KeyOf(), Value), Value,
-        [this, Value](const Outcome<datacentre::CommandResult> &) {
-          Servers_.noteDone(Value);
+  for (const datacentre::Command &Cmd : Proposals) {
+    const bool Proposed = Proposer_.propose(
+        std::visit(GetProposalKey(), Cmd), Cmd,
+        [this, Cmd](const Outcome<datacentre::CommandResult> &) {
+          Servers_.noteDone(Cmd);
         });
-    // Something else about it is open; the next announcement or tick says
-    // again what it needs.
-    if (!Taken)
-      Servers_.noteDone(Value);
+    // Another proposal with the same key is open; the next announcement or tick
+    // proposes this one again.
+    if (!Proposed)
+      Servers_.noteDone(Cmd);
   }
 }
 
 Outcome<wire::EntryReportReply>
 DataCentreLeadership::onEntryReport(const wire::EntryReport &Report) {
   Parts_.Counters_.EntryReports_.add();
-  Outcome<wire::EntryReportReply> Reply = Slots_.onReport(Report, readMoment());
+  Outcome<wire::EntryReportReply> Reply =
+      Slots_.onReport(Report, checkLeadership());
   if (!Reply || Reply.value().SendFull_)
     return Reply;
   if (Report.Stopping_)
-    Parts_.RollOuts_.forgetEntry(Report.Entry_);
+    Parts_.RollOuts_.removeEntry(Report.Entry_);
   else
-    Parts_.RollOuts_.noteEntry(Report.Entry_, Report.Incarnation_,
-                               Report.Held_);
-  addBundle(Report, Reply.value());
+    Parts_.RollOuts_.recordEntry(Report.Entry_, Report.Incarnation_,
+                                 Report.Held_);
+  attachBundle(Report, Reply.value());
   return Reply;
 }
 
-void DataCentreLeadership::addBundle(const wire::EntryReport &Report,
-                                     wire::EntryReportReply &Reply) const {
-  Reply.InForce_ = Parts_.Keeper_.getVersion();
+void DataCentreLeadership::attachBundle(const wire::EntryReport &Report,
+                                        wire::EntryReportReply &Reply) const {
+  Reply.InForce_ = Parts_.Bundles_.getVersion();
   if (Report.Held_ >= Reply.InForce_)
     return;
-  // It may have risen between the two calls; they must fit each other.
-  Reply.Bundle_ = Parts_.Keeper_.getInForce();
+  // The version may have increased between the two calls; version and bundle
+  // must match.
+  Reply.Bundle_ = Parts_.Bundles_.getInForce();
   Reply.InForce_ = Reply.Bundle_->Version_;
 }
 
-ServerReach DataCentreLeadership::findReach(const BackendServerId &Server,
-                                            TimePoint Now) const {
-  // Compared as times, as "never" has no difference to now.
+ServerReachability
+DataCentreLeadership::getReachability(const BackendServerId &Server,
+                                      TimePoint Now) const {
+  // The comparison avoids a subtraction, which would overflow for a server that
+  // was never heard.
   const TimePoint HeardAt = Servers_.findHeardAt(Server);
   if (HeardAt > Now - Settings_.Servers_.SilentAfter_)
-    return ServerReach::Heard;
-  const bool Gone = HeardAt <= Now - Settings_.Servers_.Leases_.longestRun();
-  return Gone ? ServerReach::Gone : ServerReach::Silent;
+    return ServerReachability::Reachable;
+  const bool LeasesExpired =
+      HeardAt <= Now - Settings_.Servers_.Leases_.longestRun();
+  return LeasesExpired ? ServerReachability::LeasesExpired
+                       : ServerReachability::Silent;
 }
 
-void DataCentreLeadership::refreshRoute(const ServerRecord &Record,
-                                        TimePoint Now, bool Changed) {
+void DataCentreLeadership::updateRoute(const ServerRecord &Record,
+                                       TimePoint Now, bool Changed) {
   const BackendServerId &Server = Record.Info_.Server_;
-  const RouteNote Wanted{Servers_.isRoutable(Record, Now),
-                         Servers_.isDraining(Server), findReach(Server, Now)};
-  RouteNote &Told = Routes_[Server];
-  if (Told == Wanted && !Changed)
+  const RouteStatus Current{Servers_.isRoutable(Record, Now),
+                            Servers_.isDraining(Server),
+                            getReachability(Server, Now)};
+  RouteStatus &Previous = Routes_[Server];
+  if (Previous == Current && !Changed)
     return;
-  Told = Wanted;
-  Planning_.noteReach(Server, Wanted.Reach_);
-  SlotServer Value = makeSlotServer(Record.Info_);
-  Value.Draining_ = Value.Draining_ || Wanted.Draining_;
-  // A leaving server stays known to entries, without slots, until its
-  // requests are answered; a silent one is forgotten.
-  Value.Routable_ = Wanted.Routable_ || Value.Draining_;
-  Slots_.upsertServer(Value);
+  Previous = Current;
+  Planning_.onReachabilityChanged(Server, Current.Reachability_);
+  SlotServer SlotInfo = makeSlotServer(Record.Info_);
+  SlotInfo.Draining_ = SlotInfo.Draining_ || Current.Draining_;
+  // A draining server stays in the routes, without slots, until its requests
+  // are answered; a silent one is removed.
+  SlotInfo.Routable_ = Current.Routable_ || SlotInfo.Draining_;
+  Slots_.upsertServer(SlotInfo);
 }
 
-void DataCentreLeadership::refreshRoutes(TimePoint Now) {
+void DataCentreLeadership::updateRoutes(TimePoint Now) {
   Parts_.Machine_.withState([&](const DataCentreState &State) {
     for (const auto &[Server, Record] : State.servers())
-      refreshRoute(Record, Now, false);
+      updateRoute(Record, Now, false);
   });
 }
 
-void DataCentreLeadership::endGoneEntries(TimePoint Now) {
-  std::vector<datacentre::EndEntry> Gone;
+void DataCentreLeadership::endExpiredEntries(TimePoint Now) {
+  std::vector<datacentre::EndEntry> ExpiredEntries;
   Parts_.Machine_.withState([&](const DataCentreState &State) {
-    Gone = Slots_.findGone(State.records(), Now);
+    ExpiredEntries = Slots_.findGone(State.records(), Now);
   });
-  for (const datacentre::EndEntry &Value : Gone) {
-    const bool Taken =
-        Proposer_.propose(Value.Entry_, Value, [](const auto &) {});
-    if (Taken)
-      spdlog::info("entry {} is gone: what it had begun is unknown",
-                   Value.Entry_.value());
+  for (const datacentre::EndEntry &Expired : ExpiredEntries) {
+    const bool Proposed =
+        Proposer_.propose(Expired.Entry_, Expired, [](const auto &) {});
+    if (Proposed)
+      spdlog::info(
+          "entry {} has expired: the outcome of its open requests is unknown",
+          Expired.Entry_.value());
   }
 }
 
@@ -335,27 +345,27 @@
   Parts_.Machine_.withState([&](const DataCentreState &State) {
     Proposals = Servers_.onTick(State, Now);
   });
-  submit(Proposals);
-  if (Ticks_ % RouteTicks == 0)
-    refreshRoutes(Now);
-  if (Ticks_ % SweepTicks == 0) {
-    endGoneEntries(Now);
+  proposeAll(Proposals);
+  if (Ticks_ % TicksPerRouteUpdate == 0)
+    updateRoutes(Now);
+  if (Ticks_ % TicksPerSweep == 0) {
+    endExpiredEntries(Now);
     Slots_.expire(Now);
-    Jobs_.sweep(Settings_.JobBudget_);
+    Jobs_.enqueueNext(Settings_.JobBudget_);
   }
   Jobs_.run(Settings_.JobBudget_);
   plan();
 }
 
 bool DataCentreLeadership::plan() {
-  // Each tick comes back to what is left out here.
-  if (!readMoment().Leads_)
+  // Each tick calls plan() again, so nothing is lost here.
+  if (!checkLeadership().Leads_)
     return false;
   return Planning_.run(Settings_.PlanBudget_) >= Settings_.PlanBudget_;
 }
 
-std::vector<ServiceView> DataCentreLeadership::listServices() const {
-  std::vector<ServiceView> Result;
+std::vector<ServiceStatus> DataCentreLeadership::listServices() const {
+  std::vector<ServiceStatus> Result;
   for (const auto &[Key, View] : Services_)
     Result.push_back(View);
   return Result;
--- a/src/control/DataCentreLeadership.h
+++ b/src/control/DataCentreLeadership.h
@@ -1,20 +1,20 @@
-//===- DataCentreLeadership.h - One term's duties --------------*- C++ -*-===//
+//===- DataCentreLeadership.h - One term of a leader -----------*- C++ -*-===//
 //
-// Everything that the leader of a data centre knows beyond the log, and what
-// it does with it: leases, slots, placements, jobs. Made anew after each
-// election from the state, thrown away when leadership is lost, so nothing of
-// an earlier term is left over.
+// Holds what the leader of a data centre knows beyond the log, and runs its
+// work on leases, slots, placements and jobs. It is rebuilt from the state
+// after each election and discarded when leadership is lost, so that nothing
+// of an earlier term remains.
 //
 //===----------------------------------------------------------------------===//
 
 #ifndef TULIPWEIR_SRC_CONTROL_DATACENTRELEADERSHIP_H
 #define TULIPWEIR_SRC_CONTROL_DATACENTRELEADERSHIP_H
 
-#include "control/AnnouncementDigests.h"
-#include "control/BundleKeeper.h"
+#include "control/AnnouncementCache.h"
+#include "control/BundleStore.h"
 #include "control/ChangeFeed.h"
 #include "control/JobReconciler.h"
-#include "control/PlanningDuty.h"
+#include "control/PlanningService.h"
 #include "control/RollOutTracker.h"
 #include "tulipweir/datacentre/ServerLedger.h"
 #include "tulipweir/datacentre/SlotLedger.h"
@@ -27,13 +27,13 @@
 
 namespace tulipweir::control {
 
-/// Settings that every control of a data centre must share.
+/// Settings that must be equal at all control processes of a data centre.
 struct LeadershipSettings {
   DataCentreId DataCentre_;
   datacentre::ServerLedgerSettings Servers_;
   datacentre::SlotSettings Slots_;
-  std::size_t PlanBudget_ = 128; ///< Decisions in one go.
-  std::size_t JobBudget_ = 64;   ///< Jobs reviewed in one go.
+  std::size_t PlanBudget_ = 128; ///< Maximum decisions per run.
+  std::size_t JobBudget_ = 64;   ///< Maximum jobs reviewed per run.
 };
 
 struct LeadershipCounters {
@@ -45,15 +45,15 @@
   net::Counter &CommandsSent_;
   net::Counter &AttemptsEnded_;
   PlanningCounters Planning_;
-  static LeadershipCounters makeFor(net::Metrics &From);
+  static LeadershipCounters makeFor(net::Metrics &Registry);
 };
 
-/// What a leadership works with; all outlive it.
+/// The dependencies of a leadership; all must outlive it.
 struct LeadershipParts {
   replication::Replica &Group_;
   const datacentre::DataCentreMachine &Machine_;
   const fleet::FleetMachine &Fleet_;
-  const BundleKeeper &Keeper_;
+  const BundleStore &Bundles_;
   const fleet::AssignmentLease &Lease_;
   FleetProposer &FleetProposals_;
   DecisionStream &Stream_;
@@ -64,7 +64,7 @@
 };
 
 /// The latest report about one service on one backend server.
-struct ServiceView {
+struct ServiceStatus {
   BackendServerId Server_;
   wire::ServiceReport Report_;
   TimePoint At_{};
@@ -73,86 +73,90 @@
 /// Lives on the leader's strand.
 class DataCentreLeadership {
 public:
-  /// Everything committed before Term is applied to the machine by now, and
-  /// the feed of what is applied afterwards is open already.
+  /// All entries committed before Term must be applied to the machine, and the
+  /// feed of later changes must be open.
   DataCentreLeadership(const LeadershipParts &Parts,
                        const LeadershipSettings &Settings, std::uint64_t Term);
 
   // Commands.
 
-  /// What the command at Index changed; those that the constructor saw in the
-  /// state already are ignored.
-  void noteChanges(std::uint64_t Index,
-                   const std::vector<datacentre::Change> &Changes);
-  /// The fleet's log changed: perhaps the bundle, perhaps this job.
-  void noteBundle();
-  void noteJob(const JobId &Job) { Jobs_.noteJob(Job); }
+  /// Handles the changes of the command at Index. Ignores changes that were
+  /// already part of the state which the constructor read.
+  void onChanges(std::uint64_t Index,
+                 const std::vector<datacentre::Change> &Changes);
+  /// Called after the fleet log changed the bundle or a job.
+  void onBundleChanged();
+  void onJobChanged(const JobId &Job) { Jobs_.enqueue(Job); }
 
   Outcome<wire::AnnouncementReply> onAnnouncement(const wire::Announcement &);
-  /// Each of the batch, checked and handled as by onAnnouncement.
+  /// Checks and handles each announcement of the batch like onAnnouncement.
   Outcome<wire::AnnouncementBatchReply>
   onAnnouncementBatch(const wire::AnnouncementBatch &Batch);
   Outcome<wire::EntryReportReply> onEntryReport(const wire::EntryReport &);
 
-  /// Silent servers, gone entries, jobs, decisions that time alone calls for.
+  /// Handles timeouts of servers, entries and jobs, and runs the planner.
   void tick();
-  /// Decisions that events called for; true if there may be more at once. None
-  /// while another leader could exist.
+  /// Runs the planner after events. Returns true if more decisions may be due
+  /// at once. Does nothing while another leader could exist.
   bool plan();
   bool isPlanDue() const { return Planning_.isDue(); }
 
   // Queries.
 
-  const PlanningDuty &planning() const { return Planning_; }
+  const PlanningService &planning() const { return Planning_; }
   const datacentre::ServerLedger &servers() const { return Servers_; }
   const datacentre::SlotLedger &slots() const { return Slots_; }
-  const AnnouncementDigests &digests() const { return Digests_; }
+  const AnnouncementCache &getAnnouncementCache() const {
+    return AnnouncementCache_;
+  }
   const JobReconciler &jobs() const { return Jobs_; }
   std::size_t countOpenProposals() const { return Proposer_.countOpen(); }
   std::uint64_t term() const { return Term_; }
-  std::vector<ServiceView> listServices() const;
+  std::vector<ServiceStatus> listServices() const;
   fleet::DataCentreLoad measureLoad() const;
 
 private:
   using State = datacentre::DataCentreState;
 
-  /// How a server was last told to the slots.
-  struct RouteNote {
+  /// The last known status of a server in the routes.
+  struct RouteStatus {
     bool Routable_ = false;
     bool Draining_ = false;
-    ServerReach Reach_ = ServerReach::Heard;
-    bool operator==(const RouteNote &) const = default;
+    ServerReachability Reachability_ = ServerReachability::Reachable;
+    bool operator==(const RouteStatus &) const = default;
   };
 
-  /// Leads_ only while the replica's term is the one that this began under:
-  /// it may have lost that one and won a later one unnoticed.
-  datacentre::LeaderMoment readMoment() const;
-  void submit(const std::vector<datacentre::Command> &Proposals);
-  void withhold(wire::AnnouncementReply &Reply);
-  bool mayRunOn(const JobId &Job, TimePoint Until);
-  void learn(const wire::Announcement &Value, TimePoint Now);
-  void refreshRoute(const datacentre::ServerRecord &Record, TimePoint Now,
-                    bool Changed);
-  void refreshRoutes(TimePoint Now);
-  ServerReach findReach(const BackendServerId &Server, TimePoint Now) const;
-  void endGoneEntries(TimePoint Now);
-  void addBundle(const wire::EntryReport &Report,
-                 wire::EntryReportReply &Reply) const;
+  /// Leads_ is set only if the replica's term is the one that this leadership
+  /// began under: the replica may have lost that term and won a later one
+  /// between two polls.
+  datacentre::LeaderMoment checkLeadership() const;
+  void proposeAll(const std::vector<datacentre::Command> &Proposals);
+  void removeUncoveredLeases(wire::AnnouncementReply &Reply);
+  bool isCoveredUntil(const JobId &Job, TimePoint Until);
+  void recordReports(const wire::Announcement &Announced, TimePoint Now);
+  void updateRoute(const datacentre::ServerRecord &Record, TimePoint Now,
+                   bool Changed);
+  void updateRoutes(TimePoint Now);
+  ServerReachability getReachability(const BackendServerId &Server,
+                                     TimePoint Now) const;
+  void endExpiredEntries(TimePoint Now);
+  void attachBundle(const wire::EntryReport &Report,
+                    wire::EntryReportReply &Reply) const;
 
   const LeadershipParts Parts_;
   const LeadershipSettings Settings_;
   const std::uint64_t Term_;
-  std::uint64_t BuiltAtIndex_ = 0;
+  std::uint64_t InitialIndex_ = 0;
   CommandProposer Proposer_;
   datacentre::ServerLedger Servers_;
-  AnnouncementDigests Digests_;
+  AnnouncementCache AnnouncementCache_;
   datacentre::SlotLedger Slots_;
   JobReconciler Jobs_;
-  PlanningDuty Planning_;
-  std::map<BackendServerId, RouteNote> Routes_;
-  std::map<std::pair<ServiceId, BackendServerId>, ServiceView> Services_;
-  /// Until when the jobs' assignments are known to cover leases.
-  std::unordered_map<JobId, TimePoint> CoveredUntil_;
+  PlanningService Planning_;
+  std::map<BackendServerId, RouteStatus> Routes_;
+  std::map<std::pair<ServiceId, BackendServerId>, ServiceStatus> Services_;
+  /// The times until which the jobs' assignments are known to cover leases.
+  std::unordered_map<JobId, TimePoint> CoverageCache_;
   std::uint64_t Ticks_ = 0;
 };
 
--- a/src/control/DecisionJson.cpp
+++ b/src/control/DecisionJson.cpp
@@ -37,10 +37,10 @@
                              std::uint64_t LastSequence) {
   Json Decisions = Json::array();
   for (const StreamedDecision &Entry : Batch) {
-    Json One = makeDecisionJson(Entry.Decision_);
-    One["sequence"] = Entry.Sequence_;
-    One["wallMs"] = Entry.At_.count();
-    Decisions.push_back(std::move(One));
+    Json DecisionJson = makeDecisionJson(Entry.Decision_);
+    DecisionJson["sequence"] = Entry.Sequence_;
+    DecisionJson["wallMs"] = Entry.At_.count();
+    Decisions.push_back(std::move(DecisionJson));
   }
   return {{"decisions", std::move(Decisions)}, {"lastSequence", LastSequence}};
 }
--- a/src/control/DecisionJson.h
+++ b/src/control/DecisionJson.h
@@ -1,6 +1,6 @@
-//===- DecisionJson.h - Decisions as operators see them --------*- C++ -*-===//
+//===- DecisionJson.h - JSON form of decisions -----------------*- C++ -*-===//
 //
-// One decision as JSON: for the stream, explain and the dump alike.
+// Renders a decision for the stream, the explanation of a task and the dump.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/control/DecisionStream.cpp
+++ b/src/control/DecisionStream.cpp
@@ -5,23 +5,23 @@
 using namespace tulipweir;
 using namespace tulipweir::control;
 
-/// Decisions of one term; the product with any term we reach stays under 2^53,
-/// the largest whole number that JSON readers keep exactly.
+/// Bits for the decisions of one term. With any realistic term, sequence
+/// numbers stay below 2^53, up to which JSON readers keep integers exactly.
 static constexpr unsigned TermShift = 32;
 
 DecisionStream::DecisionStream(Executor &Timers, std::size_t Capacity)
     : Timers_(Timers), Capacity_(Capacity) {}
 
-void DecisionStream::beginTerm(std::uint64_t Term) {
+void DecisionStream::startTerm(std::uint64_t Term) {
   std::lock_guard Lock(Mutex_);
-  Last_ = std::max(Last_, Term << TermShift);
+  LastSequence_ = std::max(LastSequence_, Term << TermShift);
 }
 
-void DecisionStream::append(decide::Decision Value, WallTime At) {
+void DecisionStream::append(decide::Decision NewDecision, WallTime At) {
   std::vector<std::pair<Reader, Batch>> Ready;
   {
     std::lock_guard Lock(Mutex_);
-    Entries_.push_back({++Last_, At, std::move(Value)});
+    Entries_.push_back({++LastSequence_, At, std::move(NewDecision)});
     if (Entries_.size() > Capacity_)
       Entries_.pop_front();
     for (auto &[Id, Waiting] : Waiters_)
@@ -29,24 +29,24 @@
                          collect(Waiting.Sequence_, Waiting.Limit_));
     Waiters_.clear();
   }
-  for (auto &[Done, Found] : Ready)
-    Done(std::move(Found));
+  for (auto &[Done, Decisions] : Ready)
+    Done(std::move(Decisions));
 }
 
 void DecisionStream::read(std::uint64_t Sequence, std::size_t Limit,
                           Duration Wait, Reader Done) {
-  Batch Found;
+  Batch Decisions;
   {
     std::lock_guard Lock(Mutex_);
-    Found = collect(Sequence, Limit);
-    if (Found.empty() && Wait > Duration::zero() && !Closed_) {
+    Decisions = collect(Sequence, Limit);
+    if (Decisions.empty() && Wait > Duration::zero() && !Closed_) {
       const std::uint64_t Id = NextWaiter_++;
       Waiters_.emplace(Id, Waiter{Sequence, Limit, std::move(Done)});
       Timers_.postAfter(Wait, [this, Id] { expire(Id); });
       return;
     }
   }
-  Done(std::move(Found));
+  Done(std::move(Decisions));
 }
 
 void DecisionStream::close() {
@@ -56,13 +56,13 @@
     Closed_ = true;
     Waiting.swap(Waiters_);
   }
-  for (auto &[Id, One] : Waiting)
-    One.Done_({});
+  for (auto &[Id, Entry] : Waiting)
+    Entry.Done_({});
 }
 
 std::uint64_t DecisionStream::getLastSequence() const {
   std::lock_guard Lock(Mutex_);
-  return Last_;
+  return LastSequence_;
 }
 
 DecisionStream::Batch DecisionStream::collect(std::uint64_t Sequence,
@@ -72,8 +72,8 @@
                        [](std::uint64_t Left, const StreamedDecision &Right) {
                          return Left < Right.Sequence_;
                        });
-  const auto Left = static_cast<std::size_t>(Entries_.end() - First);
-  const auto Count = static_cast<std::ptrdiff_t>(std::min(Limit, Left));
+  const auto Remaining = static_cast<std::size_t>(Entries_.end() - First);
+  const auto Count = static_cast<std::ptrdiff_t>(std::min(Limit, Remaining));
   return Batch(First, First + Count);
 }
 
@@ -81,11 +81,11 @@
   Reader Done;
   {
     std::lock_guard Lock(Mutex_);
-    const auto Found = Waiters_.find(WaiterId);
-    if (Found == Waiters_.end())
+    const auto It = Waiters_.find(WaiterId);
+    if (It == Waiters_.end())
       return;
-    Done = std::move(Found->second.Done_);
-    Waiters_.erase(Found);
+    Done = std::move(It->second.Done_);
+    Waiters_.erase(It);
   }
   Done({});
 }
--- a/src/control/DecisionStream.h
+++ b/src/control/DecisionStream.h
@@ -1,7 +1,7 @@
-//===- DecisionStream.h - The latest decisions, to be watched --*- C++ -*-===//
+//===- DecisionStream.h - The latest decisions -----------------*- C++ -*-===//
 //
-// A bounded record of decisions in order. Readers ask for what is newer than a
-// sequence number and may wait for it.
+// Keeps the latest decisions in order. Readers request those after a sequence
+// number and may wait for new ones.
 //
 //===----------------------------------------------------------------------===//
 
@@ -36,17 +36,19 @@
 
   DecisionStream(Executor &Timers, std::size_t Capacity);
 
-  /// Starts numbering anew for a leader's term. Sequences rise over all terms,
-  /// so that a reader who changes leaders misses nothing newer.
-  void beginTerm(std::uint64_t Term);
-  void append(decide::Decision Value, WallTime At);
+  /// Starts the sequence numbers of a leader's term. They increase across
+  /// terms, so that a reader that switches to a new leader misses nothing
+  /// newer.
+  void startTerm(std::uint64_t Term);
+  void append(decide::Decision NewDecision, WallTime At);
 
-  /// Calls Done once with at most Limit decisions after Sequence, oldest
-  /// first: at once if there are any, else with the next or, empty, after Wait.
+  /// Calls Done once with at most Limit decisions after Sequence, oldest first:
+  /// immediately if there are any; otherwise with the next decision, or empty
+  /// after Wait.
   void read(std::uint64_t Sequence, std::size_t Limit, Duration Wait,
             Reader Done);
 
-  /// Answers everybody who waits, with nothing; nobody waits afterwards.
+  /// Calls all waiting readers with an empty batch; later reads do not wait.
   void close();
 
   std::uint64_t getLastSequence() const;
@@ -65,7 +67,7 @@
   const std::size_t Capacity_;
   mutable std::mutex Mutex_;
   std::deque<StreamedDecision> Entries_;
-  std::uint64_t Last_ = 0;
+  std::uint64_t LastSequence_ = 0;
   std::uint64_t NextWaiter_ = 0;
   std::map<std::uint64_t, Waiter> Waiters_;
   bool Closed_ = false;
--- a/src/control/FleetProposer.h
+++ b/src/control/FleetProposer.h
@@ -1,6 +1,6 @@
-//===- FleetProposer.h - Commands to the fleet log -------------*- C++ -*-===//
+//===- FleetProposer.h - Proposes commands to the fleet log ----*- C++ -*-===//
 //
-// Brings a command to the fleet's leader, wherever it is, and its result back.
+// Sends a command to the fleet's current leader and returns its result.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,9 +18,9 @@
 
 namespace tulipweir::control {
 
-/// Thread-safe. All fleet commands may be repeated: the second of two equal
-/// ones is answered as such and changes nothing. So a command whose fate is
-/// open is simply proposed again until the deadline.
+/// Thread-safe. All fleet commands are idempotent: a repeated command is
+/// recognised and changes nothing. So a command with an unknown outcome is
+/// proposed again until the deadline.
 class FleetProposer {
 public:
   using Callback = std::function<void(Outcome<std::string>)>;
@@ -28,8 +28,8 @@
   FleetProposer(replication::Replica &Fleet, PeerCaller &Peers,
                 Executor &Timers, const Clock &Time);
 
-  /// Calls Done once with the state machine's result; Unavailable or Timeout
-  /// when no leader answered in time.
+  /// Calls Done once with the state machine's result, or with Unavailable or
+  /// Timeout if no leader answered in time.
   void propose(std::string Command, Duration Timeout, Callback Done);
 
 private:
@@ -39,8 +39,8 @@
     Callback Done_;
   };
 
-  void run(std::shared_ptr<Attempt> Work);
-  void finish(const std::shared_ptr<Attempt> &Work,
+  void run(std::shared_ptr<Attempt> Pending);
+  void finish(const std::shared_ptr<Attempt> &Pending,
               Outcome<std::string> Result);
 
   replication::Replica &Fleet_;
--- a/src/control/FleetDuties.cpp
+++ b/src/control/FleetService.cpp
@@ -1,4 +1,4 @@
-#include "control/FleetDuties.h"
+#include "control/FleetService.h"
 
 #include "tulipweir/fleet/FleetCodec.h"
 
@@ -9,46 +9,46 @@
 using fleet::AssignmentReply;
 using fleet::AssignmentReport;
 
-static constexpr Duration TickPeriod = std::chrono::milliseconds(200);
-/// Ticks between reports while nothing changed.
-static constexpr std::uint64_t ReportTicks = 10;
+static constexpr Duration TickInterval = std::chrono::milliseconds(200);
+/// Number of ticks between two reports if nothing changed.
+static constexpr std::uint64_t TicksPerReport = 10;
 static constexpr Duration ReportTimeout = std::chrono::seconds(2);
-static constexpr std::size_t DueLimit = 200;
-static constexpr std::size_t DecideBudget = 64;
-
-FleetCounters FleetCounters::makeFor(net::Metrics &From) {
-  return {From.addCounter("tulipweir_assignment_reports_total",
-                          "Reports sent to the fleet's leader"),
-          From.addCounter("tulipweir_assignment_reports_failed_total",
-                          "Reports that were not answered"),
-          From.addCounter("tulipweir_assignment_proposals_total",
-                          "Assignments and releases proposed")};
+static constexpr std::size_t MaxDueRenewals = 200;
+static constexpr std::size_t MaxAssignmentProposals = 64;
+
+FleetCounters FleetCounters::makeFor(net::Metrics &Registry) {
+  return {Registry.addCounter("tulipweir_assignment_reports_total",
+                              "Reports sent to the fleet's leader"),
+          Registry.addCounter("tulipweir_assignment_reports_failed_total",
+                              "Reports that were not answered"),
+          Registry.addCounter("tulipweir_assignment_proposals_total",
+                              "Assignments and releases proposed")};
 }
 
-FleetDuties::FleetDuties(const FleetParts &Parts, DataCentreId DataCentre,
-                         const fleet::AssignmentTimes &Times, FindLoad Load,
-                         Renewed OnRenewed)
-    : Parts_(Parts), DataCentre_(std::move(DataCentre)), Load_(std::move(Load)),
-      OnRenewed_(std::move(OnRenewed)),
+FleetService::FleetService(const FleetParts &Parts, DataCentreId DataCentre,
+                           const fleet::AssignmentTimes &Times, FindLoad Load,
+                           RenewedCallback OnRenewed)
+    : Parts_(Parts), DataCentre_(std::move(DataCentre)),
+      FindLoad_(std::move(Load)), OnRenewed_(std::move(OnRenewed)),
       Watch_(Parts.Group_, Parts.Strand_,
              {[this](std::uint64_t Term) {
-                spdlog::info("leads the fleet in term {}", Term);
+                spdlog::info("leading the fleet in term {}", Term);
                 Leading_ = true;
                 Term_ = Term;
                 Assigner_.noteLeading(Parts_.Time_.now());
               },
               [this] {
-                spdlog::info("leads the fleet no more");
+                spdlog::info("no longer leading the fleet");
                 Leading_ = false;
                 Assigner_.noteFollowing();
               }}),
       Assigner_(Times) {}
 
-void FleetDuties::start() {
+void FleetService::start() {
   Parts_.Strand_.post([this] { tick(); });
 }
 
-void FleetDuties::stop(std::function<void()> Stopped) {
+void FleetService::stop(std::function<void()> Stopped) {
   Parts_.Strand_.post([this, Stopped = std::move(Stopped)] {
     Stopped_ = true;
     Leading_ = false;
@@ -57,56 +57,58 @@
   });
 }
 
-void FleetDuties::tick() {
+void FleetService::tick() {
   if (Stopped_)
     return;
   Watch_.poll();
-  look();
-  if (Ticks_++ % ReportTicks == 0)
+  update();
+  if (Ticks_++ % TicksPerReport == 0)
     report();
-  Parts_.Strand_.postAfter(TickPeriod, [this] { tick(); });
+  Parts_.Strand_.postAfter(TickInterval, [this] { tick(); });
 }
 
-void FleetDuties::noteJobs() {
+void FleetService::onJobsChanged() {
   if (JobsChanged_.exchange(true))
     return;
-  Parts_.Strand_.post([this] { look(); });
+  Parts_.Strand_.post([this] { update(); });
 }
 
-void FleetDuties::look() {
+void FleetService::update() {
   if (Stopped_)
     return;
   if (JobsChanged_) {
-    refreshStanding();
-    // A newly assigned job needs its first renewal before any of it runs.
+    refreshAssignments();
+    // A newly assigned job needs its first renewal before any of its tasks may
+    // run.
     report();
   }
-  decide();
+  proposeAssignments();
 }
 
-/// The lease alone could be of a later term, won again since the last look.
-bool FleetDuties::leadsAt(TimePoint Now) const {
+/// Compares the term, as the lease may belong to a later term that was won
+/// again since the last poll.
+bool FleetService::holdsLeaseAt(TimePoint Now) const {
   return Leading_ && Parts_.Group_.findLeaseTerm(Now) == Term_;
 }
 
-void FleetDuties::decide() {
+void FleetService::proposeAssignments() {
   const TimePoint Now = Parts_.Time_.now();
-  if (!leadsAt(Now))
+  if (!holdsLeaseAt(Now))
     return;
   const std::vector<fleet::Command> Commands =
       Parts_.Machine_.read([&](const fleet::FleetState &State) {
-        return Assigner_.decide(State.jobs(), Now, DecideBudget);
+        return Assigner_.decide(State.jobs(), Now, MaxAssignmentProposals);
       });
-  for (const fleet::Command &Value : Commands) {
+  for (const fleet::Command &Cmd : Commands) {
     Parts_.Counters_.Proposals_.add();
-    Parts_.Group_.propose(fleet::encodeCommand(Value),
+    Parts_.Group_.propose(fleet::encodeCommand(Cmd),
                           [](const Outcome<replication::Applied> &) {});
   }
 }
 
-void FleetDuties::refreshStanding() {
+void FleetService::refreshAssignments() {
   JobsChanged_ = false;
-  Standing_ = Parts_.Machine_.read([&](const fleet::FleetState &State) {
+  Assignments_ = Parts_.Machine_.read([&](const fleet::FleetState &State) {
     std::vector<fleet::AssignmentHeld> Result;
     const auto Held = State.jobs().held().find(DataCentre_);
     if (Held == State.jobs().held().end())
@@ -115,28 +117,28 @@
       Result.push_back({Job, State.jobs().find(Job)->Assignment_});
     return Result;
   });
-  Parts_.Lease_.retain(Standing_);
+  Parts_.Lease_.retain(Assignments_);
 }
 
-void FleetDuties::report() {
-  ReportAgain_ = Reporting_;
-  if (Reporting_)
+void FleetService::report() {
+  ReportQueued_ = ReportInFlight_;
+  if (ReportInFlight_)
     return;
   const TimePoint Now = Parts_.Time_.now();
   AssignmentReport Report;
   Report.DataCentre_ = DataCentre_;
-  Report.Due_ = Parts_.Lease_.listDue(Standing_, Now, DueLimit);
-  if (const std::optional<fleet::DataCentreLoad> Load = Load_()) {
+  Report.Due_ = Parts_.Lease_.listDue(Assignments_, Now, MaxDueRenewals);
+  if (const std::optional<fleet::DataCentreLoad> Load = FindLoad_()) {
     Report.HasLoad_ = true;
     Report.Load_ = *Load;
   }
   Parts_.Counters_.Reports_.add();
   const replication::ReplicaStatus Status = Parts_.Group_.getStatus();
   if (Status.IsLeader_)
-    return takeReply(answer(Report), Now);
+    return handleReply(answer(Report), Now);
   if (Status.LeaderName_.empty())
-    return takeReply(fail(ErrorCode::Unavailable, "no leader"), Now);
-  Reporting_ = true;
+    return handleReply(fail(ErrorCode::Unavailable, "no leader"), Now);
+  ReportInFlight_ = true;
   Parts_.Peers_.call(
       Status.LeaderName_, wire::MessageKind::AssignmentReport,
       fleet::encodeReport(Report), ReportTimeout,
@@ -145,16 +147,16 @@
             Bytes ? fleet::decodeReply(Bytes.value())
                   : Outcome<AssignmentReply>(std::move(Bytes).as_failure());
         Parts_.Strand_.post([this, Now, Reply = std::move(Reply)] {
-          Reporting_ = false;
-          takeReply(Reply, Now);
-          if (ReportAgain_ && !Stopped_)
+          ReportInFlight_ = false;
+          handleReply(Reply, Now);
+          if (ReportQueued_ && !Stopped_)
             report();
         });
       });
 }
 
-void FleetDuties::takeReply(const Outcome<AssignmentReply> &Reply,
-                            TimePoint SentAt) {
+void FleetService::handleReply(const Outcome<AssignmentReply> &Reply,
+                               TimePoint SentAt) {
   if (!Reply) {
     Parts_.Counters_.ReportsFailed_.add();
     return;
@@ -164,14 +166,14 @@
     OnRenewed_(Held.Job_);
 }
 
-void FleetDuties::onReport(AssignmentReport Report, Done Reply) {
+void FleetService::onReport(AssignmentReport Report, Done Reply) {
   Parts_.Strand_.post([this, Report = std::move(Report),
                        Reply = std::move(Reply)] { Reply(answer(Report)); });
 }
 
-Outcome<AssignmentReply> FleetDuties::answer(const AssignmentReport &Report) {
+Outcome<AssignmentReply> FleetService::answer(const AssignmentReport &Report) {
   const TimePoint Now = Parts_.Time_.now();
-  if (!leadsAt(Now))
+  if (!holdsLeaseAt(Now))
     return fail(ErrorCode::NotLeader, Parts_.Group_.getStatus().LeaderName_);
   return Parts_.Machine_.read([&](const fleet::FleetState &State) {
     return Assigner_.renew(Report, State.jobs(), Now);
--- a/src/control/FleetSurvey.cpp
+++ b/src/control/FleetSurvey.cpp
@@ -7,57 +7,58 @@
 using namespace tulipweir;
 using namespace tulipweir::control;
 
-static constexpr std::string_view Prefix = "/passed-on";
-static constexpr Duration AskTimeout = std::chrono::milliseconds(800);
-static constexpr Duration CallTimeout = std::chrono::seconds(25);
+static constexpr std::string_view ForwardedPrefix = "/passed-on";
+static constexpr Duration QueryTimeout = std::chrono::milliseconds(800);
+static constexpr Duration ForwardTimeout = std::chrono::seconds(25);
 
-/// The answers that are still awaited.
-struct FleetSurvey::Round {
+/// The state of a survey until all answers or timeouts arrived.
+struct FleetSurvey::PendingSurvey {
   std::mutex Mutex_;
-  std::size_t Open_ = 0;
+  std::size_t Remaining_ = 0;
   SurveyResult Result_;
   Callback Done_;
 };
 
-PassedPath control::readPassedPath(const std::string &Path) {
-  if (!Path.starts_with(Prefix))
+ForwardedPath control::parseForwardedPath(const std::string &Path) {
+  if (!Path.starts_with(ForwardedPrefix))
     return {Path, false};
-  return {Path.substr(Prefix.size()), true};
+  return {Path.substr(ForwardedPrefix.size()), true};
 }
 
-FleetSurvey::FleetSurvey(PeerCaller &Peers, std::vector<std::string> Others,
+FleetSurvey::FleetSurvey(PeerCaller &Peers, std::vector<std::string> PeerNames,
                          SelfReport Self)
-    : Peers_(Peers), Others_(std::move(Others)), Self_(std::move(Self)) {}
+    : Peers_(Peers), PeerNames_(std::move(PeerNames)), Self_(std::move(Self)) {}
 
-void FleetSurvey::ask(Callback Done) {
-  auto Shared = std::make_shared<Round>();
-  Shared->Open_ = Others_.size();
-  Shared->Result_.Reports_.push_back(Self_());
-  if (Others_.empty())
-    return Done(std::move(Shared->Result_));
-  Shared->Done_ = std::move(Done);
-  const wire::OperatorCall Ask{"GET", std::string(Prefix) + "/report", "", ""};
-  for (const std::string &Name : Others_)
-    Peers_.request(Name, Ask, AskTimeout,
-                   [Shared, Name](Outcome<wire::OperatorAnswer> Got) {
-                     std::unique_lock Lock(Shared->Mutex_);
+void FleetSurvey::collectReports(Callback Done) {
+  auto Survey = std::make_shared<PendingSurvey>();
+  Survey->Remaining_ = PeerNames_.size();
+  Survey->Result_.Reports_.push_back(Self_());
+  if (PeerNames_.empty())
+    return Done(std::move(Survey->Result_));
+  Survey->Done_ = std::move(Done);
+  const wire::OperatorCall Request{
+      "GET", std::string(ForwardedPrefix) + "/report", "", ""};
+  for (const std::string &Name : PeerNames_)
+    Peers_.request(Name, Request, QueryTimeout,
+                   [Survey, Name](Outcome<wire::OperatorAnswer> Answer) {
+                     std::unique_lock Lock(Survey->Mutex_);
                      std::optional<ControlReport> Report;
-                     if (Got)
-                       Report = parseReport(Got.value().Body_);
+                     if (Answer)
+                       Report = parseReport(Answer.value().Body_);
                      if (Report)
-                       Shared->Result_.Reports_.push_back(std::move(*Report));
+                       Survey->Result_.Reports_.push_back(std::move(*Report));
                      else
-                       Shared->Result_.Silent_.push_back(Name);
-                     if (--Shared->Open_ > 0)
+                       Survey->Result_.Unanswered_.push_back(Name);
+                     if (--Survey->Remaining_ > 0)
                        return;
                      Lock.unlock();
-                     Shared->Done_(std::move(Shared->Result_));
+                     Survey->Done_(std::move(Survey->Result_));
                    });
 }
 
-void FleetSurvey::passOn(const DataCentreId &To, const wire::OperatorCall &Call,
-                         OperatorDone Done) {
-  ask([this, To, Call, Done = std::move(Done)](SurveyResult Result) {
+void FleetSurvey::forward(const DataCentreId &To,
+                          const wire::OperatorCall &Call, OperatorDone Done) {
+  collectReports([this, To, Call, Done = std::move(Done)](SurveyResult Result) {
     for (const ControlReport &Report : Result.Reports_)
       if (Report.DataCentre_ == To && Report.Leads_)
         return send(Report.Name_, Call, Done);
@@ -71,10 +72,11 @@
 
 void FleetSurvey::send(const std::string &Leader,
                        const wire::OperatorCall &Call, OperatorDone Done) {
-  wire::OperatorCall Passed = Call;
-  Passed.Path_ = std::string(Prefix) + Call.Path_;
-  Peers_.request(Leader, Passed, CallTimeout,
-                 [Done = std::move(Done)](Outcome<wire::OperatorAnswer> Got) {
-                   Done(Got ? Got.value() : makeErrorAnswer(Got.error()));
-                 });
+  wire::OperatorCall Forwarded = Call;
+  Forwarded.Path_ = std::string(ForwardedPrefix) + Call.Path_;
+  Peers_.request(
+      Leader, Forwarded, ForwardTimeout,
+      [Done = std::move(Done)](Outcome<wire::OperatorAnswer> Answer) {
+        Done(Answer ? Answer.value() : makeErrorAnswer(Answer.error()));
+      });
 }
--- a/src/control/FleetSurvey.h
+++ b/src/control/FleetSurvey.h
@@ -1,7 +1,7 @@
-//===- FleetSurvey.h - Asking the fleet's other controls -------*- C++ -*-===//
+//===- FleetSurvey.h - Queries to all control processes --------*- C++ -*-===//
 //
-// Collects the reports of all controls when somebody wants them, and passes an
-// operator's call on to the leader of another data centre. Nothing is polled.
+// Collects the reports of all control processes on demand and forwards
+// operators' calls to the leader of another data centre. Nothing is polled.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,10 +20,12 @@
 
 namespace tulipweir::control {
 
-/// Answers of one survey.
+/// The result of one survey.
 struct SurveyResult {
-  std::vector<ControlReport> Reports_; ///< Our own first.
-  std::vector<std::string> Silent_;    ///< Controls that did not answer.
+  std::vector<ControlReport>
+      Reports_; ///< Starts with this process's own report.
+  std::vector<std::string>
+      Unanswered_; ///< Control processes that did not answer.
 };
 
 /// Thread-safe.
@@ -32,36 +34,38 @@
   using Callback = std::function<void(SurveyResult)>;
   using SelfReport = std::function<ControlReport()>;
 
-  /// Others are the names of all other controls.
-  FleetSurvey(PeerCaller &Peers, std::vector<std::string> Others,
+  /// PeerNames are the names of all other control processes.
+  FleetSurvey(PeerCaller &Peers, std::vector<std::string> PeerNames,
               SelfReport Self);
 
   ControlReport makeSelfReport() const { return Self_(); }
 
-  /// Calls Done once, after at most the time that one control has to answer.
-  void ask(Callback Done);
+  /// Calls Done once, at the latest after the timeout of a single query.
+  void collectReports(Callback Done);
 
-  /// Passes the call on, below the prefix /passed-on, to the leader of another
-  /// data centre; answers Unavailable if that cannot be found or reached.
-  void passOn(const DataCentreId &To, const wire::OperatorCall &Call,
-              OperatorDone Done);
+  /// Forwards the call, with the path prefix /passed-on, to the leader of
+  /// another data centre. Replies Unavailable if that leader is unknown or
+  /// unreachable.
+  void forward(const DataCentreId &To, const wire::OperatorCall &Call,
+               OperatorDone Done);
 
 private:
-  struct Round;
+  struct PendingSurvey;
   void send(const std::string &Leader, const wire::OperatorCall &Call,
             OperatorDone Done);
 
   PeerCaller &Peers_;
-  const std::vector<std::string> Others_;
+  const std::vector<std::string> PeerNames_;
   const SelfReport Self_;
 };
 
-/// The path as it was before passOn, and whether it was passed on.
-struct PassedPath {
+/// The path without the prefix that forward() adds, and whether it had that
+/// prefix.
+struct ForwardedPath {
   std::string Path_;
-  bool PassedOn_ = false;
+  bool IsForwarded_ = false;
 };
-PassedPath readPassedPath(const std::string &Path);
+ForwardedPath parseForwardedPath(const std::string &Path);
 
 } // namespace tulipweir::control
 
--- a/src/control/GroupJson.h
+++ b/src/control/GroupJson.h
@@ -1,6 +1,6 @@
-//===- GroupJson.h - Replication groups as operators see them --*- C++ -*-===//
+//===- GroupJson.h - JSON form of replication groups -----------*- C++ -*-===//
 //
-// Members and state of a group as JSON.
+// Renders the members and the state of a group.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/control/JobJson.cpp
+++ b/src/control/JobJson.cpp
@@ -34,7 +34,8 @@
   return "unknown";
 }
 
-/// A job's name is part of paths, so it holds no slash, space or percent.
+/// A job's name is part of URL paths, so it must not contain slashes, spaces or
+/// percent signs.
 static bool isPathSafe(const std::string &Name) {
   return std::all_of(Name.begin(), Name.end(), [](unsigned char Byte) {
     return std::isalnum(Byte) || Byte == '-' || Byte == '_' || Byte == '.';
@@ -48,19 +49,19 @@
   JsonFields &Fields = Parsed.value();
   JobSubmission Job;
   JobSpec &Spec = Job.Spec_;
-  Spec.Job_ = JobId(Fields.takeText("job", true, MaxNameBytes));
-  Spec.Team_ = TeamId(Fields.takeText("team", true, MaxNameBytes));
-  Spec.Class_ = JobClassId(Fields.takeText("class", false, MaxNameBytes));
+  Spec.Job_ = JobId(Fields.readString("job", true, MaxNameBytes));
+  Spec.Team_ = TeamId(Fields.readString("team", true, MaxNameBytes));
+  Spec.Class_ = JobClassId(Fields.readString("class", false, MaxNameBytes));
   Spec.Priority_ = static_cast<std::uint32_t>(
-      Fields.takeInteger("priority", 0, 0, MaxPriority));
+      Fields.readInteger("priority", 0, 0, MaxPriority));
   Spec.Tasks_ =
-      static_cast<std::uint32_t>(Fields.takeInteger("tasks", 1, 1, MaxTasks));
-  Spec.Declared_ = Fields.takeResources("declared");
-  Spec.Payload_ = Fields.takeText("payload", false, MaxPayloadBytes);
+      static_cast<std::uint32_t>(Fields.readInteger("tasks", 1, 1, MaxTasks));
+  Spec.Declared_ = Fields.readResources("declared");
+  Spec.Payload_ = Fields.readString("payload", false, MaxPayloadBytes);
   Spec.MaxAttempts_ = static_cast<std::uint32_t>(
-      Fields.takeInteger("maxAttempts", 5, 1, MaxAttempts));
+      Fields.readInteger("maxAttempts", 5, 1, MaxAttempts));
   Job.Preferred_ =
-      DataCentreId(Fields.takeText("dataCentre", false, MaxNameBytes));
+      DataCentreId(Fields.readString("dataCentre", false, MaxNameBytes));
   if (const Outcome<void> Checked = Fields.finish(); !Checked)
     return Checked.as_failure();
   if (!isPathSafe(Spec.Job_.value()))
--- a/src/control/JobJson.h
+++ b/src/control/JobJson.h
@@ -1,6 +1,7 @@
-//===- JobJson.h - Batch jobs as operators send and see them ---*- C++ -*-===//
+//===- JobJson.h - JSON form of batch jobs ---------------------*- C++ -*-===//
 //
-// Conversion between the JSON of docs/API.md and the jobs of the logs.
+// Converts between the jobs of the logs and the JSON that docs/API.md
+// describes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,20 +16,21 @@
 
 namespace tulipweir::control {
 
-/// A job as an operator submits it.
+/// A job as submitted by an operator.
 struct JobSubmission {
   datacentre::JobSpec Spec_;
-  DataCentreId Preferred_; ///< Empty: the fleet chooses.
+  DataCentreId Preferred_; ///< Empty if the fleet is to choose.
   bool operator==(const JobSubmission &) const = default;
 };
 
-/// Fails with Malformed or InvalidArgument, naming every problem.
+/// Returns Malformed or InvalidArgument with every problem if the body is
+/// invalid.
 Outcome<JobSubmission> parseJobSubmission(const std::string &Body);
 
 Json makeSpecJson(const datacentre::JobSpec &Spec);
-/// Counts by state, without the single tasks.
+/// Returns the number of tasks by state, without the individual tasks.
 Json makeProgressJson(const datacentre::JobRecord &Job);
-/// At most Limit tasks from index First on.
+/// Returns at most Limit tasks, starting at index First.
 Json makeTasksJson(const datacentre::JobRecord &Job, std::uint32_t First,
                    std::uint32_t Limit);
 Json makeExplanationJson(const decide::Explanation &Value);
--- a/src/control/JobProgress.h
+++ b/src/control/JobProgress.h
@@ -1,8 +1,8 @@
-//===- JobProgress.h - Attempts numbered over data centres -----*- C++ -*-===//
+//===- JobProgress.h - Attempt numbers across data centres -----*- C++ -*-===//
 //
-// A data centre whose assignment expired says nothing of the attempts it made.
-// So each assignment numbers its attempts from a range of its own, and a
-// task's attempt means the same one everywhere.
+// A data centre whose assignment expired cannot report the attempts it made.
+// So each assignment numbers its attempts from its own range, and an attempt
+// number of a task is unique in the fleet.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,14 +17,15 @@
 
 namespace tulipweir::control {
 
-/// Attempts that one assignment of a job may number.
+/// Size of the range of attempt numbers of one assignment.
 inline constexpr std::uint64_t AttemptsPerAssignment = 1'000'000;
 
-/// The progress to adopt a job with: what was passed on, with every attempt's
-/// number at least at the beginning of the assignment's range. Passed may be
-/// empty. Fails with Malformed if it does not fit the job.
+/// Returns the progress with which a job is adopted: the released progress,
+/// with every attempt number raised to at least the start of the assignment's
+/// range. Released may be empty. Returns Malformed if it does not match the
+/// job.
 Outcome<std::string> makeAdoptedProgress(const datacentre::JobSpec &Spec,
-                                         const std::string &Passed,
+                                         const std::string &Released,
                                          std::uint64_t Assignment);
 
 } // namespace tulipweir::control
--- a/src/control/JobReconciler.cpp
+++ b/src/control/JobReconciler.cpp
@@ -17,56 +17,61 @@
 using fleet::FleetState;
 
 static constexpr Duration FleetTimeout = std::chrono::seconds(5);
-/// A new leader may lead before its own report was first answered; until then
-/// it withholds renewals, but stops nothing for good.
-static constexpr Duration SettleTime = std::chrono::seconds(30);
-static constexpr Duration ReviewAgain = std::chrono::milliseconds(250);
+/// A new leader may lead before its own first report was answered. Until then
+/// it withholds renewals but stops no job permanently.
+static constexpr Duration StartupGrace = std::chrono::seconds(30);
+static constexpr Duration RetryDelay = std::chrono::milliseconds(250);
 
-// In the order of JobStep.
-const JobReconciler::Step JobReconciler::Steps[] = {
+// In the order of ReconcileAction.
+const JobReconciler::Handler JobReconciler::Handlers[] = {
     &JobReconciler::doNothing, &JobReconciler::adopt,
     &JobReconciler::cancel,    &JobReconciler::stop,
-    &JobReconciler::reportEnd, &JobReconciler::giveBack,
-    &JobReconciler::drop,      &JobReconciler::reportUnused};
+    &JobReconciler::reportEnd, &JobReconciler::returnToFleet,
+    &JobReconciler::drop,      &JobReconciler::reportCancelled};
 
-/// Not known here yet, or known no more.
-static JobStep chooseForAbsent(const FleetSide &Fleet, const LocalSide &Local,
-                               const LeaseSide &Lease) {
+/// Chooses the action for a job that this data centre does not hold.
+static ReconcileAction chooseForAbsent(const FleetJobState &Fleet,
+                                       const LocalJobState &Local,
+                                       const LeaseState &Lease) {
   const bool New = Fleet.Ours_ && Fleet.Assignment_ > Local.Assignment_;
   if (!New)
-    return JobStep::None;
+    return ReconcileAction::None;
   if (Fleet.Cancelling_)
-    return JobStep::ReportUnused;
-  return Lease.Covers_ ? JobStep::Adopt : JobStep::None;
+    return ReconcileAction::ReportCancelled;
+  return Lease.Covers_ ? ReconcileAction::Adopt : ReconcileAction::None;
 }
 
-/// Ours by both logs.
-static JobStep chooseForHeld(const FleetSide &Fleet, const LocalSide &Local,
-                             const LeaseSide &Lease) {
+/// Chooses the action for a job that both logs assign to this data centre.
+static ReconcileAction chooseForHeld(const FleetJobState &Fleet,
+                                     const LocalJobState &Local,
+                                     const LeaseState &Lease) {
   if (Local.AllEnded_)
-    return JobStep::ReportEnd;
+    return ReconcileAction::ReportEnd;
   if (Fleet.Cancelling_ && !Local.Cancelling_)
-    return JobStep::Cancel;
+    return ReconcileAction::Cancel;
   if (Local.Releasing_)
-    return Local.AnyPlaced_ ? JobStep::None : JobStep::GiveBack;
-  return Lease.Ending_ ? JobStep::Stop : JobStep::None;
+    return Local.AnyPlaced_ ? ReconcileAction::None
+                            : ReconcileAction::ReturnToFleet;
+  return Lease.Ending_ ? ReconcileAction::Stop : ReconcileAction::None;
 }
 
-JobStep control::chooseStep(const FleetSide &Fleet, const LocalSide &Local,
-                            const LeaseSide &Lease) {
+ReconcileAction control::chooseAction(const FleetJobState &Fleet,
+                                      const LocalJobState &Local,
+                                      const LeaseState &Lease) {
   if (!Local.Known_)
     return chooseForAbsent(Fleet, Local, Lease);
   if (Fleet.Ours_ && Fleet.Assignment_ == Local.Assignment_)
     return chooseForHeld(Fleet, Local, Lease);
-  // The fleet forgets old ends; and our replica of its log may lag behind
-  // what an earlier leader adopted by. Only the fleet's leader tells which.
+  // The fleet forgets old results, and the local replica of its log may lag
+  // behind the entry by which an earlier leader adopted the job. Only the
+  // fleet's leader can tell the two cases apart.
   const bool Lagging = !Fleet.Known_ || Fleet.Assignment_ < Local.Assignment_;
   if (Lagging)
-    return Local.AllEnded_ ? JobStep::ReportEnd : JobStep::None;
+    return Local.AllEnded_ ? ReconcileAction::ReportEnd : ReconcileAction::None;
   const bool MayDrop = Local.AllEnded_ || Local.Releasing_;
   if (!Local.AnyPlaced_ && MayDrop)
-    return JobStep::Drop;
-  return Local.Releasing_ ? JobStep::None : JobStep::Stop;
+    return ReconcileAction::Drop;
+  return Local.Releasing_ ? ReconcileAction::None : ReconcileAction::Stop;
 }
 
 static fleet::JobEnd summarizeEnd(const JobRecord &Job, std::string &Message) {
@@ -92,21 +97,20 @@
     : DataCentre_(std::move(DataCentre)), Fleet_(Fleet), Machine_(Machine),
       Lease_(Lease), Proposer_(Proposer), FleetProposals_(FleetProposals),
       Strand_(Strand), Time_(Time), LongestTaskLease_(LongestTaskLease),
-      BeganAt_(Time.now()) {}
+      StartedAt_(Time.now()) {}
 
-void JobReconciler::noteJob(const JobId &Job) {
+void JobReconciler::enqueue(const JobId &Job) {
   if (Queued_.insert(Job).second)
     Queue_.push_back(Job);
 }
 
-void JobReconciler::noteChanges(
-    const std::vector<datacentre::Change> &Changes) {
+void JobReconciler::onChanges(const std::vector<datacentre::Change> &Changes) {
   using datacentre::ChangeKind;
-  for (const datacentre::Change &Value : Changes)
-    if (Value.Kind_ == ChangeKind::JobEnded ||
-        Value.Kind_ == ChangeKind::JobReleasing ||
-        Value.Kind_ == ChangeKind::AttemptEnded)
-      noteJob(Value.Task_.Job_);
+  for (const datacentre::Change &AppliedChange : Changes)
+    if (AppliedChange.Kind_ == ChangeKind::JobEnded ||
+        AppliedChange.Kind_ == ChangeKind::JobReleasing ||
+        AppliedChange.Kind_ == ChangeKind::AttemptEnded)
+      enqueue(AppliedChange.Task_.Job_);
 }
 
 void JobReconciler::run(std::size_t Budget) {
@@ -114,193 +118,194 @@
     const JobId Job = std::move(Queue_.front());
     Queue_.pop_front();
     Queued_.erase(Job);
-    review(Job);
+    reconcile(Job);
   }
 }
 
-/// Queues the ids after Cursor, at most Budget, and moves the cursor; starts
-/// over after the last.
-template <class Range, class Take>
-static void sweepRange(const Range &Ids, JobId &Cursor, std::size_t Budget,
-                       Take Queue) {
-  auto At = Ids.upper_bound(Cursor);
-  for (std::size_t Count = 0; Count < Budget && At != Ids.end(); ++Count, ++At)
-    Cursor = Queue(*At);
-  if (At == Ids.end())
+/// Passes at most Budget ids after Cursor to Callback and advances the cursor;
+/// restarts after the last id.
+template <class Range, class Enqueue>
+static void enqueueRange(const Range &Ids, JobId &Cursor, std::size_t Budget,
+                         Enqueue Callback) {
+  auto It = Ids.upper_bound(Cursor);
+  for (std::size_t Count = 0; Count < Budget && It != Ids.end(); ++Count, ++It)
+    Cursor = Callback(*It);
+  if (It == Ids.end())
     Cursor = JobId();
 }
 
-void JobReconciler::sweep(std::size_t Budget) {
+void JobReconciler::enqueueNext(std::size_t Budget) {
   Fleet_.read([&](const FleetState &State) {
     const auto Held = State.jobs().held().find(DataCentre_);
     if (Held != State.jobs().held().end())
-      sweepRange(Held->second, FleetCursor_, Budget, [this](const JobId &Job) {
-        noteJob(Job);
-        return Job;
-      });
+      enqueueRange(Held->second, FleetCursor_, Budget,
+                   [this](const JobId &Job) {
+                     enqueue(Job);
+                     return Job;
+                   });
     return 0;
   });
   Machine_.withState([&](const DataCentreState &State) {
-    sweepRange(State.jobs(), LocalCursor_, Budget, [this](const auto &Entry) {
-      noteJob(Entry.first);
+    enqueueRange(State.jobs(), LocalCursor_, Budget, [this](const auto &Entry) {
+      enqueue(Entry.first);
       return Entry.first;
     });
   });
 }
 
-FleetSide JobReconciler::readFleet(const JobId &Job) const {
+FleetJobState JobReconciler::readFleet(const JobId &Job) const {
   return Fleet_.read([&](const FleetState &State) {
-    FleetSide Side;
-    const fleet::FleetJob *Found = State.jobs().find(Job);
-    if (!Found)
-      return Side;
-    Side.Known_ = true;
-    Side.Ended_ = Found->End_.has_value();
-    Side.Ours_ = !Side.Ended_ && Found->DataCentre_ == DataCentre_;
-    Side.Cancelling_ = Found->Cancelling_;
-    Side.Assignment_ = Found->Assignment_;
-    return Side;
+    FleetJobState JobState;
+    const fleet::FleetJob *Record = State.jobs().find(Job);
+    if (!Record)
+      return JobState;
+    JobState.Known_ = true;
+    JobState.Ended_ = Record->End_.has_value();
+    JobState.Ours_ = !JobState.Ended_ && Record->DataCentre_ == DataCentre_;
+    JobState.Cancelling_ = Record->Cancelling_;
+    JobState.Assignment_ = Record->Assignment_;
+    return JobState;
   });
 }
 
-LocalSide JobReconciler::readLocal(const JobId &Job) const {
-  LocalSide Side;
+LocalJobState JobReconciler::readLocal(const JobId &Job) const {
+  LocalJobState JobState;
   Machine_.withState([&](const DataCentreState &State) {
-    const JobRecord *Found = State.findJob(Job);
-    if (!Found) {
-      Side.Assignment_ = State.findAssignment(Job);
+    const JobRecord *Record = State.findJob(Job);
+    if (!Record) {
+      JobState.Assignment_ = State.findAssignment(Job);
       return;
     }
-    Side.Known_ = true;
-    Side.Cancelling_ = Found->Cancelling_;
-    Side.Releasing_ = Found->Releasing_;
-    Side.AllEnded_ = Found->Ended_ == Found->Tasks_.size();
-    Side.AnyPlaced_ = Found->Placed_ > 0;
-    Side.Assignment_ = Found->Assignment_;
+    JobState.Known_ = true;
+    JobState.Cancelling_ = Record->Cancelling_;
+    JobState.Releasing_ = Record->Releasing_;
+    JobState.AllEnded_ = Record->Ended_ == Record->Tasks_.size();
+    JobState.AnyPlaced_ = Record->Placed_ > 0;
+    JobState.Assignment_ = Record->Assignment_;
   });
-  return Side;
+  return JobState;
 }
 
-void JobReconciler::review(const JobId &Job) {
-  if (AtFleet_->contains(Job) || Proposer_.isOpen(Job))
+void JobReconciler::reconcile(const JobId &Job) {
+  if (PendingAtFleet_->contains(Job) || Proposer_.isOpen(Job))
     return;
-  const FleetSide Fleet = readFleet(Job);
-  const LocalSide Local = readLocal(Job);
+  const FleetJobState Fleet = readFleet(Job);
+  const LocalJobState Local = readLocal(Job);
   const TimePoint Now = Time_.now();
   const fleet::AssignmentHeld Held{Job, Fleet.Assignment_};
-  const bool Settled = Now - BeganAt_ >= SettleTime;
-  const LeaseSide Lease{Lease_.covers(Held, Now + LongestTaskLease_),
-                        Settled && Lease_.isEnding(Held, Now)};
-  const JobStep Next = chooseStep(Fleet, Local, Lease);
-  (this->*Steps[static_cast<std::size_t>(Next)])(Job, Fleet, Local);
+  const bool GraceOver = Now - StartedAt_ >= StartupGrace;
+  const LeaseState Lease{Lease_.covers(Held, Now + LongestTaskLease_),
+                         GraceOver && Lease_.isEnding(Held, Now)};
+  const ReconcileAction Action = chooseAction(Fleet, Local, Lease);
+  (this->*Handlers[static_cast<std::size_t>(Action)])(Job, Fleet, Local);
 }
 
 bool JobReconciler::mayRun(const JobId &Job) const {
-  const LocalSide Local = readLocal(Job);
+  const LocalJobState Local = readLocal(Job);
   return Local.Known_ && Lease_.covers({Job, Local.Assignment_},
                                        Time_.now() + LongestTaskLease_);
 }
 
-void JobReconciler::adopt(const JobId &Job, const FleetSide &,
-                          const LocalSide &) {
-  const std::optional<fleet::NamedJob> Found = Fleet_.findJob(Job);
-  if (!Found)
+void JobReconciler::adopt(const JobId &Job, const FleetJobState &,
+                          const LocalJobState &) {
+  const std::optional<fleet::NamedJob> AssignedJob = Fleet_.findJob(Job);
+  if (!AssignedJob)
     return;
-  const std::uint64_t Assignment = Found->Record_.Assignment_;
+  const std::uint64_t Assignment = AssignedJob->Record_.Assignment_;
   Outcome<datacentre::JobSpec> Spec =
-      datacentre::decodeJobSpec(Found->Record_.Spec_);
+      datacentre::decodeJobSpec(AssignedJob->Record_.Spec_);
   if (!Spec)
-    return failUnread(Job, Assignment, "specification");
-  Outcome<std::string> Progress =
-      makeAdoptedProgress(Spec.value(), Found->Record_.Progress_, Assignment);
+    return failUndecodable(Job, Assignment, "specification");
+  Outcome<std::string> Progress = makeAdoptedProgress(
+      Spec.value(), AssignedJob->Record_.Progress_, Assignment);
   if (!Progress)
-    return failUnread(Job, Assignment, "progress");
+    return failUndecodable(Job, Assignment, "progress");
   propose(Job, datacentre::AdoptJob{std::move(Spec.value()), Assignment,
                                     std::move(Progress.value())});
 }
 
-/// Checked at submission and made by our own programs; only another program's
-/// bytes come here.
-void JobReconciler::failUnread(const JobId &Job, std::uint64_t Assignment,
-                               const std::string &What) {
+/// Specifications are checked at submission and encoded by our own programs, so
+/// this happens only for bytes written by another program.
+void JobReconciler::failUndecodable(const JobId &Job, std::uint64_t Assignment,
+                                    const std::string &Field) {
   const auto WallMs = static_cast<std::uint64_t>(Time_.wallNow().count());
-  proposeToFleet(Job, fleet::EndJob{Job, Assignment, fleet::JobEnd::Failed,
-                                    "its " + What + " cannot be read", WallMs});
+  proposeToFleet(Job,
+                 fleet::EndJob{Job, Assignment, fleet::JobEnd::Failed,
+                               "its " + Field + " cannot be read", WallMs});
 }
 
-void JobReconciler::cancel(const JobId &Job, const FleetSide &,
-                           const LocalSide &) {
+void JobReconciler::cancel(const JobId &Job, const FleetJobState &,
+                           const LocalJobState &) {
   propose(Job, datacentre::CancelJob{Job});
 }
 
-void JobReconciler::stop(const JobId &Job, const FleetSide &,
-                         const LocalSide &Local) {
-  spdlog::info("job {}: assignment {} ends here, its tasks stop", Job.value(),
-               Local.Assignment_);
+void JobReconciler::stop(const JobId &Job, const FleetJobState &,
+                         const LocalJobState &Local) {
+  spdlog::info("job {}: releasing assignment {} and stopping its tasks",
+               Job.value(), Local.Assignment_);
   propose(Job, datacentre::ReleaseJob{Job, Local.Assignment_});
 }
 
-void JobReconciler::reportEnd(const JobId &Job, const FleetSide &,
-                              const LocalSide &Local) {
+void JobReconciler::reportEnd(const JobId &Job, const FleetJobState &,
+                              const LocalJobState &Local) {
   fleet::EndJob End;
   End.Job_ = Job;
   End.Assignment_ = Local.Assignment_;
   End.WallMs_ = static_cast<std::uint64_t>(Time_.wallNow().count());
-  bool Found = false;
+  bool HasRecord = false;
   Machine_.withState([&](const DataCentreState &State) {
     const JobRecord *Record = State.findJob(Job);
-    Found = Record != nullptr;
-    if (Found)
+    HasRecord = Record != nullptr;
+    if (HasRecord)
       End.End_ = summarizeEnd(*Record, End.Message_);
   });
-  if (Found)
+  if (HasRecord)
     proposeToFleet(Job, End);
 }
 
-void JobReconciler::giveBack(const JobId &Job, const FleetSide &,
-                             const LocalSide &Local) {
+void JobReconciler::returnToFleet(const JobId &Job, const FleetJobState &,
+                                  const LocalJobState &Local) {
   fleet::ReleaseJob Release{Job, Local.Assignment_, false, {}};
-  bool Found = false;
+  bool IsReleasable = false;
   Machine_.withState([&](const DataCentreState &State) {
     const JobRecord *Record = State.findJob(Job);
-    Found = Record && Record->Placed_ == 0;
-    if (Found)
+    IsReleasable = Record && Record->Placed_ == 0;
+    if (IsReleasable)
       Release.Progress_ = datacentre::encodeProgress(*Record);
   });
-  if (Found)
+  if (IsReleasable)
     proposeToFleet(Job, Release);
 }
 
-void JobReconciler::drop(const JobId &Job, const FleetSide &,
-                         const LocalSide &) {
+void JobReconciler::drop(const JobId &Job, const FleetJobState &,
+                         const LocalJobState &) {
   propose(Job, datacentre::DropJob{Job});
 }
 
-void JobReconciler::reportUnused(const JobId &Job, const FleetSide &Fleet,
-                                 const LocalSide &) {
+void JobReconciler::reportCancelled(const JobId &Job,
+                                    const FleetJobState &Fleet,
+                                    const LocalJobState &) {
   const auto WallMs = static_cast<std::uint64_t>(Time_.wallNow().count());
   proposeToFleet(Job,
                  fleet::EndJob{Job, Fleet.Assignment_, fleet::JobEnd::Cancelled,
                                "cancelled before it ran", WallMs});
 }
 
-void JobReconciler::propose(const JobId &Job,
-                            const datacentre::Command &Value) {
+void JobReconciler::propose(const JobId &Job, const datacentre::Command &Cmd) {
   Proposer_.propose(
-      Job, Value,
-      [this, Job](const Outcome<datacentre::CommandResult> &Result) {
+      Job, Cmd, [this, Job](const Outcome<datacentre::CommandResult> &Result) {
         const bool Applied = Result && Result.value().Error_.empty();
         if (Applied)
-          return noteJob(Job);
-        noteJobLater(Job);
+          return enqueue(Job);
+        enqueueLater(Job);
       });
 }
 
 void JobReconciler::proposeToFleet(const JobId &Job,
-                                   const fleet::Command &Value) {
-  AtFleet_->insert(Job);
-  std::weak_ptr<std::set<JobId>> Open = AtFleet_;
-  FleetProposals_.propose(fleet::encodeCommand(Value), FleetTimeout,
+                                   const fleet::Command &Cmd) {
+  PendingAtFleet_->insert(Job);
+  std::weak_ptr<std::set<JobId>> Open = PendingAtFleet_;
+  FleetProposals_.propose(fleet::encodeCommand(Cmd), FleetTimeout,
                           [this, Open, Job](Outcome<std::string> Result) {
                             Strand_.post([this, Open, Job, Result] {
                               if (!Open.expired())
@@ -311,25 +316,26 @@
 
 void JobReconciler::onFleetResult(const JobId &Job,
                                   const Outcome<std::string> &Bytes) {
-  AtFleet_->erase(Job);
+  PendingAtFleet_->erase(Job);
   if (!Bytes)
-    return noteJobLater(Job);
+    return enqueueLater(Job);
   const Outcome<fleet::CommandResult> Result =
       fleet::decodeResult(Bytes.value());
   const bool Unknown =
       Result && Result.value().Error_ == getErrorName(ErrorCode::NotFound);
-  const LocalSide Local = readLocal(Job);
-  // The fleet's leader does not know it: its end was recorded long ago.
+  const LocalJobState Local = readLocal(Job);
+  // The fleet's leader does not know the job, so its result was recorded long
+  // ago.
   if (Unknown && Local.Known_ && Local.AllEnded_)
     return propose(Job, datacentre::DropJob{Job});
-  // Our replica of the fleet's log may not have applied the effect yet.
-  noteJobLater(Job);
+  // The local replica of the fleet log may not have applied the command yet.
+  enqueueLater(Job);
 }
 
-void JobReconciler::noteJobLater(const JobId &Job) {
-  std::weak_ptr<std::set<JobId>> Alive = AtFleet_;
-  Strand_.postAfter(ReviewAgain, [this, Alive, Job] {
+void JobReconciler::enqueueLater(const JobId &Job) {
+  std::weak_ptr<std::set<JobId>> Alive = PendingAtFleet_;
+  Strand_.postAfter(RetryDelay, [this, Alive, Job] {
     if (!Alive.expired())
-      noteJob(Job);
+      enqueue(Job);
   });
 }
--- a/src/control/JobReconciler.h
+++ b/src/control/JobReconciler.h
@@ -1,9 +1,8 @@
-//===- JobReconciler.h - Jobs between the fleet and a data centre -*- C++
-//-*-===//
+//===- JobReconciler.h - Jobs and the fleet log ----------------*- C++ -*-===//
 //
-// Brings the data centre's jobs in line with what the fleet's log says:
-// adopts, cancels, releases, reports ends, drops. Each job is reviewed when
-// something about it changed and, slowly, in turn.
+// Makes the data centre's jobs match the fleet log: adopts, cancels and
+// releases jobs, reports their results and drops them. A job is reviewed
+// whenever it changes and periodically.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,52 +22,56 @@
 
 namespace tulipweir::control {
 
-/// What one job needs next.
-enum class JobStep : std::uint8_t {
+/// The next action for a job.
+enum class ReconcileAction : std::uint8_t {
   None,
-  Adopt,        ///< The fleet assigned it here.
-  Cancel,       ///< An operator cancelled it.
-  Stop,         ///< It is no longer ours, or its assignment is ending.
-  ReportEnd,    ///< All its tasks ended.
-  GiveBack,     ///< It is stopped, and the fleet still holds it as ours.
-  Drop,         ///< The fleet knows its end, or gave it to somebody else.
-  ReportUnused, ///< Cancelled before it was adopted.
+  Adopt,  ///< The fleet assigned the job to this data centre.
+  Cancel, ///< An operator cancelled the job.
+  Stop,   ///< The job is no longer assigned here, or its assignment is about to
+          ///< expire.
+  ReportEnd,     ///< All tasks have ended.
+  ReturnToFleet, ///< The job is stopped, and the fleet still assigns it here.
+  Drop, ///< The fleet knows the result or assigned the job to another data
+        ///< centre.
+  ReportCancelled, ///< The job was cancelled before it was adopted.
 };
 
-/// How a job stands in the fleet's log, as far as applied here.
-struct FleetSide {
+/// State of a job in the local replica of the fleet log.
+struct FleetJobState {
   bool Known_ = false;
-  bool Ours_ = false; ///< Open and held by this data centre.
+  bool Ours_ = false; ///< Not ended and assigned to this data centre.
   bool Ended_ = false;
   bool Cancelling_ = false;
   std::uint64_t Assignment_ = 0;
-  bool operator==(const FleetSide &) const = default;
+  bool operator==(const FleetJobState &) const = default;
 };
 
-/// How it stands in the data centre's log.
-struct LocalSide {
+/// State of a job in the data centre's log.
+struct LocalJobState {
   bool Known_ = false;
   bool Cancelling_ = false;
   bool Releasing_ = false;
   bool AllEnded_ = false;
   bool AnyPlaced_ = false;
-  /// Of the job, or the latest one remembered when it is not known.
+  /// Assignment of the job; for an unknown job, the latest one remembered.
   std::uint64_t Assignment_ = 0;
-  bool operator==(const LocalSide &) const = default;
+  bool operator==(const LocalJobState &) const = default;
 };
 
-/// How its assignment's lease stands.
-struct LeaseSide {
-  bool Covers_ = false; ///< A task started now would end in time.
-  bool Ending_ = false; ///< Time to checkpoint and stop.
-  bool operator==(const LeaseSide &) const = default;
+/// State of the lease on a job's assignment.
+struct LeaseState {
+  bool Covers_ =
+      false; ///< A task started now would end before the lease expires.
+  bool Ending_ = false; ///< Tasks must checkpoint and stop now.
+  bool operator==(const LeaseState &) const = default;
 };
 
-/// The one thing to do next; pure.
-JobStep chooseStep(const FleetSide &Fleet, const LocalSide &Local,
-                   const LeaseSide &Lease);
+/// Returns the next action; has no side effects.
+ReconcileAction chooseAction(const FleetJobState &Fleet,
+                             const LocalJobState &Local,
+                             const LeaseState &Lease);
 
-/// Lives on the leader's strand, as long as one leadership.
+/// Lives on the leader's strand for the duration of one leadership.
 class JobReconciler {
 public:
   JobReconciler(DataCentreId DataCentre, const fleet::FleetMachine &Fleet,
@@ -79,46 +82,50 @@
 
   // Commands.
 
-  /// Something about the job changed, here or in the fleet's log.
-  void noteJob(const JobId &Job);
-  void noteChanges(const std::vector<datacentre::Change> &Changes);
+  /// Queues a job that changed in the data centre's or the fleet's log.
+  void enqueue(const JobId &Job);
+  void onChanges(const std::vector<datacentre::Change> &Changes);
   /// Reviews at most Budget jobs.
   void run(std::size_t Budget);
-  /// Queues the next jobs in turn, at most Budget of each log.
-  void sweep(std::size_t Budget);
+  /// Queues the next jobs in order, at most Budget of each log.
+  void enqueueNext(std::size_t Budget);
 
   // Queries.
 
-  /// Whether a task of the job may be placed or go on under a lease now.
+  /// Returns whether a task of the job may be placed or renewed now.
   bool mayRun(const JobId &Job) const;
   std::size_t countQueued() const { return Queue_.size(); }
 
 private:
-  using Step = void (JobReconciler::*)(const JobId &, const FleetSide &,
-                                       const LocalSide &);
-  static const Step Steps[];
-
-  FleetSide readFleet(const JobId &Job) const;
-  LocalSide readLocal(const JobId &Job) const;
-  void review(const JobId &Job);
-
-  void doNothing(const JobId &, const FleetSide &, const LocalSide &) {}
-  void adopt(const JobId &Job, const FleetSide &Fleet, const LocalSide &Local);
-  void failUnread(const JobId &Job, std::uint64_t Assignment,
-                  const std::string &What);
-  void cancel(const JobId &Job, const FleetSide &Fleet, const LocalSide &Local);
-  void stop(const JobId &Job, const FleetSide &Fleet, const LocalSide &Local);
-  void reportEnd(const JobId &Job, const FleetSide &Fleet,
-                 const LocalSide &Local);
-  void giveBack(const JobId &Job, const FleetSide &Fleet,
-                const LocalSide &Local);
-  void drop(const JobId &Job, const FleetSide &Fleet, const LocalSide &Local);
-  void reportUnused(const JobId &Job, const FleetSide &Fleet,
-                    const LocalSide &Local);
-
-  void propose(const JobId &Job, const datacentre::Command &Value);
-  void proposeToFleet(const JobId &Job, const fleet::Command &Value);
-  void noteJobLater(const JobId &Job);
+  using Handler = void (JobReconciler::*)(const JobId &, const FleetJobState &,
+                                          const LocalJobState &);
+  static const Handler Handlers[];
+
+  FleetJobState readFleet(const JobId &Job) const;
+  LocalJobState readLocal(const JobId &Job) const;
+  void reconcile(const JobId &Job);
+
+  void doNothing(const JobId &, const FleetJobState &, const LocalJobState &) {}
+  void adopt(const JobId &Job, const FleetJobState &Fleet,
+             const LocalJobState &Local);
+  void failUndecodable(const JobId &Job, std::uint64_t Assignment,
+                       const std::string &Field);
+  void cancel(const JobId &Job, const FleetJobState &Fleet,
+              const LocalJobState &Local);
+  void stop(const JobId &Job, const FleetJobState &Fleet,
+            const LocalJobState &Local);
+  void reportEnd(const JobId &Job, const FleetJobState &Fleet,
+                 const LocalJobState &Local);
+  void returnToFleet(const JobId &Job, const FleetJobState &Fleet,
+                     const LocalJobState &Local);
+  void drop(const JobId &Job, const FleetJobState &Fleet,
+            const LocalJobState &Local);
+  void reportCancelled(const JobId &Job, const FleetJobState &Fleet,
+                       const LocalJobState &Local);
+
+  void propose(const JobId &Job, const datacentre::Command &Cmd);
+  void proposeToFleet(const JobId &Job, const fleet::Command &Cmd);
+  void enqueueLater(const JobId &Job);
   void onFleetResult(const JobId &Job, const Outcome<std::string> &Bytes);
 
   const DataCentreId DataCentre_;
@@ -130,12 +137,12 @@
   Executor &Strand_;
   const Clock &Time_;
   const Duration LongestTaskLease_;
-  const TimePoint BeganAt_;
+  const TimePoint StartedAt_;
   std::deque<JobId> Queue_;
   std::set<JobId> Queued_;
-  /// Jobs with a command under way to the fleet. Shared with callbacks, which
-  /// may come after this object is gone.
-  std::shared_ptr<std::set<JobId>> AtFleet_ =
+  /// Jobs with an open command to the fleet. Shared with callbacks, which may
+  /// outlive this object.
+  std::shared_ptr<std::set<JobId>> PendingAtFleet_ =
       std::make_shared<std::set<JobId>>();
   JobId FleetCursor_;
   JobId LocalCursor_;
--- a/src/control/JobRoutes.cpp
+++ b/src/control/JobRoutes.cpp
@@ -13,9 +13,9 @@
 
 static constexpr Duration ProposeTimeout = std::chrono::seconds(8);
 static constexpr std::uint64_t DefaultJobs = 100;
-static constexpr std::uint64_t MostJobs = 1000;
+static constexpr std::uint64_t MaxJobs = 1000;
 static constexpr std::uint64_t DefaultTasks = 100;
-static constexpr std::uint64_t MostTasks = 1000;
+static constexpr std::uint64_t MaxTasks = 1000;
 
 const RouteEntry<JobRoutes> JobRoutes::Table[] = {
     {"POST", "/jobs", &JobRoutes::submit},
@@ -64,7 +64,7 @@
   return Result;
 }
 
-/// The answer to a job command that the fleet applied or refused.
+/// Returns the reply for a job command that the fleet applied or rejected.
 static wire::OperatorAnswer makeCommandAnswer(const JobId &Job,
                                               const Outcome<std::string> &Bytes,
                                               Json Extra) {
@@ -72,7 +72,7 @@
     return makeErrorAnswer(
         getErrorName(Bytes.error().Code_),
         Bytes.error().Message_ +
-            "; whether it was taken is open, sending it again is safe");
+            "; the outcome is unknown, sending it again is safe");
   const Outcome<fleet::CommandResult> Result =
       fleet::decodeResult(Bytes.value());
   if (!Result)
@@ -85,25 +85,25 @@
 }
 
 JobRoutes::JobRoutes(DataCentreId DataCentre, const fleet::FleetMachine &Fleet,
-                     const BundleKeeper &Keeper,
+                     const BundleStore &Bundles,
                      const datacentre::DataCentreMachine &Machine,
                      FleetProposer &Proposer, FleetSurvey &Survey,
-                     DataCentreDuties &Duties, const Clock &Time)
-    : DataCentre_(std::move(DataCentre)), Fleet_(Fleet), Keeper_(Keeper),
-      Machine_(Machine), Proposer_(Proposer), Survey_(Survey), Duties_(Duties),
-      Time_(Time) {}
+                     DataCentreService &LeaderService, const Clock &Time)
+    : DataCentre_(std::move(DataCentre)), Fleet_(Fleet), Bundles_(Bundles),
+      Machine_(Machine), Proposer_(Proposer), Survey_(Survey),
+      DataCentreService_(LeaderService), Time_(Time) {}
 
 RouteMatch JobRoutes::handle(const wire::OperatorCall &Call,
                              OperatorDone &Done) {
   return routeCall(*this, Table, Call, Done);
 }
 
-/// What makes it doubtful that a task ever runs. Not certain, as larger
-/// servers may come and quotas may change, so it is no refusal.
+/// Returns reasons why a task may never run. These are only warnings, as larger
+/// servers may be added and quotas may change.
 std::vector<std::string>
 JobRoutes::listWarnings(const datacentre::JobSpec &Spec) const {
   std::vector<std::string> Warnings;
-  if (const auto InForce = Keeper_.getBundle())
+  if (const auto InForce = Bundles_.getBundle())
     for (const decide::TeamQuota &Quota : InForce->Policy_.Quotas_)
       if (Quota.Team_ == Spec.Team_ && !Spec.Declared_.fitsIn(Quota.Limit_))
         Warnings.push_back("one task declares more than the whole quota of "
@@ -141,7 +141,7 @@
 }
 
 void JobRoutes::cancel(const RoutedCall &Call, OperatorDone Done) {
-  const JobId Job(Call.Words_.front());
+  const JobId Job(Call.PathParams_.front());
   Proposer_.propose(
       fleet::encodeCommand(fleet::CancelJob{Job}), ProposeTimeout,
       [Done = std::move(Done), Job](const Outcome<std::string> &Bytes) {
@@ -150,31 +150,32 @@
 }
 
 void JobRoutes::list(const RoutedCall &Call, OperatorDone Done) {
-  const std::uint64_t Limit = Call.findNumber("limit", DefaultJobs, MostJobs);
+  const std::uint64_t Limit =
+      Call.getNumberParam("limit", DefaultJobs, MaxJobs);
   Json Jobs = Json::array();
   for (const fleet::NamedJob &Job :
-       Fleet_.listJobs(Limit, JobId(Call.findQuery("after")))) {
-    Json One = makeJobJson(Job);
+       Fleet_.listJobs(Limit, JobId(Call.getQueryParam("after")))) {
+    Json JobJson = makeJobJson(Job);
     Machine_.withState([&](const DataCentreState &State) {
       if (const datacentre::JobRecord *Record = State.findJob(Job.Job_))
-        One["progress"] = makeProgressJson(*Record);
+        JobJson["progress"] = makeProgressJson(*Record);
     });
-    Jobs.push_back(std::move(One));
+    Jobs.push_back(std::move(JobJson));
   }
   Done({200, renderJson({{"jobs", std::move(Jobs)}})});
 }
 
 void JobRoutes::show(const RoutedCall &Call, OperatorDone Done) {
-  answerWhereHeld(Call, std::move(Done), &JobRoutes::showHere);
+  answerAtHolder(Call, std::move(Done), &JobRoutes::showHere);
 }
 
 void JobRoutes::explain(const RoutedCall &Call, OperatorDone Done) {
-  answerWhereHeld(Call, std::move(Done), &JobRoutes::explainHere);
+  answerAtHolder(Call, std::move(Done), &JobRoutes::explainHere);
 }
 
-void JobRoutes::answerWhereHeld(const RoutedCall &Call, OperatorDone Done,
-                                Local Here) {
-  const JobId Name(Call.Words_.front());
+void JobRoutes::answerAtHolder(const RoutedCall &Call, OperatorDone Done,
+                               LocalHandler Handler) {
+  const JobId Name(Call.PathParams_.front());
   const std::optional<fleet::NamedJob> Job = Fleet_.findJob(Name);
   if (!Job)
     return Done(makeErrorAnswer(
@@ -182,17 +183,17 @@
   const DataCentreId &Holder = Job->Record_.DataCentre_;
   const bool Elsewhere =
       !Job->Record_.End_ && !Holder.value().empty() && Holder != DataCentre_;
-  if (Elsewhere && !readPassedPath(Call.Call_.Path_).PassedOn_)
-    return Survey_.passOn(Holder, Call.Call_, std::move(Done));
-  (this->*Here)(Call, *Job, std::move(Done));
+  if (Elsewhere && !parseForwardedPath(Call.Call_.Path_).IsForwarded_)
+    return Survey_.forward(Holder, Call.Call_, std::move(Done));
+  (this->*Handler)(Call, *Job, std::move(Done));
 }
 
 void JobRoutes::showHere(const RoutedCall &Call, const fleet::NamedJob &Job,
                          OperatorDone Done) {
   const auto First = static_cast<std::uint32_t>(
-      Call.findNumber("firstTask", 0, UINT32_MAX / 2));
+      Call.getNumberParam("firstTask", 0, UINT32_MAX / 2));
   const auto Limit = static_cast<std::uint32_t>(
-      Call.findNumber("tasks", DefaultTasks, MostTasks));
+      Call.getNumberParam("tasks", DefaultTasks, MaxTasks));
   Json Result = makeJobJson(Job);
   if (const auto Spec = datacentre::decodeJobSpec(Job.Record_.Spec_))
     Result["spec"] = makeSpecJson(Spec.value());
@@ -206,40 +207,42 @@
   Done({200, renderJson(Result)});
 }
 
-/// Why a task that no planner knows is not running.
-static Json makeAbsentJson(const fleet::NamedJob &Job, std::uint64_t Task,
-                           const datacentre::TaskRecord *Record) {
-  std::string Why = "the fleet has not assigned the job yet";
+/// Returns the reason why a task that the planner does not know is not running.
+static Json makeNotRunningJson(const fleet::NamedJob &Job, std::uint64_t Task,
+                               const datacentre::TaskRecord *Record) {
+  std::string Reason = "the fleet has not assigned the job yet";
   if (Job.Record_.End_)
-    Why = std::string("the job has ended: ") + getEndName(*Job.Record_.End_);
+    Reason = std::string("the job has ended: ") + getEndName(*Job.Record_.End_);
   else if (Record && Record->State_ != datacentre::TaskState::Waiting)
-    Why = "the task has ended: " + Record->Message_;
+    Reason = "the task has ended: " + Record->Message_;
   else if (!Job.Record_.DataCentre_.value().empty())
-    Why = "data centre " + Job.Record_.DataCentre_.value() +
-          " is taking the job over";
+    Reason = "data centre " + Job.Record_.DataCentre_.value() +
+             " is adopting the job";
   return {{"job", Job.Job_.value()},
           {"task", Task},
           {"running", false},
-          {"whatWouldHelp", Why}};
+          {"whatWouldHelp", Reason}};
 }
 
 void JobRoutes::explainHere(const RoutedCall &Call, const fleet::NamedJob &Job,
                             OperatorDone Done) {
   const auto Index =
-      static_cast<std::uint32_t>(Call.findNumber("task", 0, UINT32_MAX));
-  Duties_.visit([this, Job, Index, Done](DataCentreLeadership *Leader) {
-    if (!Leader)
-      return Done(makeErrorAnswer(Error::make(
-          ErrorCode::Unavailable, "this control leads no more; try again")));
-    const TaskId Task{Job.Job_, Index};
-    const std::optional<decide::Explanation> Found =
-        Leader->planning().planner().explain(Task, Time_.now());
-    if (Found)
-      return Done({200, renderJson(makeExplanationJson(*Found))});
-    Json Body;
-    Machine_.withState([&](const DataCentreState &State) {
-      Body = makeAbsentJson(Job, Index, State.findTask(Task));
-    });
-    Done({200, renderJson(Body)});
-  });
+      static_cast<std::uint32_t>(Call.getNumberParam("task", 0, UINT32_MAX));
+  DataCentreService_.visit(
+      [this, Job, Index, Done](DataCentreLeadership *Leader) {
+        if (!Leader)
+          return Done(makeErrorAnswer(
+              Error::make(ErrorCode::Unavailable,
+                          "this control process no longer leads; try again")));
+        const TaskId Task{Job.Job_, Index};
+        const std::optional<decide::Explanation> It =
+            Leader->planning().planner().explain(Task, Time_.now());
+        if (It)
+          return Done({200, renderJson(makeExplanationJson(*It))});
+        Json Body;
+        Machine_.withState([&](const DataCentreState &State) {
+          Body = makeNotRunningJson(Job, Index, State.findTask(Task));
+        });
+        Done({200, renderJson(Body)});
+      });
 }
--- a/src/control/JobRoutes.h
+++ b/src/control/JobRoutes.h
@@ -1,13 +1,13 @@
-//===- JobRoutes.h - Batch jobs: submit, show, cancel, explain -*- C++ -*-===//
+//===- JobRoutes.h - Routes of batch jobs ----------------------*- C++ -*-===//
 //
-// The part of the operators' API below /jobs.
+// The part of the operator API below /jobs.
 //
 //===----------------------------------------------------------------------===//
 
 #ifndef TULIPWEIR_SRC_CONTROL_JOBROUTES_H
 #define TULIPWEIR_SRC_CONTROL_JOBROUTES_H
 
-#include "control/DataCentreDuties.h"
+#include "control/DataCentreService.h"
 #include "control/FleetSurvey.h"
 #include "control/RouteTable.h"
 
@@ -17,10 +17,10 @@
 class JobRoutes final : public RouteSet {
 public:
   JobRoutes(DataCentreId DataCentre, const fleet::FleetMachine &Fleet,
-            const BundleKeeper &Keeper,
+            const BundleStore &Bundles,
             const datacentre::DataCentreMachine &Machine,
             FleetProposer &Proposer, FleetSurvey &Survey,
-            DataCentreDuties &Duties, const Clock &Time);
+            DataCentreService &LeaderService, const Clock &Time);
 
   RouteMatch handle(const wire::OperatorCall &Call,
                     OperatorDone &Done) override;
@@ -32,10 +32,12 @@
   void cancel(const RoutedCall &Call, OperatorDone Done);
   void explain(const RoutedCall &Call, OperatorDone Done);
 
-  using Local = void (JobRoutes::*)(const RoutedCall &, const fleet::NamedJob &,
-                                    OperatorDone);
-  /// Answers here or at the data centre that holds the job.
-  void answerWhereHeld(const RoutedCall &Call, OperatorDone Done, Local Here);
+  using LocalHandler = void (JobRoutes::*)(const RoutedCall &,
+                                           const fleet::NamedJob &,
+                                           OperatorDone);
+  /// Answers locally or forwards to the data centre that holds the job.
+  void answerAtHolder(const RoutedCall &Call, OperatorDone Done,
+                      LocalHandler Handler);
   void showHere(const RoutedCall &Call, const fleet::NamedJob &Job,
                 OperatorDone Done);
   void explainHere(const RoutedCall &Call, const fleet::NamedJob &Job,
@@ -46,11 +48,11 @@
 
   const DataCentreId DataCentre_;
   const fleet::FleetMachine &Fleet_;
-  const BundleKeeper &Keeper_;
+  const BundleStore &Bundles_;
   const datacentre::DataCentreMachine &Machine_;
   FleetProposer &Proposer_;
   FleetSurvey &Survey_;
-  DataCentreDuties &Duties_;
+  DataCentreService &DataCentreService_;
   const Clock &Time_;
 };
 
--- a/src/control/JsonFields.cpp
+++ b/src/control/JsonFields.cpp
@@ -3,8 +3,8 @@
 using namespace tulipweir;
 using namespace tulipweir::control;
 
-/// Far more than any VM has, in every dimension.
-static constexpr std::int64_t MostResources = 1'000'000'000;
+/// Far above the capacity of any VM, for every kind of resource.
+static constexpr std::int64_t MaxResourceAmount = 1'000'000'000;
 
 std::string control::renderJson(const Json &Value) {
   return Value.dump(-1, ' ', false, Json::error_handler_t::replace);
@@ -19,22 +19,22 @@
 Outcome<JsonFields> JsonFields::parse(const std::string &Text) {
   Json Object = Json::parse(Text, nullptr, /*allow_exceptions=*/false);
   if (Object.is_discarded())
-    return fail(ErrorCode::Malformed, "the body is no JSON");
+    return fail(ErrorCode::Malformed, "the body is not valid JSON");
   if (!Object.is_object())
     return fail(ErrorCode::Malformed, "the body must be one JSON object");
   return JsonFields(std::move(Object));
 }
 
-std::string JsonFields::takeText(const std::string &Name, bool Required,
-                                 std::size_t MaxBytes) {
-  const Json *Value = take(Name);
+std::string JsonFields::readString(const std::string &Name, bool Required,
+                                   std::size_t MaxBytes) {
+  const Json *Value = findField(Name);
   if (!Value) {
     if (Required)
-      addProblem(Name, "is missing; a text is needed");
+      addProblem(Name, "is missing; a string is required");
     return "";
   }
   if (!Value->is_string()) {
-    addProblem(Name, "must be a text");
+    addProblem(Name, "must be a string");
     return "";
   }
   std::string Text = Value->get<std::string>();
@@ -46,28 +46,28 @@
   return Text;
 }
 
-std::int64_t JsonFields::takeInteger(const std::string &Name,
-                                     std::int64_t Default, std::int64_t Least,
-                                     std::int64_t Most) {
-  const Json *Value = take(Name);
+std::int64_t JsonFields::readInteger(const std::string &Name,
+                                     std::int64_t Default, std::int64_t Min,
+                                     std::int64_t Max) {
+  const Json *Value = findField(Name);
   if (!Value)
     return Default;
-  const bool Whole =
+  const bool IsInteger =
       Value->is_number_integer() &&
       (!Value->is_number_unsigned() ||
        Value->get<std::uint64_t>() <= static_cast<std::uint64_t>(INT64_MAX));
-  const std::int64_t Number = Whole ? Value->get<std::int64_t>() : 0;
-  if (Whole && Number >= Least && Number <= Most)
+  const std::int64_t Number = IsInteger ? Value->get<std::int64_t>() : 0;
+  if (IsInteger && Number >= Min && Number <= Max)
     return Number;
-  addProblem(Name, "must be a whole number from " + std::to_string(Least) +
-                       " to " + std::to_string(Most));
+  addProblem(Name, "must be an integer from " + std::to_string(Min) + " to " +
+                       std::to_string(Max));
   return Default;
 }
 
-Resources JsonFields::takeResources(const std::string &Name) {
-  const Json *Value = take(Name);
+Resources JsonFields::readResources(const std::string &Name) {
+  const Json *Value = findField(Name);
   if (!Value) {
-    addProblem(Name, "is missing; milliCpus and memoryMib are needed");
+    addProblem(Name, "is missing; milliCpus and memoryMib are required");
     return {};
   }
   if (!Value->is_object()) {
@@ -76,27 +76,27 @@
   }
   JsonFields Inner(*Value);
   const Resources Amount = Resources::makeFor(
-      Inner.takeInteger("milliCpus", 0, 0, MostResources),
-      Inner.takeInteger("memoryMib", 0, 0, MostResources),
-      Inner.takeInteger("accelerators", 0, 0, MostResources));
+      Inner.readInteger("milliCpus", 0, 0, MaxResourceAmount),
+      Inner.readInteger("memoryMib", 0, 0, MaxResourceAmount),
+      Inner.readInteger("accelerators", 0, 0, MaxResourceAmount));
   if (const Outcome<void> Checked = Inner.finish(); !Checked)
-    addProblem(Name, "is wrong: " + Checked.error().Message_);
+    addProblem(Name, "is invalid: " + Checked.error().Message_);
   return Amount;
 }
 
 Outcome<void> JsonFields::finish() {
   for (const auto &[Name, Value] : Object_.items())
-    if (!Taken_.contains(Name))
-      addProblem(Name, "is not known here");
+    if (!ReadFields_.contains(Name))
+      addProblem(Name, "is not a known field");
   if (Problems_.empty())
     return succeed();
   return fail(ErrorCode::InvalidArgument, Problems_);
 }
 
-const Json *JsonFields::take(const std::string &Name) {
-  Taken_.insert(Name);
-  const auto Found = Object_.find(Name);
-  return Found == Object_.end() || Found->is_null() ? nullptr : &*Found;
+const Json *JsonFields::findField(const std::string &Name) {
+  ReadFields_.insert(Name);
+  const auto It = Object_.find(Name);
+  return It == Object_.end() || It->is_null() ? nullptr : &*It;
 }
 
 void JsonFields::addProblem(const std::string &Name, const std::string &Text) {
--- a/src/control/JsonFields.h
+++ b/src/control/JsonFields.h
@@ -1,7 +1,7 @@
-//===- JsonFields.h - Checked reading of JSON objects ----------*- C++ -*-===//
+//===- JsonFields.h - Validated reading of JSON objects --------*- C++ -*-===//
 //
-// Reads the fields of one JSON object and gathers everything that is wrong
-// with it, so that an operator sees all problems at once.
+// Reads the fields of a JSON object and collects all problems, so that an
+// operator sees them at once.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,36 +21,37 @@
 
 using Json = nlohmann::json;
 
-/// The text of a JSON value; bytes that are no UTF-8 are replaced.
+/// Renders a JSON value; invalid UTF-8 is replaced.
 std::string renderJson(const Json &Value);
 
 Json makeResourcesJson(const Resources &Value);
 
-/// Not thread-safe; lives for one parse.
+/// Not thread-safe; used for a single parse.
 class JsonFields {
 public:
-  /// Fails with Malformed unless Text is one JSON object.
+  /// Returns Malformed unless Text is a single JSON object.
   static Outcome<JsonFields> parse(const std::string &Text);
 
-  /// Each returns the field's value, or the default when it is absent and not
-  /// required; a wrong one is noted as a problem.
-  std::string takeText(const std::string &Name, bool Required,
-                       std::size_t MaxBytes);
-  std::int64_t takeInteger(const std::string &Name, std::int64_t Default,
-                           std::int64_t Least, std::int64_t Most);
-  Resources takeResources(const std::string &Name);
-
-  /// Notes fields that nobody took, then fails with InvalidArgument if there
-  /// was any problem.
+  /// Each of the following functions returns the field's value, or the default
+  /// if the field is absent and optional, and records a problem if the value is
+  /// invalid.
+  std::string readString(const std::string &Name, bool Required,
+                         std::size_t MaxBytes);
+  std::int64_t readInteger(const std::string &Name, std::int64_t Default,
+                           std::int64_t Min, std::int64_t Max);
+  Resources readResources(const std::string &Name);
+
+  /// Records a problem for every field that was not read, then returns
+  /// InvalidArgument if there was any problem.
   Outcome<void> finish();
 
 private:
   explicit JsonFields(Json Object) : Object_(std::move(Object)) {}
-  const Json *take(const std::string &Name);
+  const Json *findField(const std::string &Name);
   void addProblem(const std::string &Name, const std::string &Text);
 
   Json Object_;
-  std::set<std::string> Taken_;
+  std::set<std::string> ReadFields_;
   std::string Problems_;
 };
 
--- a/src/control/LearnerDuty.cpp
+++ b/src/control/LearnerAdmission.cpp
@@ -1,4 +1,4 @@
-#include "control/LearnerDuty.h"
+#include "control/LearnerAdmission.h"
 
 #include <algorithm>
 
@@ -10,34 +10,37 @@
 using replication::MemberId;
 using replication::ReplicaStatus;
 
-static constexpr Duration TickPeriod = std::chrono::seconds(1);
+static constexpr Duration TickInterval = std::chrono::seconds(1);
 
-/// Whether it, or a later life of it, takes part already.
+/// Returns whether the member, or a later incarnation of it, is already in the
+/// group.
 static bool isSuperseded(const ReplicaStatus &Status, const MemberId &Id) {
   return std::any_of(Status.Members_.begin(), Status.Members_.end(),
-                     [&Id](const Member &Value) {
-                       return Value.Id_.Name_ == Id.Name_ &&
-                              Value.Id_.Incarnation_ >= Id.Incarnation_;
+                     [&Id](const Member &Existing) {
+                       return Existing.Id_.Name_ == Id.Name_ &&
+                              Existing.Id_.Incarnation_ >= Id.Incarnation_;
                      });
 }
 
-LearnerDuty::LearnerDuty(std::string Group, replication::Replica &Replica,
-                         Executor &Strand, std::set<std::string> Allowed)
+LearnerAdmission::LearnerAdmission(std::string Group,
+                                   replication::Replica &Replica,
+                                   Executor &Strand,
+                                   std::set<std::string> Allowed)
     : Group_(std::move(Group)), Replica_(Replica), Strand_(Strand),
       Allowed_(std::move(Allowed)) {}
 
-void LearnerDuty::start() {
-  Strand_.postAfter(TickPeriod, [this] { tick(); });
+void LearnerAdmission::start() {
+  Strand_.postAfter(TickInterval, [this] { tick(); });
 }
 
-void LearnerDuty::tick() {
+void LearnerAdmission::tick() {
   if (Stopped_)
     return;
   run();
   start();
 }
 
-void LearnerDuty::run() {
+void LearnerAdmission::run() {
   const ReplicaStatus Status = Replica_.getStatus();
   if (Adding_ || !Status.IsLeader_)
     return;
@@ -45,13 +48,13 @@
     if (!Allowed_.contains(Id.Name_) || isSuperseded(Status, Id))
       continue;
     Adding_ = true;
-    spdlog::info("group {}: adds {} ({}) as a learner", Group_, Id.Name_,
-                 Id.Incarnation_);
+    spdlog::info("group {}: adding {} (incarnation {}) as a learner", Group_,
+                 Id.Name_, Id.Incarnation_);
     Replica_.addLearner(Id, [this](Outcome<void> Result) {
       Strand_.post([this, Result = std::move(Result)] {
         Adding_ = false;
         if (!Result)
-          spdlog::warn("group {}: no learner added: {}", Group_,
+          spdlog::warn("group {}: adding a learner failed: {}", Group_,
                        Result.error().Message_);
       });
     });
