--- a/src/control/MemberRoutes.cpp
+++ b/src/control/MemberRoutes.cpp
@@ -13,15 +13,16 @@
 using replication::ReplicaStatus;
 
 static constexpr std::size_t MaxNameBytes = 128;
-static constexpr Duration PassOnTimeout = std::chrono::seconds(25);
+static constexpr Duration ForwardTimeout = std::chrono::seconds(25);
 static constexpr Duration ChangeTimeout = std::chrono::seconds(20);
-static constexpr Duration AskTimeout = std::chrono::seconds(2);
-static constexpr Duration RetryPause = std::chrono::milliseconds(200);
-/// Calls below this prefix came from another control and go no further.
-static constexpr std::string_view PassedOn = "/passed-on";
+static constexpr Duration QueryTimeout = std::chrono::seconds(2);
+static constexpr Duration RetryDelay = std::chrono::milliseconds(200);
+/// Calls with this prefix were forwarded by another control process and are not
+/// forwarded again.
+static constexpr std::string_view ForwardedPrefix = "/passed-on";
 
-/// One change of members while it runs.
-struct MemberRoutes::Change {
+/// A membership change in progress.
+struct MemberRoutes::MembershipChange {
   std::string GroupName_;
   Replica *Group_ = nullptr;
   MemberId Id_;
@@ -47,33 +48,35 @@
     return std::move(Parsed).as_failure();
   JsonFields &Fields = Parsed.value();
   MemberId Id;
-  Id.Name_ = Fields.takeText("name", true, MaxNameBytes);
+  Id.Name_ = Fields.readString("name", true, MaxNameBytes);
   Id.Incarnation_ = static_cast<std::uint64_t>(
-      Fields.takeInteger("incarnation", 0, 0, INT64_MAX));
+      Fields.readInteger("incarnation", 0, 0, INT64_MAX));
   if (const Outcome<void> Checked = Fields.finish(); !Checked)
     return Checked.as_failure();
   return Id;
 }
 
-static bool holdsMember(const Replica &Group, const MemberId &Id) {
+static bool isMember(const Replica &Group, const MemberId &Id) {
   const ReplicaStatus Status = Group.getStatus();
-  return std::any_of(Status.Members_.begin(), Status.Members_.end(),
-                     [&Id](const Member &Value) { return Value.Id_ == Id; });
+  return std::any_of(
+      Status.Members_.begin(), Status.Members_.end(),
+      [&Id](const Member &Existing) { return Existing.Id_ == Id; });
 }
 
-/// A member of Id's name under another incarnation, if there is one.
-static std::optional<MemberId> findOther(const Replica &Group,
-                                         const MemberId &Id) {
-  for (const Member &Value : Group.getStatus().Members_)
-    if (Value.Id_.Name_ == Id.Name_ && Value.Id_ != Id)
-      return Value.Id_;
+/// Returns a member with the name of Id but another incarnation, if there is
+/// one.
+static std::optional<MemberId> findOtherIncarnation(const Replica &Group,
+                                                    const MemberId &Id) {
+  for (const Member &Existing : Group.getStatus().Members_)
+    if (Existing.Id_.Name_ == Id.Name_ && Existing.Id_ != Id)
+      return Existing.Id_;
   return std::nullopt;
 }
 
-/// The incarnation under which a member that holds nothing asked to join; 0 if
-/// none of that name did.
-static std::uint64_t findWaiting(const Replica &Group,
-                                 const std::string &Name) {
+/// Returns the highest incarnation under which a member of that name without a
+/// log waits to join; 0 if there is none.
+static std::uint64_t findWaitingIncarnation(const Replica &Group,
+                                            const std::string &Name) {
   std::uint64_t Newest = 0;
   for (const MemberId &Id : Group.getStatus().Waiting_)
     if (Id.Name_ == Name)
@@ -81,23 +84,23 @@
   return Newest;
 }
 
-/// The incarnation that a control has in a group, from its list of members;
-/// 0 if it does not say.
-static std::uint64_t findIncarnation(const std::string &Listed,
-                                     const std::string &Group) {
+/// Returns a control process's incarnation in a group from its list of members;
+/// 0 if the list does not contain it.
+static std::uint64_t parseIncarnation(const std::string &Listed,
+                                      const std::string &Group) {
   const Json Parsed = Json::parse(Listed, nullptr, false);
   if (!Parsed.is_object() || !Parsed.contains("groups"))
     return 0;
-  for (const Json &One : Parsed["groups"])
-    if (One.value("group", "") == Group && One.contains("self"))
-      return One["self"].value("incarnation", std::uint64_t(0));
+  for (const Json &GroupJson : Parsed["groups"])
+    if (GroupJson.value("group", "") == Group && GroupJson.contains("self"))
+      return GroupJson["self"].value("incarnation", std::uint64_t(0));
   return 0;
 }
 
-static bool isWorthRepeating(const Error &Value) {
-  return Value.Code_ == ErrorCode::Unavailable ||
-         Value.Code_ == ErrorCode::Timeout ||
-         Value.Code_ == ErrorCode::Conflict;
+static bool isRetryable(const Error &Existing) {
+  return Existing.Code_ == ErrorCode::Unavailable ||
+         Existing.Code_ == ErrorCode::Timeout ||
+         Existing.Code_ == ErrorCode::Conflict;
 }
 
 MemberRoutes::MemberRoutes(std::vector<GroupHandle> Groups, PeerCaller &Peers,
@@ -134,126 +137,138 @@
 }
 
 void MemberRoutes::start(const RoutedCall &Call, OperatorDone Done,
-                         Action What) {
-  const std::string &Name = Call.Words_.front();
-  const auto Found = std::find_if(
+                         ChangeHandler Handler) {
+  const std::string &Name = Call.PathParams_.front();
+  const auto It = std::find_if(
       Groups_.begin(), Groups_.end(),
       [&Name](const GroupHandle &Handle) { return Handle.Group_ == Name; });
-  if (Found == Groups_.end())
-    return Done(makeErrorAnswer(Error::make(
-        ErrorCode::NotFound, "this data centre takes part in no group " + Name +
-                                 "; ask an entry of that one")));
+  if (It == Groups_.end())
+    return Done(makeErrorAnswer(
+        Error::make(ErrorCode::NotFound,
+                    "this data centre has no member in group " + Name +
+                        "; ask an entry of the data centre that does")));
   Outcome<MemberId> Id = parseMember(Call.Call_.Body_);
   if (!Id)
     return Done(makeErrorAnswer(Id.error()));
-  const ReplicaStatus Status = Found->Replica_->getStatus();
+  const ReplicaStatus Status = It->Replica_->getStatus();
   if (!Status.IsLeader_)
-    return passOn(Call, Status.LeaderName_, std::move(Done));
-  (this->*What)(std::make_shared<Change>(
-      Change{Name, Found->Replica_, std::move(Id.value()),
-             Time_.now() + ChangeTimeout, std::move(Done)}));
+    return forward(Call, Status.LeaderName_, std::move(Done));
+  (this->*Handler)(std::make_shared<MembershipChange>(
+      MembershipChange{Name, It->Replica_, std::move(Id.value()),
+                       Time_.now() + ChangeTimeout, std::move(Done)}));
 }
 
-void MemberRoutes::passOn(const RoutedCall &Call, const std::string &Leader,
-                          OperatorDone Done) {
-  const bool Again = Call.Call_.Path_.starts_with(PassedOn);
-  if (Leader.empty() || Again)
+void MemberRoutes::forward(const RoutedCall &Call, const std::string &Leader,
+                           OperatorDone Done) {
+  const bool AlreadyForwarded = Call.Call_.Path_.starts_with(ForwardedPrefix);
+  if (Leader.empty() || AlreadyForwarded)
     return Done(makeErrorAnswer(
         Error::make(ErrorCode::Unavailable,
                     "the group has no leader at the moment; try again")));
-  wire::OperatorCall Passed = Call.Call_;
-  Passed.Path_ = std::string(PassedOn) + Passed.Path_;
-  Peers_.request(Leader, Passed, PassOnTimeout,
-                 [Done = std::move(Done)](Outcome<wire::OperatorAnswer> Got) {
-                   Done(Got ? Got.value() : makeErrorAnswer(Got.error()));
-                 });
+  wire::OperatorCall Forwarded = Call.Call_;
+  Forwarded.Path_ = std::string(ForwardedPrefix) + Forwarded.Path_;
+  Peers_.request(
+      Leader, Forwarded, ForwardTimeout,
+      [Done = std::move(Done)](Outcome<wire::OperatorAnswer> Answer) {
+        Done(Answer ? Answer.value() : makeErrorAnswer(Answer.error()));
+      });
 }
 
-void MemberRoutes::runAdd(std::shared_ptr<Change> Work) {
-  Work->Group_->addLearner(Work->Id_, [this, Work](Outcome<void> Result) {
-    finish(Work, std::move(Result));
-  });
+void MemberRoutes::runAdd(std::shared_ptr<MembershipChange> Pending) {
+  Pending->Group_->addLearner(Pending->Id_,
+                              [this, Pending](Outcome<void> Result) {
+                                finish(Pending, std::move(Result));
+                              });
 }
 
-void MemberRoutes::runPromote(std::shared_ptr<Change> Work) {
-  Work->Group_->promote(Work->Id_, [this, Work](Outcome<void> Result) {
-    finish(Work, std::move(Result));
+void MemberRoutes::runPromote(std::shared_ptr<MembershipChange> Pending) {
+  Pending->Group_->promote(Pending->Id_, [this, Pending](Outcome<void> Result) {
+    finish(Pending, std::move(Result));
   });
 }
 
-void MemberRoutes::runRemove(std::shared_ptr<Change> Work) {
-  Work->Group_->remove(Work->Id_, [this, Work](Outcome<void> Result) {
-    finish(Work, std::move(Result));
+void MemberRoutes::runRemove(std::shared_ptr<MembershipChange> Pending) {
+  Pending->Group_->remove(Pending->Id_, [this, Pending](Outcome<void> Result) {
+    finish(Pending, std::move(Result));
   });
 }
 
-void MemberRoutes::runReplace(std::shared_ptr<Change> Work) {
-  if (Work->Id_.Incarnation_ == 0)
-    Work->Id_.Incarnation_ = findWaiting(*Work->Group_, Work->Id_.Name_);
-  if (Work->Id_.Incarnation_ != 0)
-    return removeOther(std::move(Work));
-  const wire::OperatorCall Ask{"GET", "/passed-on/members", "", ""};
-  Peers_.request(Work->Id_.Name_, Ask, AskTimeout,
-                 [this, Work](Outcome<wire::OperatorAnswer> Got) {
-                   if (!Got)
-                     return finish(Work, std::move(Got).as_failure());
-                   Work->Id_.Incarnation_ =
-                       findIncarnation(Got.value().Body_, Work->GroupName_);
-                   if (Work->Id_.Incarnation_ == 0)
-                     return finish(Work, fail(ErrorCode::Unavailable,
-                                              Work->Id_.Name_ +
-                                                  " does not say its "
-                                                  "incarnation; give it"));
-                   Timers_.post([this, Work] { removeOther(Work); });
-                 });
+void MemberRoutes::runReplace(std::shared_ptr<MembershipChange> Pending) {
+  if (Pending->Id_.Incarnation_ == 0)
+    Pending->Id_.Incarnation_ =
+        findWaitingIncarnation(*Pending->Group_, Pending->Id_.Name_);
+  if (Pending->Id_.Incarnation_ != 0)
+    return removeOtherIncarnations(std::move(Pending));
+  const wire::OperatorCall Request{"GET", "/passed-on/members", "", ""};
+  Peers_.request(
+      Pending->Id_.Name_, Request, QueryTimeout,
+      [this, Pending](Outcome<wire::OperatorAnswer> Answer) {
+        if (!Answer)
+          return finish(Pending, std::move(Answer).as_failure());
+        Pending->Id_.Incarnation_ =
+            parseIncarnation(Answer.value().Body_, Pending->GroupName_);
+        if (Pending->Id_.Incarnation_ == 0)
+          return finish(Pending,
+                        fail(ErrorCode::Unavailable,
+                             Pending->Id_.Name_ + " did not report its "
+                                                  "incarnation; specify it"));
+        Timers_.post([this, Pending] { removeOtherIncarnations(Pending); });
+      });
 }
 
-// A replacement removes first: the member is gone anyway, and with it out of
-// the voters the others need one vote less. The new one votes only after it
-// holds the log.
-void MemberRoutes::removeOther(std::shared_ptr<Change> Work) {
-  const std::optional<MemberId> Other = findOther(*Work->Group_, Work->Id_);
+// A replacement removes the old member first: that member is lost anyway, and
+// without it the remaining voters need one vote less. The new member gets a
+// vote only after it holds the log.
+void MemberRoutes::removeOtherIncarnations(
+    std::shared_ptr<MembershipChange> Pending) {
+  const std::optional<MemberId> Other =
+      findOtherIncarnation(*Pending->Group_, Pending->Id_);
   if (!Other)
-    return addNew(std::move(Work));
-  if (Other->Incarnation_ > Work->Id_.Incarnation_)
-    return finish(Work,
+    return addNewIncarnation(std::move(Pending));
+  if (Other->Incarnation_ > Pending->Id_.Incarnation_)
+    return finish(Pending,
                   fail(ErrorCode::Conflict,
                        "incarnation " + std::to_string(Other->Incarnation_) +
-                           " of it is a member already; leave the "
-                           "incarnation out to replace by the newest"));
-  Work->Group_->remove(*Other, [this, Work](Outcome<void> Result) {
+                           " is already a member; omit the "
+                           "incarnation to use the newest one"));
+  Pending->Group_->remove(*Other, [this, Pending](Outcome<void> Result) {
     if (Result || Result.error().Code_ == ErrorCode::NotFound)
-      return Timers_.post([this, Work] { removeOther(Work); });
-    finish(Work, std::move(Result));
+      return Timers_.post(
+          [this, Pending] { removeOtherIncarnations(Pending); });
+    finish(Pending, std::move(Result));
   });
 }
 
-void MemberRoutes::addNew(std::shared_ptr<Change> Work) {
-  if (holdsMember(*Work->Group_, Work->Id_))
-    return promoteNew(std::move(Work));
-  Work->Group_->addLearner(Work->Id_, [this, Work](Outcome<void> Result) {
+void MemberRoutes::addNewIncarnation(
+    std::shared_ptr<MembershipChange> Pending) {
+  if (isMember(*Pending->Group_, Pending->Id_))
+    return promoteNewIncarnation(std::move(Pending));
+  Pending->Group_->addLearner(Pending->Id_, [this,
+                                             Pending](Outcome<void> Result) {
     if (Result || Result.error().Code_ == ErrorCode::AlreadyExists)
-      return Timers_.post([this, Work] { promoteNew(Work); });
-    finish(Work, std::move(Result));
+      return Timers_.post([this, Pending] { promoteNewIncarnation(Pending); });
+    finish(Pending, std::move(Result));
   });
 }
 
-void MemberRoutes::promoteNew(std::shared_ptr<Change> Work) {
-  Work->Group_->promote(Work->Id_, [this, Work](Outcome<void> Result) {
-    const bool Again = !Result && isWorthRepeating(Result.error()) &&
-                       Time_.now() + RetryPause < Work->Deadline_;
-    if (!Again)
-      return finish(Work, std::move(Result));
-    Timers_.postAfter(RetryPause, [this, Work] { promoteNew(Work); });
+void MemberRoutes::promoteNewIncarnation(
+    std::shared_ptr<MembershipChange> Pending) {
+  Pending->Group_->promote(Pending->Id_, [this, Pending](Outcome<void> Result) {
+    const bool Retry = !Result && isRetryable(Result.error()) &&
+                       Time_.now() + RetryDelay < Pending->Deadline_;
+    if (!Retry)
+      return finish(Pending, std::move(Result));
+    Timers_.postAfter(RetryDelay,
+                      [this, Pending] { promoteNewIncarnation(Pending); });
   });
 }
 
-void MemberRoutes::finish(const std::shared_ptr<Change> &Work,
+void MemberRoutes::finish(const std::shared_ptr<MembershipChange> &Pending,
                           Outcome<void> Result) {
   if (!Result && Result.error().Code_ != ErrorCode::AlreadyExists)
-    return Work->Done_(makeErrorAnswer(Result.error()));
+    return Pending->Done_(makeErrorAnswer(Result.error()));
   Json Members = Json::array();
-  for (const Member &Value : Work->Group_->getStatus().Members_)
-    Members.push_back(makeMemberJson(Value));
-  Work->Done_({200, renderJson({{"members", std::move(Members)}})});
+  for (const Member &Existing : Pending->Group_->getStatus().Members_)
+    Members.push_back(makeMemberJson(Existing));
+  Pending->Done_({200, renderJson({{"members", std::move(Members)}})});
 }
--- a/src/control/MemberRoutes.h
+++ b/src/control/MemberRoutes.h
@@ -1,6 +1,6 @@
-//===- MemberRoutes.h - Members of the groups, shown and changed -*- C++ -*-==//
+//===- MemberRoutes.h - Routes of group members ----------------*- C++ -*-===//
 //
-// GET /members and POST /members/{group}/add|promote|remove|replace.
+// Serves GET /members and POST /members/{group}/add|promote|remove|replace.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,15 +18,15 @@
 
 namespace tulipweir::control {
 
-/// One group as this process takes part in it.
+/// A replication group that this process is a member of.
 struct GroupHandle {
   std::string Group_;
   replication::Replica *Replica_ = nullptr; ///< Not owned.
 };
 
-/// Changes are made by the group's leader; calls for a group that another
-/// control leads are passed on to it once. Every change may be repeated: a
-/// step that is done already is skipped.
+/// The group's leader makes the changes; calls for a group that another control
+/// process leads are forwarded to it once. Every change is idempotent: steps
+/// that are already done are skipped.
 class MemberRoutes final : public RouteSet {
 public:
   MemberRoutes(std::vector<GroupHandle> Groups, PeerCaller &Peers,
@@ -36,7 +36,7 @@
                     OperatorDone &Done) override;
 
 private:
-  struct Change;
+  struct MembershipChange;
 
   void list(const RoutedCall &Call, OperatorDone Done);
   void add(const RoutedCall &Call, OperatorDone Done);
@@ -44,20 +44,23 @@
   void remove(const RoutedCall &Call, OperatorDone Done);
   void replace(const RoutedCall &Call, OperatorDone Done);
 
-  using Action = void (MemberRoutes::*)(std::shared_ptr<Change>);
-  /// Reads the body, finds the leader, and runs What here or passes it on.
-  void start(const RoutedCall &Call, OperatorDone Done, Action What);
-  void passOn(const RoutedCall &Call, const std::string &Leader,
-              OperatorDone Done);
+  using ChangeHandler =
+      void (MemberRoutes::*)(std::shared_ptr<MembershipChange>);
+  /// Parses the body, finds the leader and either runs Handler here or forwards
+  /// the call.
+  void start(const RoutedCall &Call, OperatorDone Done, ChangeHandler Handler);
+  void forward(const RoutedCall &Call, const std::string &Leader,
+               OperatorDone Done);
 
-  void runAdd(std::shared_ptr<Change> Work);
-  void runPromote(std::shared_ptr<Change> Work);
-  void runRemove(std::shared_ptr<Change> Work);
-  void runReplace(std::shared_ptr<Change> Work);
-  void removeOther(std::shared_ptr<Change> Work);
-  void addNew(std::shared_ptr<Change> Work);
-  void promoteNew(std::shared_ptr<Change> Work);
-  void finish(const std::shared_ptr<Change> &Work, Outcome<void> Result);
+  void runAdd(std::shared_ptr<MembershipChange> Pending);
+  void runPromote(std::shared_ptr<MembershipChange> Pending);
+  void runRemove(std::shared_ptr<MembershipChange> Pending);
+  void runReplace(std::shared_ptr<MembershipChange> Pending);
+  void removeOtherIncarnations(std::shared_ptr<MembershipChange> Pending);
+  void addNewIncarnation(std::shared_ptr<MembershipChange> Pending);
+  void promoteNewIncarnation(std::shared_ptr<MembershipChange> Pending);
+  void finish(const std::shared_ptr<MembershipChange> &Pending,
+              Outcome<void> Result);
 
   static const RouteEntry<MemberRoutes> Table[];
 
--- a/src/control/OperatorErrors.cpp
+++ b/src/control/OperatorErrors.cpp
@@ -31,7 +31,7 @@
 wire::OperatorAnswer control::makeErrorAnswer(std::string_view ErrorName,
                                               const std::string &Message) {
   const nlohmann::json Body = {{"error", ErrorName}, {"message", Message}};
-  // Text from outside may be no UTF-8; it is shown with replacements.
+  // External text may contain invalid UTF-8, which is replaced.
   return {getErrorStatus(ErrorName),
           Body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace)};
 }
--- a/src/control/OperatorErrors.h
+++ b/src/control/OperatorErrors.h
@@ -1,6 +1,6 @@
-//===- OperatorErrors.h - Errors as operators see them ---------*- C++ -*-===//
+//===- OperatorErrors.h - Errors of the operator API -----------*- C++ -*-===//
 //
-// Turns Errors and stable error names into HTTP statuses and JSON.
+// Converts errors and stable error names to HTTP statuses and JSON.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,10 +15,10 @@
 
 namespace tulipweir::control {
 
-/// The HTTP status for an error's stable name; 500 for an unknown one.
+/// Returns the HTTP status for a stable error name; 500 for an unknown one.
 std::uint32_t getErrorStatus(std::string_view ErrorName);
 
-/// {"error", "message"} with the status that belongs to the name.
+/// Returns {"error", "message"} with the status that belongs to the name.
 wire::OperatorAnswer makeErrorAnswer(std::string_view ErrorName,
                                      const std::string &Message);
 wire::OperatorAnswer makeErrorAnswer(const Error &Value);
--- a/src/control/OperatorRouter.cpp
+++ b/src/control/OperatorRouter.cpp
@@ -24,7 +24,7 @@
         Error::make(ErrorCode::NotFound, "there is no path " + Call.Path_)));
   wire::OperatorAnswer Answer = makeErrorAnswer(
       Error::make(ErrorCode::InvalidArgument,
-                  Call.Method_ + " is not possible on " + Call.Path_));
+                  Call.Method_ + " is not supported on " + Call.Path_));
   Answer.Status_ = MethodNotAllowed;
   Done(std::move(Answer));
 }
--- a/src/control/OperatorRouter.h
+++ b/src/control/OperatorRouter.h
@@ -1,6 +1,6 @@
-//===- OperatorRouter.h - Every path of the operators' API -----*- C++ -*-===//
+//===- OperatorRouter.h - Dispatcher of the operator API -------*- C++ -*-===//
 //
-// Hands an operator's call to the part of the API that knows its path.
+// Passes an operator's call to the route set that knows its path.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,11 +13,12 @@
 
 namespace tulipweir::control {
 
-/// Thread-safe as far as its parts are. The parts must outlive it.
+/// Thread-safe if its route sets are. They must outlive the router.
 class OperatorRouter {
 public:
   explicit OperatorRouter(std::vector<RouteSet *> Parts);
-  /// Answers 404 for an unknown path and 405 for a wrong method.
+  /// Replies 404 for an unknown path and 405 for a method that the path does
+  /// not support.
   void handle(const wire::OperatorCall &Call, OperatorDone Done) const;
 
 private:
--- a/src/control/PeerCaller.h
+++ b/src/control/PeerCaller.h
@@ -1,7 +1,8 @@
 //===- PeerCaller.h - Calls to other control processes ---------*- C++ -*-===//
 //
-// Other controls by name, whichever groups they share with us. One link per
-// control carries both groups' replication and the calls.
+// Addresses control processes by name, whichever groups they share with this
+// one. One link per process carries the replication of both groups and the
+// calls.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,20 +19,20 @@
 
 namespace tulipweir::control {
 
-/// Thread-safe and never blocking.
+/// Thread-safe; never blocks.
 class PeerCaller {
 public:
   using Reply = std::function<void(Outcome<std::string>)>;
 
   virtual ~PeerCaller() = default;
-  /// Like net::LinkClient::call; Unavailable for a name nobody knows.
+  /// Works like net::LinkClient::call; replies Unavailable for an unknown name.
   virtual void call(const std::string &To, wire::MessageKind Kind,
                     std::string Body, Duration Timeout, Reply Done) = 0;
-  /// One-way and lossy.
+  /// Sends a one-way message, which may be lost.
   virtual void post(const std::string &To, wire::MessageKind Kind,
                     std::string Body) = 0;
 
-  /// Typed form of call.
+  /// Typed variant of call().
   template <class Request>
   void request(const std::string &To, const Request &Value, Duration Timeout,
                std::function<void(Outcome<typename Request::Reply>)> Done) {
--- a/src/control/PeerLinks.cpp
+++ b/src/control/PeerLinks.cpp
@@ -5,16 +5,16 @@
 using namespace tulipweir;
 using namespace tulipweir::control;
 
-static void appendPeers(std::vector<net::NamedEndpoint> &To,
+static void appendPeers(std::vector<net::NamedEndpoint> &Result,
                         const std::vector<net::NamedEndpoint> &Members,
                         const std::string &Self) {
   for (const net::NamedEndpoint &Member : Members) {
-    const bool Known =
-        std::any_of(To.begin(), To.end(), [&Member](const auto &Other) {
+    const bool Listed =
+        std::any_of(Result.begin(), Result.end(), [&Member](const auto &Other) {
           return Other.Name_ == Member.Name_;
         });
-    if (Member.Name_ != Self && !Known)
-      To.push_back(Member);
+    if (Member.Name_ != Self && !Listed)
+      Result.push_back(Member);
   }
 }
 
@@ -44,18 +44,18 @@
     Link->stop();
 }
 
-void PeerLinks::addMetrics(net::Metrics &To) const {
+void PeerLinks::addMetrics(net::Metrics &Registry) const {
   for (const auto &[Name, Owned] : Links_) {
     const net::LinkClient *Link = Owned.get();
     const std::string Labels = "peer=\"" + Name + "\"";
-    To.addGauge(
+    Registry.addGauge(
         "tulipweir_peer_connected", "Whether the link to a control stands",
         [Link] { return Link->isConnected() ? 1.0 : 0.0; }, Labels);
-    To.addGauge(
+    Registry.addGauge(
         "tulipweir_peer_sent_bytes", "Bytes sent to a control",
         [Link] { return static_cast<double>(Link->getCounters().BytesSent_); },
         Labels);
-    To.addGauge(
+    Registry.addGauge(
         "tulipweir_peer_received_bytes", "Bytes received from a control",
         [Link] {
           return static_cast<double>(Link->getCounters().BytesReceived_);
@@ -66,16 +66,16 @@
 
 void PeerLinks::call(const std::string &To, wire::MessageKind Kind,
                      std::string Body, Duration Timeout, Reply Done) {
-  const auto Found = Links_.find(To);
-  if (Found == Links_.end())
+  const auto It = Links_.find(To);
+  if (It == Links_.end())
     return Done(fail(ErrorCode::Unavailable,
-                     "no control is named " + To + " in this one's settings"));
-  Found->second->call(Kind, std::move(Body), Timeout, std::move(Done));
+                     "no control process named " + To + " in the settings"));
+  It->second->call(Kind, std::move(Body), Timeout, std::move(Done));
 }
 
 void PeerLinks::post(const std::string &To, wire::MessageKind Kind,
                      std::string Body) {
-  const auto Found = Links_.find(To);
-  if (Found != Links_.end())
-    Found->second->post(Kind, std::move(Body));
+  const auto It = Links_.find(To);
+  if (It != Links_.end())
+    It->second->post(Kind, std::move(Body));
 }
--- a/src/control/PeerLinks.h
+++ b/src/control/PeerLinks.h
@@ -1,6 +1,6 @@
-//===- PeerLinks.h - One link to each other control ------------*- C++ -*-===//
+//===- PeerLinks.h - Links to the other control processes ------*- C++ -*-===//
 //
-// The links behind PeerCaller. The set of peers is fixed by the settings.
+// Implements PeerCaller. The set of peers is fixed by the settings.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
 
 namespace tulipweir::control {
 
-/// Every control named in the settings except ourselves.
+/// Returns every control process in the settings except this one.
 std::vector<net::NamedEndpoint> listPeers(const ControlSettings &Settings);
 
 class PeerLinks final : public PeerCaller {
@@ -29,7 +29,7 @@
 
   void start();
   void stop();
-  void addMetrics(net::Metrics &To) const;
+  void addMetrics(net::Metrics &Registry) const;
 
   void call(const std::string &To, wire::MessageKind Kind, std::string Body,
             Duration Timeout, Reply Done) override;
@@ -37,7 +37,7 @@
             std::string Body) override;
 
 private:
-  /// Never changed after construction, so it needs no lock.
+  /// Immutable after construction, so it needs no lock.
   std::map<std::string, std::unique_ptr<net::LinkClient>> Links_;
 };
 
--- a/src/control/ReplicationTransport.h
+++ b/src/control/ReplicationTransport.h
@@ -1,6 +1,7 @@
-//===- ReplicationTransport.h - A group's traffic over links ---*- C++ -*-===//
+//===- ReplicationTransport.h - A group's transport ------------*- C++ -*-===//
 //
-// Tags one group's messages and posts them over the links to other controls.
+// Tags the messages of a group and posts them over the links to other control
+// processes.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,8 +22,8 @@
   ReplicationTransport(PeerCaller &Peers, std::string Group);
   void send(const std::string &ToName, std::string Message) override;
 
-  std::uint64_t getMessages() const { return Messages_; }
-  std::uint64_t getBytes() const { return Bytes_; }
+  std::uint64_t getMessageCount() const { return Messages_; }
+  std::uint64_t getByteCount() const { return Bytes_; }
 
 private:
   PeerCaller &Peers_;
--- a/src/control/RollOutTracker.cpp
+++ b/src/control/RollOutTracker.cpp
@@ -5,8 +5,8 @@
 using namespace tulipweir;
 using namespace tulipweir::control;
 
-void RollOutTracker::noteAccepted(BundleVersion Version,
-                                  std::uint64_t AcceptedWallMs) {
+void RollOutTracker::recordAccepted(BundleVersion Version,
+                                    std::uint64_t AcceptedWallMs) {
   const std::lock_guard Lock(Mutex_);
   if (Version <= Accepted_)
     return;
@@ -14,14 +14,15 @@
   AcceptedWallMs_ = AcceptedWallMs;
 }
 
-void RollOutTracker::noteEntry(const EntryId &Entry, std::uint64_t Incarnation,
-                               BundleVersion Held) {
+void RollOutTracker::recordEntry(const EntryId &Entry,
+                                 std::uint64_t Incarnation,
+                                 BundleVersion Held) {
   const std::lock_guard Lock(Mutex_);
   Entries_[Entry] = Report{Incarnation, Held, Time_.now()};
   checkComplete();
 }
 
-void RollOutTracker::forgetEntry(const EntryId &Entry) {
+void RollOutTracker::removeEntry(const EntryId &Entry) {
   const std::lock_guard Lock(Mutex_);
   if (Entries_.erase(Entry) > 0)
     checkComplete();
--- a/src/control/RollOutTracker.h
+++ b/src/control/RollOutTracker.h
@@ -1,7 +1,7 @@
-//===- RollOutTracker.h - Which bundle each entry acts by ------*- C++ -*-===//
+//===- RollOutTracker.h - Bundle versions of entries -----------*- C++ -*-===//
 //
-// Versions that the entries of a data centre reported to its leader, and how
-// long the last bundle took until all of them held it.
+// Keeps the bundle versions that entries reported to the data centre's leader,
+// and the time until all of them held the last bundle.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,14 +22,15 @@
   EntryId Entry_;
   std::uint64_t Incarnation_ = 0;
   BundleVersion Held_;
-  std::uint64_t AgeMs_ = 0; ///< Since its last report.
+  std::uint64_t AgeMs_ = 0; ///< Time since its last report.
   bool operator==(const EntryVersion &) const = default;
 };
 
-/// The latest bundle that all entries of a data centre came to hold.
+/// The latest bundle that all entries of a data centre hold.
 struct RollOut {
   BundleVersion Version_;
-  std::uint64_t TookMs_ = 0; ///< From its acceptance, by wall clocks.
+  std::uint64_t DurationMs_ =
+      0; ///< From acceptance until all held it, by wall clocks.
   bool operator==(const RollOut &) const = default;
 };
 
@@ -40,11 +41,11 @@
 
   // Commands.
 
-  void noteAccepted(BundleVersion Version, std::uint64_t AcceptedWallMs);
-  void noteEntry(const EntryId &Entry, std::uint64_t Incarnation,
-                 BundleVersion Held);
-  void forgetEntry(const EntryId &Entry);
-  /// Forgets all entries: they report to another leader now.
+  void recordAccepted(BundleVersion Version, std::uint64_t AcceptedWallMs);
+  void recordEntry(const EntryId &Entry, std::uint64_t Incarnation,
+                   BundleVersion Held);
+  void removeEntry(const EntryId &Entry);
+  /// Removes all entries, which now report to another leader.
   void clear();
 
   // Queries.
--- a/src/control/RouteTable.h
+++ b/src/control/RouteTable.h
@@ -1,7 +1,7 @@
-//===- RouteTable.h - Operators' paths and who answers them ----*- C++ -*-===//
+//===- RouteTable.h - Routing of the operator API --------------*- C++ -*-===//
 //
-// A table of method, path pattern and member function. In a pattern, "{}"
-// stands for one segment.
+// Maps a method and a path pattern to a member function. "{}" in a pattern
+// matches one segment.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,33 +19,34 @@
 
 namespace tulipweir::control {
 
-/// Called exactly once, from any thread.
+/// Called exactly once, on any thread.
 using OperatorDone = std::function<void(wire::OperatorAnswer)>;
 
 /// An operator's call whose path matched a pattern.
 struct RoutedCall {
   wire::OperatorCall Call_;
-  std::vector<std::string> Words_; ///< What stood for each "{}".
+  std::vector<std::string> PathParams_; ///< The segments that matched "{}".
 
-  /// The decoded value of a query parameter; empty if there is none.
-  std::string findQuery(std::string_view Name) const;
-  /// The parameter as a number within the limits; Default when it is absent
-  /// or no number.
-  std::uint64_t findNumber(std::string_view Name, std::uint64_t Default,
-                           std::uint64_t Most) const;
+  /// Returns the decoded value of a query parameter; empty if it is absent.
+  std::string getQueryParam(std::string_view Name) const;
+  /// Returns a query parameter as a number, limited to Max; Default if it is
+  /// absent or not a number.
+  std::uint64_t getNumberParam(std::string_view Name, std::uint64_t Default,
+                               std::uint64_t Max) const;
 };
 
-/// The segments that stand for "{}", or nullopt if Path does not match.
+/// Returns the segments that match "{}"; nullopt if Path does not match.
 std::optional<std::vector<std::string>> matchPath(std::string_view Pattern,
                                                   std::string_view Path);
 
 enum class RouteMatch { Handled, WrongMethod, UnknownPath };
 
-/// A part of the operators' API.
+/// A set of routes of the operator API.
 class RouteSet {
 public:
   virtual ~RouteSet() = default;
-  /// Handled: Done is or will be called. Otherwise Done is left untouched.
+  /// Returns Handled if Done was or will be called; otherwise Done is left
+  /// unchanged.
   virtual RouteMatch handle(const wire::OperatorCall &Call,
                             OperatorDone &Done) = 0;
 };
@@ -56,24 +57,24 @@
   void (Owner::*Handle_)(const RoutedCall &Call, OperatorDone Done);
 };
 
-/// Finds the entry for Call and lets Self answer it.
+/// Finds the entry for Call and calls its handler on Self.
 template <class Owner, std::size_t Count>
 RouteMatch routeCall(Owner &Self, const RouteEntry<Owner> (&Table)[Count],
                      const wire::OperatorCall &Call, OperatorDone &Done) {
-  RouteMatch Best = RouteMatch::UnknownPath;
+  RouteMatch Result = RouteMatch::UnknownPath;
   for (const RouteEntry<Owner> &Entry : Table) {
-    std::optional<std::vector<std::string>> Words =
+    std::optional<std::vector<std::string>> Params =
         matchPath(Entry.Pattern_, Call.Path_);
-    if (!Words)
+    if (!Params)
       continue;
     if (Entry.Method_ == Call.Method_) {
-      (Self.*Entry.Handle_)(RoutedCall{Call, std::move(*Words)},
+      (Self.*Entry.Handle_)(RoutedCall{Call, std::move(*Params)},
                             std::move(Done));
       return RouteMatch::Handled;
     }
-    Best = RouteMatch::WrongMethod;
+    Result = RouteMatch::WrongMethod;
   }
-  return Best;
+  return Result;
 }
 
 } // namespace tulipweir::control
--- a/src/control/ServerRoutes.cpp
+++ b/src/control/ServerRoutes.cpp
@@ -12,9 +12,9 @@
 using std::chrono::milliseconds;
 
 static constexpr std::uint64_t DefaultDecisions = 100;
-static constexpr std::uint64_t MostDecisions = 1000;
-static constexpr std::uint64_t MostWaitMs = 20'000;
-static constexpr std::size_t DecisionsInDump = 200;
+static constexpr std::uint64_t MaxDecisions = 1000;
+static constexpr std::uint64_t MaxWaitMs = 20'000;
+static constexpr std::size_t MaxDumpedDecisions = 200;
 
 const RouteEntry<ServerRoutes> ServerRoutes::Table[] = {
     {"GET", "/servers", &ServerRoutes::listServers},
@@ -22,19 +22,21 @@
     {"GET", "/decisions", &ServerRoutes::readDecisions},
     {"GET", "/dump", &ServerRoutes::dump}};
 
-ServerRoutes::ServerRoutes(const BundleKeeper &Keeper,
+ServerRoutes::ServerRoutes(const BundleStore &Bundles,
                            const datacentre::DataCentreMachine &Machine,
-                           DecisionStream &Stream, DataCentreDuties &Duties,
-                           const Clock &Time, std::function<Json()> MakeDump)
-    : Keeper_(Keeper), Machine_(Machine), Stream_(Stream), Duties_(Duties),
-      Time_(Time), MakeDump_(std::move(MakeDump)) {}
+                           DecisionStream &Stream,
+                           DataCentreService &LeaderService, const Clock &Time,
+                           std::function<Json()> MakeDump)
+    : Bundles_(Bundles), Machine_(Machine), Stream_(Stream),
+      DataCentreService_(LeaderService), Time_(Time),
+      MakeDump_(std::move(MakeDump)) {}
 
 RouteMatch ServerRoutes::handle(const wire::OperatorCall &Call,
                                 OperatorDone &Done) {
   return routeCall(*this, Table, Call, Done);
 }
 
-static wire::OperatorAnswer makeNoLeaderAnswer() {
+static wire::OperatorAnswer makeLeaderlessAnswer() {
   return makeErrorAnswer(
       Error::make(ErrorCode::Unavailable,
                   "the data centre has no leader here at the moment; try "
@@ -63,7 +65,7 @@
 }
 
 namespace {
-/// What the leader thinks of a server beyond the log.
+/// The leader's view of a server beyond the log.
 struct ServerFlags {
   bool Draining_ = false;
   bool Routable_ = false;
@@ -88,112 +90,115 @@
   Json Servers = Json::array();
   Machine_.withState([&](const DataCentreState &State) {
     for (const auto &[Id, Record] : State.servers()) {
-      Json One = makeServerJson(Record);
+      Json ServerJson = makeServerJson(Record);
       const ServerFlags Flags{Leader.servers().isDraining(Id),
                               Leader.servers().isRoutable(Record, Now),
                               Quarantined[Id]};
-      One["draining"] = Flags.Draining_;
-      One["routable"] = Flags.Routable_;
-      One["quarantined"] = Flags.Quarantined_;
-      One["state"] = describeServer(Flags);
+      ServerJson["draining"] = Flags.Draining_;
+      ServerJson["routable"] = Flags.Routable_;
+      ServerJson["quarantined"] = Flags.Quarantined_;
+      ServerJson["state"] = describeServer(Flags);
       const TimePoint HeardAt = Leader.servers().findHeardAt(Id);
       if (HeardAt != TimePoint::min())
-        One["heardMsAgo"] = duration_cast<milliseconds>(Now - HeardAt).count();
-      Servers.push_back(std::move(One));
+        ServerJson["heardMsAgo"] =
+            duration_cast<milliseconds>(Now - HeardAt).count();
+      Servers.push_back(std::move(ServerJson));
     }
   });
   return Servers;
 }
 
 void ServerRoutes::listServers(const RoutedCall &, OperatorDone Done) {
-  Duties_.visit([this, Done](DataCentreLeadership *Leader) {
+  DataCentreService_.visit([this, Done](DataCentreLeadership *Leader) {
     if (!Leader)
-      return Done(makeNoLeaderAnswer());
+      return Done(makeLeaderlessAnswer());
     Done({200, renderJson({{"servers", makeServersJson(*Leader)}})});
   });
 }
 
 namespace {
-/// One service over all its backend servers.
-struct ServiceSum {
+/// Totals of one service over its backend servers.
+struct ServiceTotals {
   std::uint32_t Servers_ = 0;
   std::uint32_t Slots_ = 0;
   std::uint64_t Requests_ = 0;
   std::uint32_t WorstP99Micros_ = 0;
-  std::uint32_t MostLoadPercent_ = 0;
+  std::uint32_t MaxLoadPercent_ = 0;
 };
 } // namespace
 
-static Json makeSumJson(const ServiceId &Service, const ServiceSum &Sum) {
+static Json makeTotalsJson(const ServiceId &Service,
+                           const ServiceTotals &Totals) {
   return {{"service", Service.value()},
-          {"servers", Sum.Servers_},
-          {"slots", Sum.Slots_},
-          {"requests", Sum.Requests_},
-          {"worstP99Micros", Sum.WorstP99Micros_},
-          {"mostLoadPercent", Sum.MostLoadPercent_}};
+          {"servers", Totals.Servers_},
+          {"slots", Totals.Slots_},
+          {"requests", Totals.Requests_},
+          {"worstP99Micros", Totals.WorstP99Micros_},
+          {"mostLoadPercent", Totals.MaxLoadPercent_}};
 }
 
-static void addConfigJson(Json &To, const fleet::ServiceConfig &Config) {
+static void addConfigJson(Json &Target, const fleet::ServiceConfig &Config) {
   const auto ToMs = [](Duration Length) {
     return duration_cast<milliseconds>(Length).count();
   };
-  To["targetP99Ms"] = ToMs(Config.TargetP99_);
-  To["defaultDeadlineMs"] = ToMs(Config.DefaultDeadline_);
-  To["maxDeadlineMs"] = ToMs(Config.MaxDeadline_);
-  To["queueLimit"] = Config.QueueLimit_;
-  To["hedgingAllowed"] = Config.HedgingAllowed_;
+  Target["targetP99Ms"] = ToMs(Config.TargetP99_);
+  Target["defaultDeadlineMs"] = ToMs(Config.DefaultDeadline_);
+  Target["maxDeadlineMs"] = ToMs(Config.MaxDeadline_);
+  Target["queueLimit"] = Config.QueueLimit_;
+  Target["hedgingAllowed"] = Config.HedgingAllowed_;
 }
 
 Json ServerRoutes::makeServicesJson(const DataCentreLeadership &Leader) const {
-  std::map<ServiceId, ServiceSum> Sums;
+  std::map<ServiceId, ServiceTotals> TotalsByService;
   Machine_.withState([&](const DataCentreState &State) {
     for (const auto &[Id, Record] : State.servers())
       for (const ServiceId &Service : Record.Info_.Services_) {
-        ++Sums[Service].Servers_;
-        Sums[Service].Slots_ += Record.Info_.Slots_;
+        ++TotalsByService[Service].Servers_;
+        TotalsByService[Service].Slots_ += Record.Info_.Slots_;
       }
   });
-  for (const ServiceView &View : Leader.listServices()) {
-    ServiceSum &Sum = Sums[View.Report_.Service_];
-    Sum.Requests_ += View.Report_.Requests_;
-    Sum.WorstP99Micros_ =
-        std::max(Sum.WorstP99Micros_, View.Report_.P99Micros_);
-    Sum.MostLoadPercent_ =
-        std::max(Sum.MostLoadPercent_, View.Report_.LoadPercent_);
+  for (const ServiceStatus &View : Leader.listServices()) {
+    ServiceTotals &Totals = TotalsByService[View.Report_.Service_];
+    Totals.Requests_ += View.Report_.Requests_;
+    Totals.WorstP99Micros_ =
+        std::max(Totals.WorstP99Micros_, View.Report_.P99Micros_);
+    Totals.MaxLoadPercent_ =
+        std::max(Totals.MaxLoadPercent_, View.Report_.LoadPercent_);
   }
-  const std::shared_ptr<const fleet::Bundle> InForce = Keeper_.getBundle();
+  const std::shared_ptr<const fleet::Bundle> InForce = Bundles_.getBundle();
   if (InForce)
     for (const fleet::ServiceConfig &Config : InForce->Services_)
-      Sums.try_emplace(Config.Service_);
+      TotalsByService.try_emplace(Config.Service_);
   Json Services = Json::array();
-  for (const auto &[Service, Sum] : Sums)
-    Services.push_back(makeSumJson(Service, Sum));
+  for (const auto &[Service, Totals] : TotalsByService)
+    Services.push_back(makeTotalsJson(Service, Totals));
   if (!InForce)
     return Services;
-  for (Json &One : Services)
+  for (Json &ServiceJson : Services)
     for (const fleet::ServiceConfig &Config : InForce->Services_)
-      if (One["service"] == Config.Service_.value())
-        addConfigJson(One, Config);
+      if (ServiceJson["service"] == Config.Service_.value())
+        addConfigJson(ServiceJson, Config);
   return Services;
 }
 
 void ServerRoutes::listServices(const RoutedCall &, OperatorDone Done) {
-  Duties_.visit([this, Done](DataCentreLeadership *Leader) {
+  DataCentreService_.visit([this, Done](DataCentreLeadership *Leader) {
     if (!Leader)
-      return Done(makeNoLeaderAnswer());
+      return Done(makeLeaderlessAnswer());
     Done({200, renderJson({{"services", makeServicesJson(*Leader)}})});
   });
 }
 
 void ServerRoutes::readDecisions(const RoutedCall &Call, OperatorDone Done) {
-  const std::uint64_t After = Call.findNumber("after", 0, UINT64_MAX);
+  const std::uint64_t After = Call.getNumberParam("after", 0, UINT64_MAX);
   const std::uint64_t Limit =
-      Call.findNumber("limit", DefaultDecisions, MostDecisions);
-  const milliseconds Wait(Call.findNumber("waitMs", 0, MostWaitMs));
+      Call.getNumberParam("limit", DefaultDecisions, MaxDecisions);
+  const milliseconds Wait(Call.getNumberParam("waitMs", 0, MaxWaitMs));
   Stream_.read(
       After, Limit, Wait,
-      [this, Done = std::move(Done)](const DecisionStream::Batch &Got) {
-        Done({200, renderJson(makeStreamJson(Got, Stream_.getLastSequence()))});
+      [this, Done = std::move(Done)](const DecisionStream::Batch &Decisions) {
+        Done({200, renderJson(
+                       makeStreamJson(Decisions, Stream_.getLastSequence()))});
       });
 }
 
@@ -213,7 +218,7 @@
 }
 
 void ServerRoutes::dump(const RoutedCall &, OperatorDone Done) {
-  Duties_.visit([this, Done](DataCentreLeadership *Leader) {
+  DataCentreService_.visit([this, Done](DataCentreLeadership *Leader) {
     Json Body = MakeDump_();
     const std::uint64_t Last = Stream_.getLastSequence();
     if (Leader) {
@@ -225,10 +230,10 @@
       Body["openProposals"] = Leader->countOpenProposals();
       Body["leases"] = Leader->servers().attempts().leases().size();
     }
-    Stream_.read(Last - std::min<std::uint64_t>(Last, DecisionsInDump),
-                 DecisionsInDump, Duration::zero(),
-                 [Done, Last, &Body](const DecisionStream::Batch &Got) {
-                   Body["decisions"] = makeStreamJson(Got, Last);
+    Stream_.read(Last - std::min<std::uint64_t>(Last, MaxDumpedDecisions),
+                 MaxDumpedDecisions, Duration::zero(),
+                 [Done, Last, &Body](const DecisionStream::Batch &Decisions) {
+                   Body["decisions"] = makeStreamJson(Decisions, Last);
                    Done({200, renderJson(Body)});
                  });
   });
--- a/src/control/ServerRoutes.h
+++ b/src/control/ServerRoutes.h
@@ -1,13 +1,14 @@
-//===- ServerRoutes.h - Servers, services, decisions, dump -----*- C++ -*-===//
+//===- ServerRoutes.h - Servers and decisions ------------------*- C++ -*-===//
 //
-// The parts of the operators' API that show what the leader sees and decides.
+// The part of the operator API that shows the state and the decisions of the
+// leader.
 //
 //===----------------------------------------------------------------------===//
 
 #ifndef TULIPWEIR_SRC_CONTROL_SERVERROUTES_H
 #define TULIPWEIR_SRC_CONTROL_SERVERROUTES_H
 
-#include "control/DataCentreDuties.h"
+#include "control/DataCentreService.h"
 #include "control/JsonFields.h"
 #include "control/RouteTable.h"
 
@@ -16,10 +17,10 @@
 /// Thread-safe.
 class ServerRoutes final : public RouteSet {
 public:
-  /// MakeDump gives what the process itself adds to the dump.
-  ServerRoutes(const BundleKeeper &Keeper,
+  /// MakeDump returns the process's own part of the dump.
+  ServerRoutes(const BundleStore &Bundles,
                const datacentre::DataCentreMachine &Machine,
-               DecisionStream &Stream, DataCentreDuties &Duties,
+               DecisionStream &Stream, DataCentreService &LeaderService,
                const Clock &Time, std::function<Json()> MakeDump);
 
   RouteMatch handle(const wire::OperatorCall &Call,
@@ -37,10 +38,10 @@
 
   static const RouteEntry<ServerRoutes> Table[];
 
-  const BundleKeeper &Keeper_;
+  const BundleStore &Bundles_;
   const datacentre::DataCentreMachine &Machine_;
   DecisionStream &Stream_;
-  DataCentreDuties &Duties_;
+  DataCentreService &DataCentreService_;
   const Clock &Time_;
   const std::function<Json()> MakeDump_;
 };
--- a/tests/control/ControlWorld.h
+++ b/tests/control/ControlCluster.h
@@ -1,7 +1,7 @@
-//===- ControlWorld.h - Controls of a data centre, by hand -----*- C++ -*-===//
+//===- ControlCluster.h - A simulated data centre --------------*- C++ -*-===//
 
-#ifndef TULIPWEIR_TESTS_CONTROL_CONTROLWORLD_H
-#define TULIPWEIR_TESTS_CONTROL_CONTROLWORLD_H
+#ifndef TULIPWEIR_TESTS_CONTROL_CONTROLCLUSTER_H
+#define TULIPWEIR_TESTS_CONTROL_CONTROLCLUSTER_H
 
 #include "control/ControlCore.h"
 #include "control/Fakes.h"
@@ -35,10 +35,11 @@
   return Settings;
 }
 
-/// One control process without sockets.
+/// A control process without sockets.
 struct TestControl {
-  TestControl(const std::string &Name, ManualClock &Time, FakeLog &Own,
-              FakeLog &All, BundleFile *File = nullptr)
+  TestControl(const std::string &Name, ManualClock &Time,
+              FakeLog &DataCentreLog, FakeLog &FleetLog,
+              BundleFile *File = nullptr)
       : Strand_(Time),
         Machine_({}, [this](const auto &Value) { Feed_.publish(Value); }),
         Fleet_(
@@ -50,7 +51,8 @@
               if (Core_)
                 Core_->onFleetRestored();
             }),
-        Group_(Own, Name, Machine_), FleetGroup_(All, Name, Fleet_),
+        Group_(DataCentreLog, Name, Machine_),
+        FleetGroup_(FleetLog, Name, Fleet_),
         Core_(std::make_unique<ControlCore>(
             makeSettings(Name),
             CoreParts{Time, Strand_, Strand_, Peers_, Feed_, Machine_, Fleet_,
@@ -58,24 +60,25 @@
     Core_->start();
   }
 
-  /// Sends a message and returns the answer; nullopt while there is none.
+  /// Sends a message and returns its reply; nullopt if there is none yet.
   template <class Request>
   std::optional<Outcome<typename Request::Reply>> send(const Request &Value) {
-    auto Got = std::make_shared<std::optional<Outcome<std::string>>>();
-    Core_->handle(Request::Kind, wire::encode(Value),
-                  [Got](Outcome<std::string> Body) { *Got = std::move(Body); });
+    auto Received = std::make_shared<std::optional<Outcome<std::string>>>();
+    Core_->handle(
+        Request::Kind, wire::encode(Value),
+        [Received](Outcome<std::string> Body) { *Received = std::move(Body); });
     Strand_.run();
-    if (!*Got)
+    if (!*Received)
       return std::nullopt;
-    if (!**Got)
-      return Outcome<typename Request::Reply>((*Got)->as_failure());
-    return wire::decode<typename Request::Reply>((*Got)->value());
+    if (!**Received)
+      return Outcome<typename Request::Reply>((*Received)->as_failure());
+    return wire::decode<typename Request::Reply>((*Received)->value());
   }
   wire::OperatorAnswer call(const std::string &Method, const std::string &Path,
                             const std::string &Body = "",
                             const std::string &Query = "") {
-    const auto Got = send(wire::OperatorCall{Method, Path, Query, Body});
-    return Got && *Got ? Got->value() : wire::OperatorAnswer{};
+    const auto Received = send(wire::OperatorCall{Method, Path, Query, Body});
+    return Received && *Received ? Received->value() : wire::OperatorAnswer{};
   }
 
   ManualExecutor Strand_;
@@ -89,33 +92,34 @@
   std::unique_ptr<ControlCore> Core_;
 };
 
-/// Two controls of one data centre over the same two logs; the first leads
-/// both. The second reaches the first as a peer.
-class ControlWorld {
+/// Two control processes of one data centre over the same two logs. The first
+/// one leads both; the second one reaches the first as a peer.
+class ControlCluster {
 public:
-  ControlWorld() {
-    Own_.lead(&A_.Group_);
-    All_.lead(&A_.FleetGroup_);
+  ControlCluster() {
+    DataCentreLog_.lead(&A_.Group_);
+    FleetLog_.lead(&A_.FleetGroup_);
     B_.Peers_.Answers_["c1"] = [this](wire::MessageKind Kind,
                                       const std::string &Body) {
-      Outcome<std::string> Got = fail(ErrorCode::Timeout, "");
-      A_.Core_->handle(Kind, Body,
-                       [&Got](Outcome<std::string> Reply) { Got = Reply; });
+      Outcome<std::string> Received = fail(ErrorCode::Timeout, "");
+      A_.Core_->handle(Kind, Body, [&Received](Outcome<std::string> Reply) {
+        Received = Reply;
+      });
       A_.Strand_.run();
-      return Got;
+      return Received;
     };
-    settle();
+    advanceUntilStable();
   }
 
-  /// Lets time pass in steps, with both controls running.
-  void pass(Duration Time) {
+  /// Advances the time in steps and runs both control processes.
+  void advanceTime(Duration Time) {
     for (Duration Done{}; Done < Time; Done += milliseconds(50)) {
       Time_.advance(milliseconds(50));
       A_.Strand_.run();
       B_.Strand_.run();
     }
   }
-  void settle() { pass(seconds(3)); }
+  void advanceUntilStable() { advanceTime(seconds(3)); }
 
   wire::Announcement makeAnnouncement() {
     wire::Announcement Value;
@@ -129,46 +133,49 @@
     Value.Slots_ = 8;
     Value.Connections_ = 16;
     Value.Sequence_ = ++Sequence_;
-    Value.Attempts_ = Held_;
+    Value.Attempts_ = HeldAttempts_;
     return Value;
   }
-  /// One announcement to To, obeyed as a backend server would.
+  /// Sends an announcement of s1 to To and executes the commands of its reply.
   wire::AnnouncementReply announce(TestControl &To) {
-    const auto Got = To.send(makeAnnouncement());
-    if (!Got || !*Got)
+    const auto Received = To.send(makeAnnouncement());
+    if (!Received || !*Received)
       return {};
-    for (const wire::TaskCommand &Command : Got->value().Commands_)
-      if (Obeys_)
-        obey(Command);
-    return Got->value();
+    for (const wire::TaskCommand &Command : Received->value().Commands_)
+      if (ExecutesCommands_)
+        execute(Command);
+    return Received->value();
   }
-  /// Time passes while s1 announces itself to To.
-  void beat(TestControl &To, Duration Time) {
+  /// Advances the time while s1 sends announcements to To.
+  void advanceWithHeartbeats(TestControl &To, Duration Time) {
     for (Duration Done{}; Done < Time; Done += milliseconds(500)) {
-      pass(milliseconds(500));
+      advanceTime(milliseconds(500));
       announce(To);
     }
   }
-  void obey(const wire::TaskCommand &Command) {
-    const auto Found =
-        std::find_if(Held_.begin(), Held_.end(), [&Command](const auto &One) {
-          return One.Task_ == Command.Task_ && One.Attempt_ == Command.Attempt_;
-        });
-    if (Command.Kind_ == wire::TaskCommandKind::Start && Found == Held_.end()) {
+  void execute(const wire::TaskCommand &Command) {
+    const auto It = std::find_if(HeldAttempts_.begin(), HeldAttempts_.end(),
+                                 [&Command](const auto &Held) {
+                                   return Held.Task_ == Command.Task_ &&
+                                          Held.Attempt_ == Command.Attempt_;
+                                 });
+    if (Command.Kind_ == wire::TaskCommandKind::Start &&
+        It == HeldAttempts_.end()) {
       wire::AttemptReport Report;
       Report.Task_ = Command.Task_;
       Report.Attempt_ = Command.Attempt_;
       Report.Token_ = Command.Token_;
-      Held_.push_back(Report);
+      HeldAttempts_.push_back(Report);
       ++Starts_[Command.Task_];
-      Resumed_ = Command.Checkpoint_;
+      ResumeCheckpoint_ = Command.Checkpoint_;
     }
-    if (Command.Kind_ == wire::TaskCommandKind::Stop && Found != Held_.end())
-      Held_.erase(Found);
+    if (Command.Kind_ == wire::TaskCommandKind::Stop &&
+        It != HeldAttempts_.end())
+      HeldAttempts_.erase(It);
     if (Command.Kind_ == wire::TaskCommandKind::Checkpoint &&
-        Found != Held_.end()) {
-      Found->State_ = wire::AttemptState::Checkpointed;
-      Found->Checkpoint_ = "half";
+        It != HeldAttempts_.end()) {
+      It->State_ = wire::AttemptState::Checkpointed;
+      It->Checkpoint_ = "half";
     }
   }
   void submit(TestControl &To, const std::string &Job, unsigned Tasks = 1) {
@@ -181,25 +188,27 @@
   }
   const datacentre::TaskRecord *findTask(TestControl &At,
                                          const std::string &Job) {
-    const datacentre::TaskRecord *Found = nullptr;
+    const datacentre::TaskRecord *Task = nullptr;
     At.Machine_.withState([&](const auto &State) {
-      Found = State.findTask({JobId(Job), 0});
+      Task = State.findTask({JobId(Job), 0});
     });
-    return Found;
+    return Task;
   }
 
   ManualClock Time_;
-  FakeLog Own_;
-  FakeLog All_;
-  TestControl A_{"c1", Time_, Own_, All_};
-  TestControl B_{"c2", Time_, Own_, All_};
-  std::vector<wire::AttemptReport> Held_; ///< What s1 runs.
+  FakeLog DataCentreLog_;
+  FakeLog FleetLog_;
+  TestControl A_{"c1", Time_, DataCentreLog_, FleetLog_};
+  TestControl B_{"c2", Time_, DataCentreLog_, FleetLog_};
+  std::vector<wire::AttemptReport>
+      HeldAttempts_; ///< The attempts that s1 runs.
   std::map<TaskId, int> Starts_;
-  bool Obeys_ = true;   ///< s1 does what it is commanded.
-  std::string Resumed_; ///< Where the latest start was to resume.
+  bool ExecutesCommands_ = true; ///< Whether s1 executes commands.
+  std::string
+      ResumeCheckpoint_; ///< The checkpoint of the latest start command.
   std::uint64_t Sequence_ = 0;
 };
 
 } // namespace tulipweir::control::test
 
-#endif // TULIPWEIR_TESTS_CONTROL_CONTROLWORLD_H
+#endif // TULIPWEIR_TESTS_CONTROL_CONTROLCLUSTER_H
--- a/tests/control/ControlProcessTest.cpp
+++ b/tests/control/ControlProcessTest.cpp
@@ -1,4 +1,4 @@
-//===- ControlProcessTest.cpp - Whole control processes on loopback -------===//
+//===- ControlProcessTest.cpp - Complete control processes on loopback ---===//
 
 #include "tulipweir/control/ControlProcess.h"
 #include "control/BundleFile.h"
@@ -52,18 +52,19 @@
     return Code;
   }
   using Answer = Outcome<wire::OperatorAnswer>;
-  std::future<Answer> ask(const std::string &Path, const std::string &Query) {
-    auto Got = std::make_shared<std::promise<Answer>>();
+  std::future<Answer> callOperator(const std::string &Path,
+                                   const std::string &Query) {
+    auto Received = std::make_shared<std::promise<Answer>>();
     Client_->request(wire::OperatorCall{"GET", Path, Query, ""},
                      std::chrono::seconds(30),
-                     [Got](Answer Reply) { Got->set_value(Reply); });
-    return Got->get_future();
+                     [Received](Answer Reply) { Received->set_value(Reply); });
+    return Received->get_future();
   }
-  /// Asks until the control leads and answers with 200.
+  /// Polls until the process leads and answers with status 200.
   bool waitForLeader() {
     for (int Try = 0; Try < 1000; ++Try) {
-      const Answer Got = ask("/servers", "").get();
-      if (Got && Got.value().Status_ == 200)
+      const Answer Received = callOperator("/servers", "").get();
+      if (Received && Received.value().Status_ == 200)
         return true;
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
@@ -85,11 +86,11 @@
   EXPECT_NE(Process_->makeStateDump().find("\"leadsDataCentre\":true"),
             std::string::npos);
   EXPECT_EQ(Process_->stop(), ExitCode::Success);
-  EXPECT_EQ(start(), ExitCode::Success) << "and starts over its own folder";
+  EXPECT_EQ(start(), ExitCode::Success) << "restart with the same folder";
   EXPECT_TRUE(waitForLeader());
 }
 
-TEST_F(ControlProcessTest, AStartReadsTheBundleKeptInTheDataFolder) {
+TEST_F(ControlProcessTest, StartLoadsTheBundleFromTheDataFolder) {
   replication::PosixFileSystem Files;
   ASSERT_TRUE(Files.makeFolder(Folder_));
   const std::string Text = fleet::test::makeBundleText(5, 0, "", 1, 1);
@@ -97,26 +98,27 @@
                   .save({BundleVersion(5), fleet::computeDigest(Text), Text}));
   ASSERT_EQ(start(), ExitCode::Success);
   ASSERT_TRUE(waitForLeader());
-  const Answer Got = ask("/bundles/current", "").get();
-  ASSERT_TRUE(Got) << Got.error().Message_;
-  EXPECT_NE(Got.value().Body_.find("\"version\":5"), std::string::npos);
+  const Answer Received = callOperator("/bundles/current", "").get();
+  ASSERT_TRUE(Received) << Received.error().Message_;
+  EXPECT_NE(Received.value().Body_.find("\"version\":5"), std::string::npos);
   EXPECT_EQ(Process_->stop(), ExitCode::Success);
 }
 
-TEST_F(ControlProcessTest, APlannedStopAnswersTheCallsInProgress) {
+TEST_F(ControlProcessTest, PlannedStopAnswersCallsInProgress) {
   ASSERT_EQ(start(), ExitCode::Success);
   ASSERT_TRUE(waitForLeader());
-  auto Waiting = ask("/decisions", "waitMs=20000&after=99999999999999");
+  auto Waiting =
+      callOperator("/decisions", "waitMs=20000&after=99999999999999");
   while (Process_->makeStateDump().find("\"callsInProgress\":1") ==
          std::string::npos)
     std::this_thread::yield();
   EXPECT_EQ(Process_->stop(), ExitCode::Success);
-  const Answer Got = Waiting.get();
-  ASSERT_TRUE(Got) << Got.error().Message_;
-  EXPECT_EQ(Got.value().Status_, 200U);
+  const Answer Received = Waiting.get();
+  ASSERT_TRUE(Received) << Received.error().Message_;
+  EXPECT_EQ(Received.value().Status_, 200U);
 }
 
-TEST_F(ControlProcessTest, AnAddressInUseAndAForeignFolderAreRefused) {
+TEST_F(ControlProcessTest, RefusesAnAddressInUseAndAnotherMembersFolder) {
   ASSERT_EQ(start(), ExitCode::Success);
   Settings_.ListenLinks_ = Process_->getLinkEndpoint();
   Settings_.DataFolder_ = Folder_ + "/other";
@@ -126,6 +128,6 @@
   Settings_.DataFolder_ = Folder_;
   Settings_.Name_ = "c2";
   Settings_.ListenLinks_.Port_ = 0;
-  ControlProcess Stranger(Settings_, Time_);
-  EXPECT_EQ(Stranger.start().Code_, ExitCode::StorageFailed);
+  ControlProcess OtherMember(Settings_, Time_);
+  EXPECT_EQ(OtherMember.start().Code_, ExitCode::StorageFailed);
 }
--- a/tests/control/Fakes.h
+++ b/tests/control/Fakes.h
@@ -1,4 +1,4 @@
-//===- Fakes.h - Logs, links and strands driven by hand --------*- C++ -*-===//
+//===- Fakes.h - Manually driven logs, links and executors -----*- C++ -*-===//
 
 #ifndef TULIPWEIR_TESTS_CONTROL_FAKES_H
 #define TULIPWEIR_TESTS_CONTROL_FAKES_H
@@ -14,7 +14,7 @@
 
 namespace tulipweir::control::test {
 
-/// Runs what is posted when told to, in order.
+/// Runs posted tasks in order when run() is called.
 class ManualExecutor final : public Executor {
 public:
   explicit ManualExecutor(ManualClock &Time) : Time_(Time) {}
@@ -42,26 +42,26 @@
 
 class FakeReplica;
 
-/// One group's log: what is committed is applied at all members at once.
+/// The log of one group; a committed command is applied at all members at once.
 struct FakeLog {
-  struct Open {
+  struct PendingProposal {
     std::string Command_;
     FakeReplica *Proposer_ = nullptr;
     replication::Replica::AppliedCallback Done_;
   };
 
   void lead(FakeReplica *Leader);
-  /// Commits everything proposed so far.
+  /// Commits all pending proposals.
   void commit();
-  /// The leader was cut off: its proposals are in limbo, their fate unknown.
-  void cutLeader();
+  /// Simulates a partitioned leader: the outcome of its proposals is unknown.
+  void disconnectLeader();
 
   std::vector<std::pair<FakeReplica *, replication::StateMachine *>> Members_;
   FakeReplica *Leader_ = nullptr;
   std::uint64_t Term_ = 0;
   std::uint64_t Index_ = 0;
-  bool Held_ = false; ///< Proposals wait for commit().
-  std::deque<Open> Open_;
+  bool HoldCommits_ = false; ///< Proposals wait for commit().
+  std::deque<PendingProposal> Pending_;
 };
 
 class FakeReplica final : public replication::Replica {
@@ -76,9 +76,9 @@
   void propose(std::string Command, AppliedCallback Done) override {
     ++Proposals_;
     if (Log_.Leader_ != this)
-      return Done(fail(ErrorCode::NotLeader, leaderName()));
-    Log_.Open_.push_back({std::move(Command), this, std::move(Done)});
-    if (!Log_.Held_)
+      return Done(fail(ErrorCode::NotLeader, getLeaderName()));
+    Log_.Pending_.push_back({std::move(Command), this, std::move(Done)});
+    if (!Log_.HoldCommits_)
       Log_.commit();
   }
   void receive(std::string Message) override {
@@ -86,7 +86,7 @@
   }
   void confirmLeadership(std::function<void(Outcome<void>)> Done) override {
     if (Log_.Leader_ != this)
-      return Done(fail(ErrorCode::NotLeader, leaderName()));
+      return Done(fail(ErrorCode::NotLeader, getLeaderName()));
     Done(succeed());
   }
   std::optional<std::uint64_t> findLeaseTerm(TimePoint) const override {
@@ -98,7 +98,7 @@
     replication::ReplicaStatus Status;
     Status.Self_ = {Name_, 1};
     Status.IsLeader_ = Log_.Leader_ == this || BelievesToLead_;
-    Status.LeaderName_ = BelievesToLead_ ? Name_ : leaderName();
+    Status.LeaderName_ = BelievesToLead_ ? Name_ : getLeaderName();
     Status.Term_ = BelievesToLead_ ? BelievedTerm_ : Log_.Term_;
     Status.Members_ = Members_;
     Status.Waiting_ = Waiting_;
@@ -132,14 +132,15 @@
   }
   void stop() override {}
 
-  std::string leaderName() const {
+  std::string getLeaderName() const {
     return Log_.Leader_ ? Log_.Leader_->Name_ : "";
   }
 
   FakeLog &Log_;
   const std::string Name_;
   bool LeaseHeld_ = true;
-  bool BelievesToLead_ = false; ///< Frozen: has not seen the next term.
+  bool BelievesToLead_ =
+      false; ///< Simulates a paused leader that has not seen the next term.
   std::uint64_t BelievedTerm_ = 0;
   std::vector<replication::Member> Members_;
   std::vector<replication::MemberId> Waiting_;
@@ -155,29 +156,29 @@
 }
 
 inline void FakeLog::commit() {
-  while (!Open_.empty()) {
-    const Open Next = std::move(Open_.front());
-    Open_.pop_front();
+  while (!Pending_.empty()) {
+    const PendingProposal Next = std::move(Pending_.front());
+    Pending_.pop_front();
     ++Index_;
     std::string Result;
     for (const auto &[Member, Machine] : Members_) {
-      std::string One = Machine->apply({Term_, Index_, Next.Command_});
+      std::string Output = Machine->apply({Term_, Index_, Next.Command_});
       if (Member == Next.Proposer_)
-        Result = std::move(One);
+        Result = std::move(Output);
     }
     if (Next.Done_)
       Next.Done_(replication::Applied{Term_, Index_, std::move(Result)});
   }
 }
 
-inline void FakeLog::cutLeader() {
+inline void FakeLog::disconnectLeader() {
   Leader_ = nullptr;
-  for (Open &One : Open_)
-    if (const auto Done = std::exchange(One.Done_, nullptr))
+  for (PendingProposal &Output : Pending_)
+    if (const auto Done = std::exchange(Output.Done_, nullptr))
       Done(fail(ErrorCode::Unavailable, "leadership was lost"));
 }
 
-/// Hands calls to functions by name; unreachable without one.
+/// Passes calls to functions by name; a peer without one is unreachable.
 class FakePeers final : public PeerCaller {
 public:
   using Answer = std::function<Outcome<std::string>(wire::MessageKind Kind,
@@ -186,10 +187,10 @@
   void call(const std::string &To, wire::MessageKind Kind, std::string Body,
             Duration, Reply Done) override {
     Calls_.push_back(To);
-    const auto Found = Answers_.find(To);
-    if (Found == Answers_.end())
+    const auto It = Answers_.find(To);
+    if (It == Answers_.end())
       return Done(fail(ErrorCode::Unavailable, "unreachable"));
-    Done(Found->second(Kind, Body));
+    Done(It->second(Kind, Body));
   }
   void post(const std::string &To, wire::MessageKind,
             std::string Body) override {
--- a/tests/control/HeartbeatDifferentialTest.cpp
+++ b/tests/control/HeartbeatDifferentialTest.cpp
@@ -1,13 +1,13 @@
-//===- HeartbeatDifferentialTest.cpp - Digests against whole ones ---------===//
+//===- HeartbeatDifferentialTest.cpp - Digests vs. full announcements ----===//
 //
-// The same seeded schedule is run twice: once with digests, once with a leader
-// that knows no batches, so that every announcement goes whole and alone.
-// Servers must be answered the same, and
-// the leader must propose and account the same, step by step.
+// Runs the same seeded schedule twice: once with digests, and once with a
+// leader that does not support batches, so that every announcement is sent in
+// full and separately. At every step, servers must get the same replies, and
+// the leader must propose the same commands and hold the same leases.
 //
 //===----------------------------------------------------------------------===//
 
-#include "control/AnnouncementDigests.h"
+#include "control/AnnouncementCache.h"
 #include "entry/support/Fakes.h"
 #include "tulipweir/datacentre/DataCentreCodec.h"
 #include "tulipweir/datacentre/ServerLedger.h"
@@ -28,21 +28,21 @@
 
 namespace {
 
-enum class Fault { None, LostBefore, Twice, LostAfter, Delayed };
+enum class Fault { None, RequestLost, Duplicated, ReplyLost, Delayed };
 
 struct Schedule {
   unsigned Seed_ = 0;
-  int Faults_ = 1; ///< So many of the above are drawn.
+  int Faults_ = 1; ///< Number of Fault values to draw from.
   bool LeaderChanges_ = false;
   bool Reboots_ = false;
 };
 
-class World;
+class Simulation;
 
-/// The way from one entry to the leader.
-class Relay final : public entry::ControlClient {
+/// The connection from one entry to the leader.
+class FaultyClient final : public entry::ControlClient {
 public:
-  explicit Relay(World &Of) : Of_(Of) {}
+  explicit FaultyClient(Simulation &Owner) : Simulation_(Owner) {}
   void announceBatch(const wire::AnnouncementBatch &Batch, Duration,
                      entry::ControlDone<wire::AnnouncementBatch> Done) override;
   void report(const wire::EntryReport &, Duration,
@@ -60,26 +60,26 @@
   void callOperator(const wire::OperatorCall &, Duration,
                     entry::ControlDone<wire::OperatorCall>) override {}
 
-  Fault Fault_ = Fault::None; ///< Of this step.
+  Fault Fault_ = Fault::None; ///< The fault of the current step.
 
 private:
   template <class Message, class Done>
   void pass(const Message &Value, Done Reply);
 
-  World &Of_;
+  Simulation &Simulation_;
 };
 
-class World {
+class Simulation {
 public:
-  World(const Schedule &Plan, bool Digests)
+  Simulation(const Schedule &Plan, bool Digests)
       : KnowsBatches_(Digests), Plan_(Plan), Random_(Plan.Seed_) {
     entry::BatcherSettings Settings;
     Settings.Period_ = Settings.UrgentPeriod_ = Duration::zero();
     for (const char *Name : {"e1", "e2"}) {
-      Relays_.push_back(std::make_unique<Relay>(*this));
+      Clients_.push_back(std::make_unique<FaultyClient>(*this));
       Entries_.push_back(std::make_unique<entry::AnnouncementBatcher>(
           entry::BatcherParts{{EntryId(Name), DataCentreId("d"), "", 1},
-                              *Relays_.back(),
+                              *Clients_.back(),
                               Timers_,
                               Clock_,
                               Settings}));
@@ -97,7 +97,8 @@
                    ""});
   }
 
-  /// What servers were told and the leader did and believes.
+  /// Returns the replies to servers, the commands proposed and the leases of
+  /// the leader.
   std::vector<std::string> step() {
     Trace_.clear();
     changeLeader();
@@ -107,27 +108,27 @@
     Timers_.advance(milliseconds(300));
     deliverDelayed();
     std::sort(Trace_.begin(), Trace_.end());
-    for (const Command &Each : Ledger_->onTick(State_, Clock_.now()))
-      Proposed_.push_back(Each);
+    for (const Command &Proposal : Ledger_->onTick(State_, Clock_.now()))
+      Proposed_.push_back(Proposal);
     applyProposed();
     place();
-    noteLeases();
+    traceLeases();
     return Trace_;
   }
 
   Outcome<wire::AnnouncementBatchReply>
   deliver(const wire::AnnouncementBatch &Batch) {
-    Whole_ += Batch.Full_.size();
-    All_ +=
+    FullCount_ += Batch.Full_.size();
+    TotalCount_ +=
         Batch.Full_.size() + wire::unpackDigests(Batch.Digests_).value().size();
-    return Digests_->onBatch(
+    return Cache_->onBatch(
         Batch, Clock_.now(),
         [this](const wire::Announcement &Value) { return deliver(Value); });
   }
   Outcome<wire::AnnouncementReply> deliver(const wire::Announcement &Value) {
     auto Result = Ledger_->onAnnouncement(Value, State_, {Clock_.now(), true});
-    for (const Command &Each : Result.value().Proposals_)
-      Proposed_.push_back(Each);
+    for (const Command &Proposal : Result.value().Proposals_)
+      Proposed_.push_back(Proposal);
     return Result.value().Reply_;
   }
   template <class Message> void delay(const Message &Value) {
@@ -135,106 +136,109 @@
   }
 
   const bool KnowsBatches_;
-  std::size_t Whole_ = 0;
-  std::size_t All_ = 0;
+  std::size_t FullCount_ = 0;
+  std::size_t TotalCount_ = 0;
 
 private:
-  int pick(int Count) { return static_cast<int>(Random_() % Count); }
+  int drawNumber(int Count) { return static_cast<int>(Random_() % Count); }
 
   void elect() {
     ++Term_;
     Ledger_ = std::make_unique<ServerLedger>(ServerLedgerSettings{}, Term_,
                                              Clock_.now(), State_);
-    Digests_ = std::make_unique<control::AnnouncementDigests>();
+    Cache_ = std::make_unique<control::AnnouncementCache>();
   }
   void changeLeader() {
-    if (Plan_.LeaderChanges_ && pick(20) == 0)
+    if (Plan_.LeaderChanges_ && drawNumber(20) == 0)
       elect();
   }
   void drawFaults() {
-    DelaySteps_ = pick(3);
-    for (const std::unique_ptr<Relay> &Each : Relays_) {
-      const int Drawn = pick(4) == 0 ? pick(Plan_.Faults_) : 0;
-      Each->Fault_ = static_cast<Fault>(Drawn);
+    DelaySteps_ = drawNumber(3);
+    for (const std::unique_ptr<FaultyClient> &Client : Clients_) {
+      const int Drawn = drawNumber(4) == 0 ? drawNumber(Plan_.Faults_) : 0;
+      Client->Fault_ = static_cast<Fault>(Drawn);
     }
   }
-  /// A server goes on with its work and says so at one of the entries.
+  /// Advances a server's attempts and announces it at one of the entries.
   void announce(wire::Announcement &Server) {
-    if (Plan_.Reboots_ && pick(40) == 0) {
+    if (Plan_.Reboots_ && drawNumber(40) == 0) {
       Server.Boot_ = BootId("b" + std::to_string(++Boots_));
       Server.Attempts_.clear();
       Server.Sequence_ = 0;
     }
-    for (wire::AttemptReport &Each : Server.Attempts_)
-      if (Each.State_ == AttemptState::Running && pick(30) == 0)
-        Each.State_ = pick(2) ? AttemptState::Failed : AttemptState::Stopped;
-    if (pick(10) == 0)
+    for (wire::AttemptReport &Attempt : Server.Attempts_)
+      if (Attempt.State_ == AttemptState::Running && drawNumber(30) == 0)
+        Attempt.State_ =
+            drawNumber(2) ? AttemptState::Failed : AttemptState::Stopped;
+    if (drawNumber(10) == 0)
       return;
     ++Server.Sequence_;
-    Entries_[pick(8) == 0 ? 1 : 0]->announce(
+    Entries_[drawNumber(8) == 0 ? 1 : 0]->announce(
         Server, milliseconds(100),
         [this, &Server](const Outcome<wire::AnnouncementReply> &Reply) {
-          const std::string Said = Reply ? wire::encode(Reply.value()) : "none";
-          Trace_.push_back(Server.Server_.value() + " " + Said);
+          const std::string ReplyText =
+              Reply ? wire::encode(Reply.value()) : "none";
+          Trace_.push_back(Server.Server_.value() + " " + ReplyText);
           if (Reply)
-            for (const wire::TaskCommand &Each : Reply.value().Commands_)
-              obey(Server, Each);
+            for (const wire::TaskCommand &TaskCmd : Reply.value().Commands_)
+              execute(Server, TaskCmd);
         });
   }
-  static void obey(wire::Announcement &Server, const wire::TaskCommand &Told) {
-    const auto Found = std::find_if(
+  static void execute(wire::Announcement &Server,
+                      const wire::TaskCommand &TaskCmd) {
+    const auto It = std::find_if(
         Server.Attempts_.begin(), Server.Attempts_.end(),
-        [&](const auto &Each) { return Each.Token_ == Told.Token_; });
-    const bool Has = Found != Server.Attempts_.end();
-    if (Told.Kind_ == TaskCommandKind::Start && !Has)
-      Server.Attempts_.push_back({Told.Task_,
-                                  Told.Attempt_,
-                                  Told.Token_,
+        [&](const auto &Attempt) { return Attempt.Token_ == TaskCmd.Token_; });
+    const bool Exists = It != Server.Attempts_.end();
+    if (TaskCmd.Kind_ == TaskCommandKind::Start && !Exists)
+      Server.Attempts_.push_back({TaskCmd.Task_,
+                                  TaskCmd.Attempt_,
+                                  TaskCmd.Token_,
                                   AttemptState::Running,
                                   "",
                                   "",
                                   {},
                                   0,
                                   0});
-    if (Told.Kind_ == TaskCommandKind::Stop && Has)
-      Server.Attempts_.erase(Found);
-    if (Told.Kind_ == TaskCommandKind::Checkpoint && Has)
-      Found->State_ = AttemptState::Checkpointed;
+    if (TaskCmd.Kind_ == TaskCommandKind::Stop && Exists)
+      Server.Attempts_.erase(It);
+    if (TaskCmd.Kind_ == TaskCommandKind::Checkpoint && Exists)
+      It->State_ = AttemptState::Checkpointed;
   }
   void deliverDelayed() {
-    std::vector<std::pair<int, std::function<void()>>> Left;
+    std::vector<std::pair<int, std::function<void()>>> Remaining;
     for (auto &[Steps, Deliver] : Delayed_) {
       if (Steps > 0)
-        Left.emplace_back(Steps - 1, Deliver);
+        Remaining.emplace_back(Steps - 1, Deliver);
       else
         Deliver();
     }
-    Delayed_ = std::move(Left);
+    Delayed_ = std::move(Remaining);
   }
   void apply(const Command &Value) {
     std::vector<Change> Changes;
     (void)State_.apply(Value, Term_, ++Index_, &Changes);
-    for (const Change &Each : Changes)
-      Ledger_->note(Each);
+    for (const Change &AppliedChange : Changes)
+      Ledger_->note(AppliedChange);
     Ledger_->noteDone(Value);
   }
-  /// In an order of its own, as that within a batch means nothing.
+  /// Sorts the commands, as the order within a batch has no meaning.
   void applyProposed() {
     std::map<std::string, Command> Sorted;
-    for (const Command &Each : Proposed_)
-      Sorted.emplace(encodeCommand(Each), Each);
+    for (const Command &Proposal : Proposed_)
+      Sorted.emplace(encodeCommand(Proposal), Proposal);
     Proposed_.clear();
-    for (const auto &[Text, Each] : Sorted) {
+    for (const auto &[Text, Proposal] : Sorted) {
       Trace_.push_back("proposed " + Text);
-      apply(Each);
+      apply(Proposal);
     }
   }
   void place() {
     for (std::uint32_t Index = 0; Index < 12; ++Index) {
       const TaskId Task{JobId("j"), Index};
       const TaskRecord &Record = *State_.findTask(Task);
-      const auto At = BackendServerId("s" + std::to_string(pick(4)));
-      const int Eviction = pick(60);
+      const auto At = BackendServerId("s" + std::to_string(drawNumber(4)));
+      const int Eviction = drawNumber(60);
       if (Record.State_ == TaskState::Placed) {
         evict(Task, Record.Attempt_, Eviction);
         continue;
@@ -244,16 +248,16 @@
                         Server->Info_.Boot_, Resources::makeFor(1, 1)});
     }
   }
-  void evict(const TaskId &Task, AttemptNumber Attempt, int How) {
+  void evict(const TaskId &Task, AttemptNumber Attempt, int Action) {
     AttemptLedger &Attempts = Ledger_->attempts();
-    if (How == 0)
+    if (Action == 0)
       Attempts.requestStop(Task, Attempt);
-    if (How == 1)
+    if (Action == 1)
       Attempts.requestCheckpoint(Task, Attempt);
-    if (How == 2 || How == 3)
-      Attempts.setThrottle(Task, Attempt, How == 2 ? 50 : 100);
+    if (Action == 2 || Action == 3)
+      Attempts.setThrottle(Task, Attempt, Action == 2 ? 50 : 100);
   }
-  void noteLeases() {
+  void traceLeases() {
     for (std::uint32_t Index = 0; Index < 12; ++Index) {
       const TaskId Task{JobId("j"), Index};
       const TaskRecord &Record = *State_.findTask(Task);
@@ -273,62 +277,63 @@
   std::uint64_t Index_ = 0;
   int Boots_ = 0;
   std::unique_ptr<ServerLedger> Ledger_;
-  std::unique_ptr<control::AnnouncementDigests> Digests_;
-  std::vector<std::unique_ptr<Relay>> Relays_;
+  std::unique_ptr<control::AnnouncementCache> Cache_;
+  std::vector<std::unique_ptr<FaultyClient>> Clients_;
   std::vector<std::unique_ptr<entry::AnnouncementBatcher>> Entries_;
   std::vector<wire::Announcement> Servers_;
   std::vector<Command> Proposed_;
-  int DelaySteps_ = 0; ///< Of what is delayed in this step.
+  int DelaySteps_ = 0; ///< Delay in steps of messages delayed in this step.
   std::vector<std::pair<int, std::function<void()>>> Delayed_;
   std::vector<std::string> Trace_;
 };
 
-void Relay::announceBatch(const wire::AnnouncementBatch &Batch, Duration,
-                          entry::ControlDone<wire::AnnouncementBatch> Done) {
-  if (!Of_.KnowsBatches_)
+void FaultyClient::announceBatch(
+    const wire::AnnouncementBatch &Batch, Duration,
+    entry::ControlDone<wire::AnnouncementBatch> Done) {
+  if (!Simulation_.KnowsBatches_)
     return Done(fail(ErrorCode::VersionMismatch, ""));
   pass(Batch, std::move(Done));
 }
 
 template <class Message, class Done>
-void Relay::pass(const Message &Value, Done Reply) {
+void FaultyClient::pass(const Message &Value, Done Reply) {
   const auto Lose = [&Reply] { Reply(fail(ErrorCode::Timeout, "")); };
   if (Fault_ == Fault::Delayed)
-    Of_.delay(Value);
-  if (Fault_ == Fault::Delayed || Fault_ == Fault::LostBefore)
+    Simulation_.delay(Value);
+  if (Fault_ == Fault::Delayed || Fault_ == Fault::RequestLost)
     return Lose();
-  auto Got = Of_.deliver(Value);
-  if (Fault_ == Fault::LostAfter)
+  auto Received = Simulation_.deliver(Value);
+  if (Fault_ == Fault::ReplyLost)
     return Lose();
-  if (Fault_ == Fault::Twice)
-    Got = Of_.deliver(Value);
-  Reply(std::move(Got));
+  if (Fault_ == Fault::Duplicated)
+    Received = Simulation_.deliver(Value);
+  Reply(std::move(Received));
 }
 
 } // namespace
 
 class HeartbeatDifferential : public testing::TestWithParam<Schedule> {};
 
-TEST_P(HeartbeatDifferential, DigestsChangeNothingButTheBytes) {
-  std::size_t Whole = 0;
-  std::size_t All = 0;
+TEST_P(HeartbeatDifferential, DigestsBehaveLikeFullAnnouncements) {
+  std::size_t FullCount = 0;
+  std::size_t TotalCount = 0;
   for (unsigned Seed = 0; Seed < 30; ++Seed) {
     Schedule Plan = GetParam();
     Plan.Seed_ = Seed;
-    World WithDigests(Plan, true);
-    World WithoutDigests(Plan, false);
+    Simulation WithDigests(Plan, true);
+    Simulation WithoutDigests(Plan, false);
     for (int Step = 0; Step < 200; ++Step)
       ASSERT_EQ(WithDigests.step(), WithoutDigests.step())
           << "seed " << Seed << " step " << Step;
-    Whole += WithDigests.Whole_;
-    All += WithDigests.All_;
+    FullCount += WithDigests.FullCount_;
+    TotalCount += WithDigests.TotalCount_;
   }
-  EXPECT_LT(Whole * 2, All) << "digests are hardly used";
+  EXPECT_LT(FullCount * 2, TotalCount) << "too few digests were used";
 }
 
-// Where a digest means nothing any more it does less than a whole one would:
-// after a change of leader one whose answer is lost, after a reboot one that
-// comes late. Those are not mixed here.
+// After a leader change with a lost reply, or after a reboot with a delayed
+// digest, a digest is unknown and does less than a full announcement would.
+// These faults are not combined here.
 INSTANTIATE_TEST_SUITE_P(Faults, HeartbeatDifferential,
                          testing::Values(Schedule{0, 1, false, false},
                                          Schedule{0, 3, true, true},
--- a/tests/control/JobReconcilerTest.cpp
+++ b/tests/control/JobReconcilerTest.cpp
@@ -1,4 +1,4 @@
-//===- JobReconcilerTest.cpp - A job's next step, over all cases ----------===//
+//===- JobReconcilerTest.cpp - The next action of a job, over all cases --===//
 
 #include "control/JobReconciler.h"
 #include "control/JobProgress.h"
@@ -11,87 +11,96 @@
 
 namespace {
 struct Case {
-  FleetSide Fleet_;
-  LocalSide Local_;
-  LeaseSide Lease_;
+  FleetJobState Fleet_;
+  LocalJobState Local_;
+  LeaseState Lease_;
 };
 } // namespace
 
-/// Every combination that can be, with assignments from 0 to 2.
+/// Lists every possible combination, with assignments from 0 to 2.
 static std::vector<Case> listCases() {
   std::vector<Case> Cases;
   for (unsigned Bits = 0; Bits < 1U << 11; ++Bits)
     for (std::uint64_t Fleet = 0; Fleet < 3; ++Fleet)
       for (std::uint64_t Local = 0; Local < 3; ++Local) {
         const auto Bit = [Bits](unsigned At) { return (Bits >> At & 1U) != 0; };
-        const Case One{{Bit(0), Bit(1), Bit(2), Bit(3), Fleet},
-                       {Bit(4), Bit(5), Bit(6), Bit(7), Bit(8), Local},
-                       {Bit(9), Bit(10)}};
-        const FleetSide &F = One.Fleet_;
-        const bool Possible = !(F.Ours_ && (F.Ended_ || !F.Known_)) &&
-                              !(One.Local_.AllEnded_ && One.Local_.AnyPlaced_);
+        const Case Candidate{{Bit(0), Bit(1), Bit(2), Bit(3), Fleet},
+                             {Bit(4), Bit(5), Bit(6), Bit(7), Bit(8), Local},
+                             {Bit(9), Bit(10)}};
+        const FleetJobState &F = Candidate.Fleet_;
+        const bool Possible =
+            !(F.Ours_ && (F.Ended_ || !F.Known_)) &&
+            !(Candidate.Local_.AllEnded_ && Candidate.Local_.AnyPlaced_);
         if (Possible)
-          Cases.push_back(One);
+          Cases.push_back(Candidate);
       }
   return Cases;
 }
 
-template <class Rule> static void expectAll(JobStep Step, Rule Holds) {
-  unsigned Seen = 0;
-  for (const Case &One : listCases()) {
-    if (chooseStep(One.Fleet_, One.Local_, One.Lease_) != Step)
+template <class Rule>
+static void expectAll(ReconcileAction Step, Rule Predicate) {
+  unsigned Matches = 0;
+  for (const Case &Candidate : listCases()) {
+    if (chooseAction(Candidate.Fleet_, Candidate.Local_, Candidate.Lease_) !=
+        Step)
       continue;
-    ++Seen;
-    EXPECT_TRUE(Holds(One.Fleet_, One.Local_, One.Lease_));
+    ++Matches;
+    EXPECT_TRUE(
+        Predicate(Candidate.Fleet_, Candidate.Local_, Candidate.Lease_));
   }
-  EXPECT_GT(Seen, 0U);
+  EXPECT_GT(Matches, 0U);
 }
 
-TEST(JobReconcilerTest, AdoptsOnlyWhatIsNewlyOursUnderALease) {
-  expectAll(JobStep::Adopt, [](const auto &F, const auto &L, const auto &S) {
-    return F.Ours_ && !F.Cancelling_ && F.Assignment_ > L.Assignment_ &&
-           !L.Known_ && S.Covers_;
-  });
+TEST(JobReconcilerTest, AdoptsOnlyNewlyAssignedJobsWithAValidLease) {
+  expectAll(ReconcileAction::Adopt,
+            [](const auto &F, const auto &L, const auto &S) {
+              return F.Ours_ && !F.Cancelling_ &&
+                     F.Assignment_ > L.Assignment_ && !L.Known_ && S.Covers_;
+            });
 }
 
-TEST(JobReconcilerTest, NeverDropsOrGivesBackWhatMayStillRun) {
+TEST(JobReconcilerTest, NeverDropsOrReturnsAJobThatMayStillRun) {
   const auto Stopped = [](const auto &, const auto &L, const auto &) {
     return !L.AnyPlaced_ && (L.AllEnded_ || L.Releasing_);
   };
-  expectAll(JobStep::Drop, Stopped);
-  expectAll(JobStep::GiveBack, Stopped);
+  expectAll(ReconcileAction::Drop, Stopped);
+  expectAll(ReconcileAction::ReturnToFleet, Stopped);
 }
 
-TEST(JobReconcilerTest, DropsOnlyWhatTheFleetNoLongerHoldsAsOurs) {
-  expectAll(JobStep::Drop, [](const auto &F, const auto &L, const auto &) {
-    return F.Known_ && F.Assignment_ >= L.Assignment_ &&
-           !(F.Ours_ && F.Assignment_ == L.Assignment_);
-  });
+TEST(JobReconcilerTest, DropsOnlyJobsTheFleetNoLongerAssignsHere) {
+  expectAll(ReconcileAction::Drop,
+            [](const auto &F, const auto &L, const auto &) {
+              return F.Known_ && F.Assignment_ >= L.Assignment_ &&
+                     !(F.Ours_ && F.Assignment_ == L.Assignment_);
+            });
 }
 
-TEST(JobReconcilerTest, AReplicaThatLagsStopsNothing) {
-  for (const Case &One : listCases()) {
+TEST(JobReconcilerTest, LaggingReplicaStopsNothing) {
+  for (const Case &Candidate : listCases()) {
     const bool Lags =
-        !One.Fleet_.Known_ || One.Fleet_.Assignment_ < One.Local_.Assignment_;
-    if (!Lags || !One.Local_.Known_)
+        !Candidate.Fleet_.Known_ ||
+        Candidate.Fleet_.Assignment_ < Candidate.Local_.Assignment_;
+    if (!Lags || !Candidate.Local_.Known_)
       continue;
-    const JobStep Step = chooseStep(One.Fleet_, One.Local_, One.Lease_);
-    EXPECT_TRUE(Step == JobStep::None || Step == JobStep::ReportEnd);
+    const ReconcileAction Step =
+        chooseAction(Candidate.Fleet_, Candidate.Local_, Candidate.Lease_);
+    EXPECT_TRUE(Step == ReconcileAction::None ||
+                Step == ReconcileAction::ReportEnd);
   }
 }
 
-TEST(JobReconcilerTest, WhatIsNotOursAnyMoreIsStopped) {
-  for (const Case &One : listCases()) {
-    const auto &[F, L, S] = One;
+TEST(JobReconcilerTest, StopsJobsNoLongerAssignedHere) {
+  for (const Case &Candidate : listCases()) {
+    const auto &[F, L, S] = Candidate;
     const bool Foreign =
         L.Known_ && F.Known_ && !F.Ours_ && F.Assignment_ >= L.Assignment_;
     if (!Foreign || L.Releasing_ || L.AllEnded_)
       continue;
-    EXPECT_EQ(chooseStep(F, L, S), JobStep::Stop);
+    EXPECT_EQ(chooseAction(F, L, S), ReconcileAction::Stop);
   }
 }
 
-TEST(JobProgressTest, EachAssignmentNumbersItsAttemptsAboveTheOnesBefore) {
+TEST(JobProgressTest, EachAssignmentNumbersItsAttemptsAboveEarlierOnes) {
   datacentre::JobSpec Spec;
   Spec.Tasks_ = 2;
   EXPECT_EQ(makeAdoptedProgress(Spec, "", 1).value(), "");
--- a/tests/control/LeadershipTest.cpp
+++ b/tests/control/LeadershipTest.cpp
@@ -1,6 +1,6 @@
-//===- LeadershipTest.cpp - Leases, placements, changes of leader ---------===//
+//===- LeadershipTest.cpp - Leases, placements, leader changes -----------===//
 
-#include "control/ControlWorld.h"
+#include "control/ControlCluster.h"
 
 #include <gtest/gtest.h>
 
@@ -10,56 +10,58 @@
 using datacentre::TaskState;
 
 namespace {
-class LeadershipTest : public testing::Test, protected ControlWorld {
+class LeadershipTest : public testing::Test, protected ControlCluster {
 protected:
-  /// One task of job j runs on s1 under A.
+  /// Runs one task of job j on s1 with A as the leader.
   void runTask() {
     registerServer();
     submit(A_, "j");
-    beat(A_, seconds(1));
-    ASSERT_EQ(Held_.size(), 1U);
+    advanceWithHeartbeats(A_, seconds(1));
+    ASSERT_EQ(HeldAttempts_.size(), 1U);
     ASSERT_EQ(announce(A_).Renewals_.size(), 1U);
   }
-  /// The fleet's leader learns that there is a server.
-  void registerServer() { beat(A_, seconds(4)); }
-  void moveLeadership() {
-    Own_.cutLeader();
-    Own_.Open_.clear();
-    Own_.lead(&B_.Group_);
-    pass(milliseconds(500));
+  /// Registers s1 and waits until the fleet's leader knows the data centre's
+  /// load.
+  void registerServer() { advanceWithHeartbeats(A_, seconds(4)); }
+  void transferLeadership() {
+    DataCentreLog_.disconnectLeader();
+    DataCentreLog_.Pending_.clear();
+    DataCentreLog_.lead(&B_.Group_);
+    advanceTime(milliseconds(500));
   }
-  /// Two elections between two of Again's looks at its term.
+  /// Holds two elections between two polls of the winner's term.
   static void loseAndWinAgain(FakeLog &Log, FakeReplica &Other,
-                              FakeReplica &Again) {
+                              FakeReplica &Winner) {
     Log.lead(&Other);
-    Log.lead(&Again);
+    Log.lead(&Winner);
   }
   static wire::EntryReport makeReport() {
     wire::EntryReport Report;
     Report.Entry_ = EntryId("e1");
     return Report;
   }
-  TaskState state(const std::string &Job = "j") {
+  TaskState getState(const std::string &Job = "j") {
     return findTask(A_, Job)->State_;
   }
 };
 } // namespace
 
-TEST_F(LeadershipTest, AnAnnouncementBeforeRegistrationStartsNothing) {
-  Own_.Held_ = true;
+TEST_F(LeadershipTest, AnnouncementBeforeRegistrationStartsNothing) {
+  DataCentreLog_.HoldCommits_ = true;
   EXPECT_TRUE(announce(A_).Commands_.empty());
   EXPECT_TRUE(announce(A_).Commands_.empty());
-  EXPECT_EQ(Own_.Open_.size(), 1U) << "one registration is proposed";
-  Own_.Held_ = false;
-  Own_.commit();
+  EXPECT_EQ(DataCentreLog_.Pending_.size(), 1U)
+      << "one registration is proposed";
+  DataCentreLog_.HoldCommits_ = false;
+  DataCentreLog_.commit();
   A_.Machine_.withState(
       [](const auto &State) { EXPECT_EQ(State.servers().size(), 1U); });
 }
 
-TEST_F(LeadershipTest, AFollowerTurnsEverythingAwayToTheLeader) {
-  const auto Got = B_.send(makeAnnouncement());
-  ASSERT_TRUE(Got && !*Got);
-  EXPECT_EQ(Got->error(), Error::make(ErrorCode::NotLeader, "c1"));
+TEST_F(LeadershipTest, FollowerRedirectsEveryCallToTheLeader) {
+  const auto Received = B_.send(makeAnnouncement());
+  ASSERT_TRUE(Received && !*Received);
+  EXPECT_EQ(Received->error(), Error::make(ErrorCode::NotLeader, "c1"));
   const auto Reported = B_.send(wire::EntryReport{});
   ASSERT_TRUE(Reported && !*Reported);
   EXPECT_EQ(Reported->error().Message_, "c1");
@@ -71,211 +73,219 @@
   EXPECT_EQ(Called->error().Message_, "c1");
 }
 
-TEST_F(LeadershipTest, AJobRunsToItsEndAndIsForgottenHere) {
+TEST_F(LeadershipTest, FinishedJobIsReportedAndDropped) {
   runTask();
-  Held_[0].State_ = wire::AttemptState::Finished;
+  HeldAttempts_[0].State_ = wire::AttemptState::Finished;
   announce(A_);
-  settle();
+  advanceUntilStable();
   EXPECT_EQ(A_.Fleet_.findJob(JobId("j"))->Record_.End_,
             fleet::JobEnd::Finished);
-  EXPECT_EQ(findTask(A_, "j"), nullptr) << "dropped once the fleet knows";
+  EXPECT_EQ(findTask(A_, "j"), nullptr)
+      << "dropped after the fleet recorded the end";
   announce(A_);
-  EXPECT_TRUE(Held_.empty()) << "the server was told that it may forget it";
+  EXPECT_TRUE(HeldAttempts_.empty())
+      << "the server must be told to drop the attempt";
 }
 
-TEST_F(LeadershipTest, AFrozenLeaderThatWakesRenewsAndStartsNothing) {
+TEST_F(LeadershipTest, DeposedLeaderThatResumesRenewsAndStartsNothing) {
   runTask();
   submit(A_, "k");
-  pass(seconds(1));
-  // A sleeps, B is elected; A wakes and has not heard of it.
+  advanceTime(seconds(1));
+  // A is paused while B is elected; A resumes without knowing of the election.
   A_.Group_.BelievesToLead_ = true;
-  A_.Group_.BelievedTerm_ = Own_.Term_;
-  Own_.lead(&B_.Group_);
-  const auto Got = A_.send(makeAnnouncement());
-  ASSERT_TRUE(Got && !*Got);
-  EXPECT_EQ(Got->error().Code_, ErrorCode::NotLeader);
+  A_.Group_.BelievedTerm_ = DataCentreLog_.Term_;
+  DataCentreLog_.lead(&B_.Group_);
+  const auto Received = A_.send(makeAnnouncement());
+  ASSERT_TRUE(Received && !*Received);
+  EXPECT_EQ(Received->error().Code_, ErrorCode::NotLeader);
   const auto Granted = A_.send(makeReport());
-  ASSERT_TRUE(Granted && !*Granted) << "nor does it grant slots";
+  ASSERT_TRUE(Granted && !*Granted) << "must not grant slots either";
 }
 
-TEST_F(LeadershipTest, ATermOfBeforeAnotherLeaderRenewsAndGrantsNothing) {
+TEST_F(LeadershipTest, StaleTermRenewsAndGrantsNothing) {
   runTask();
-  pass(seconds(1));
-  loseAndWinAgain(Own_, B_.Group_, A_.Group_);
-  const auto Got = A_.send(makeAnnouncement());
-  ASSERT_TRUE(Got && !*Got) << "what it knows is of an earlier term";
-  EXPECT_EQ(Got->error().Code_, ErrorCode::NotLeader);
+  advanceTime(seconds(1));
+  loseAndWinAgain(DataCentreLog_, B_.Group_, A_.Group_);
+  const auto Received = A_.send(makeAnnouncement());
+  ASSERT_TRUE(Received && !*Received) << "its state is of an earlier term";
+  EXPECT_EQ(Received->error().Code_, ErrorCode::NotLeader);
   const auto Granted = A_.send(makeReport());
   ASSERT_TRUE(Granted && !*Granted);
   EXPECT_EQ(Granted->error().Code_, ErrorCode::NotLeader);
-  pass(milliseconds(200));
-  EXPECT_EQ(announce(A_).Renewals_.size(), 1U) << "once it began anew";
+  advanceTime(milliseconds(200));
+  EXPECT_EQ(announce(A_).Renewals_.size(), 1U)
+      << "after it started the new term";
 }
 
-TEST_F(LeadershipTest, ATermOfBeforeAnotherLeaderPlacesNothing) {
+TEST_F(LeadershipTest, StaleTermPlacesNothing) {
   registerServer();
   submit(A_, "j");
-  Own_.Held_ = true;
-  beat(A_, seconds(1));
-  ASSERT_EQ(Own_.Open_.size(), 1U) << "the adoption";
-  loseAndWinAgain(Own_, B_.Group_, A_.Group_);
-  Own_.commit();
+  DataCentreLog_.HoldCommits_ = true;
+  advanceWithHeartbeats(A_, seconds(1));
+  ASSERT_EQ(DataCentreLog_.Pending_.size(), 1U) << "the adoption";
+  loseAndWinAgain(DataCentreLog_, B_.Group_, A_.Group_);
+  DataCentreLog_.commit();
   A_.Strand_.run();
-  Time_.advance(milliseconds(10)); // Before the next look at the term.
+  Time_.advance(milliseconds(10)); // Before the next poll of the term.
   A_.Strand_.run();
-  EXPECT_EQ(Own_.Open_.size(), 0U);
-  Own_.Held_ = false;
-  beat(A_, seconds(20));
-  EXPECT_EQ(state(), TaskState::Placed) << "once it began anew";
+  EXPECT_EQ(DataCentreLog_.Pending_.size(), 0U);
+  DataCentreLog_.HoldCommits_ = false;
+  advanceWithHeartbeats(A_, seconds(20));
+  EXPECT_EQ(getState(), TaskState::Placed) << "after it started the new term";
 }
 
-TEST_F(LeadershipTest, ATermOfBeforeAnotherFleetLeaderRenewsNoAssignment) {
+TEST_F(LeadershipTest, StaleFleetTermRenewsNoAssignment) {
   runTask();
-  const auto Ask = [&] {
-    Outcome<std::string> Got = fail(ErrorCode::Timeout, "");
+  const auto SendReport = [&] {
+    Outcome<std::string> Received = fail(ErrorCode::Timeout, "");
     fleet::AssignmentReport Report;
     Report.DataCentre_ = DataCentreId("east");
     A_.Core_->handle(wire::MessageKind::AssignmentReport,
                      fleet::encodeReport(Report),
-                     [&](Outcome<std::string> Reply) { Got = Reply; });
+                     [&](Outcome<std::string> Reply) { Received = Reply; });
     A_.Strand_.run();
-    return Got;
+    return Received;
   };
-  EXPECT_TRUE(Ask());
-  loseAndWinAgain(All_, B_.FleetGroup_, A_.FleetGroup_);
-  const Outcome<std::string> Got = Ask();
-  ASSERT_FALSE(Got);
-  EXPECT_EQ(Got.error().Code_, ErrorCode::NotLeader);
-  pass(milliseconds(400));
-  EXPECT_TRUE(Ask()) << "once it began anew";
+  EXPECT_TRUE(SendReport());
+  loseAndWinAgain(FleetLog_, B_.FleetGroup_, A_.FleetGroup_);
+  const Outcome<std::string> Received = SendReport();
+  ASSERT_FALSE(Received);
+  EXPECT_EQ(Received.error().Code_, ErrorCode::NotLeader);
+  advanceTime(milliseconds(400));
+  EXPECT_TRUE(SendReport()) << "after it started the new term";
 }
 
-TEST_F(LeadershipTest, ATermOfBeforeAnotherFleetLeaderAssignsNothing) {
+TEST_F(LeadershipTest, StaleFleetTermAssignsNothing) {
   registerServer();
   const auto IsAssigned = [&](const char *Job) {
     return A_.Fleet_.findJob(JobId(Job))->Record_.Assignment_ != 0;
   };
   submit(A_, "j");
   ASSERT_TRUE(IsAssigned("j")) << "assigned at once";
-  loseAndWinAgain(All_, B_.FleetGroup_, A_.FleetGroup_);
+  loseAndWinAgain(FleetLog_, B_.FleetGroup_, A_.FleetGroup_);
   submit(A_, "k");
   EXPECT_FALSE(IsAssigned("k"));
-  beat(A_, seconds(30));
-  EXPECT_TRUE(IsAssigned("k")) << "once it began anew";
+  advanceWithHeartbeats(A_, seconds(30));
+  EXPECT_TRUE(IsAssigned("k")) << "after it started the new term";
 }
 
-TEST_F(LeadershipTest, ANewLeaderWaitsOutTheLeasesOfTheOldOne) {
+TEST_F(LeadershipTest, NewLeaderWaitsForOldLeasesToExpire) {
   runTask();
-  Held_.clear(); // The server lost it without a word.
-  moveLeadership();
+  HeldAttempts_.clear(); // The server lost the task without reporting it.
+  transferLeadership();
   announce(B_);
-  pass(TestLeaseTtl - seconds(1));
+  advanceTime(TestLeaseTtl - seconds(1));
   announce(B_);
-  EXPECT_EQ(state(), TaskState::Placed);
+  EXPECT_EQ(getState(), TaskState::Placed);
   EXPECT_EQ(findTask(B_, "j")->Attempt_, AttemptNumber(1));
 }
 
-TEST_F(LeadershipTest, APlacementInLimboIsNotDoubledByTheNextLeader) {
+TEST_F(LeadershipTest, UncertainPlacementIsNotRepeatedByTheNextLeader) {
   registerServer();
   submit(A_, "j");
-  Own_.Held_ = true;
-  beat(A_, seconds(1));
-  Own_.commit(); // The adoption.
-  beat(A_, milliseconds(500));
-  ASSERT_EQ(Own_.Open_.size(), 1U) << "the placement is open";
-  Own_.cutLeader();
-  Own_.lead(&B_.Group_);
-  Own_.Held_ = false;
-  Own_.commit(); // It was committed after all.
-  beat(B_, seconds(2));
+  DataCentreLog_.HoldCommits_ = true;
+  advanceWithHeartbeats(A_, seconds(1));
+  DataCentreLog_.commit(); // Commits the adoption.
+  advanceWithHeartbeats(A_, milliseconds(500));
+  ASSERT_EQ(DataCentreLog_.Pending_.size(), 1U) << "the placement is open";
+  DataCentreLog_.disconnectLeader();
+  DataCentreLog_.lead(&B_.Group_);
+  DataCentreLog_.HoldCommits_ = false;
+  DataCentreLog_.commit(); // The placement is committed after all.
+  advanceWithHeartbeats(B_, seconds(2));
   EXPECT_EQ(findTask(B_, "j")->Attempt_, AttemptNumber(1));
   EXPECT_EQ(Starts_[(TaskId{JobId("j"), 0})], 1);
 }
 
-TEST_F(LeadershipTest, AnEvictionSurvivesAChangeOfLeaderAndResumesOnce) {
+TEST_F(LeadershipTest, EvictionSurvivesALeaderChangeAndResumesOnce) {
   runTask();
-  Held_[0].State_ = wire::AttemptState::Checkpointed;
-  Held_[0].Checkpoint_ = "half";
-  Own_.Held_ = true;
-  announce(A_); // The end is proposed and stays open.
-  moveLeadership();
-  Own_.Held_ = false;
-  announce(B_); // B learns of it from the inventory.
+  HeldAttempts_[0].State_ = wire::AttemptState::Checkpointed;
+  HeldAttempts_[0].Checkpoint_ = "half";
+  DataCentreLog_.HoldCommits_ = true;
+  announce(A_); // The end of the attempt is proposed and stays open.
+  transferLeadership();
+  DataCentreLog_.HoldCommits_ = false;
+  announce(B_); // B learns of the end from the server's announcement.
   EXPECT_EQ(findTask(B_, "j")->Evictions_, 1U);
-  beat(B_, seconds(90)); // The task avoids the server for a while.
+  advanceWithHeartbeats(
+      B_,
+      seconds(90)); // The task avoids the server for some time.
   EXPECT_EQ(findTask(B_, "j")->Attempt_, AttemptNumber(2));
-  EXPECT_EQ(Resumed_, "half");
+  EXPECT_EQ(ResumeCheckpoint_, "half");
   EXPECT_EQ(Starts_[(TaskId{JobId("j"), 0})], 2);
 }
 
-TEST_F(LeadershipTest, OnlyOneProposalForATaskIsOpen) {
+TEST_F(LeadershipTest, KeepsAtMostOneOpenProposalPerTask) {
   runTask();
-  Held_[0].State_ = wire::AttemptState::Finished;
-  Own_.Held_ = true;
+  HeldAttempts_[0].State_ = wire::AttemptState::Finished;
+  DataCentreLog_.HoldCommits_ = true;
   for (int I = 0; I < 5; ++I) {
     announce(A_);
-    pass(milliseconds(300));
+    advanceTime(milliseconds(300));
   }
-  EXPECT_EQ(Own_.Open_.size(), 1U);
+  EXPECT_EQ(DataCentreLog_.Pending_.size(), 1U);
 }
 
-TEST_F(LeadershipTest, NothingIsRenewedBeyondTheJobsAssignment) {
+TEST_F(LeadershipTest, RenewsNoLeaseBeyondTheAssignment) {
   runTask();
-  // The fleet is out of reach for longer than the assignment's lease.
-  All_.cutLeader();
-  beat(A_, makeSettings("c1").AssignmentTtl_);
+  // The fleet is unreachable for longer than the assignment's lease.
+  FleetLog_.disconnectLeader();
+  advanceWithHeartbeats(A_, makeSettings("c1").AssignmentTtl_);
   const auto Reply = announce(A_);
   EXPECT_TRUE(Reply.Renewals_.empty());
   for (const wire::TaskCommand &Command : Reply.Commands_)
     EXPECT_NE(Command.Kind_, wire::TaskCommandKind::Start);
-  EXPECT_EQ(state(), TaskState::Waiting) << "checkpointed before the end";
+  EXPECT_EQ(getState(), TaskState::Waiting) << "checkpointed before the end";
   EXPECT_EQ(findTask(A_, "j")->Checkpoint_, "half");
 }
 
-TEST_F(LeadershipTest, AServerThatDoesNotObeyIsNotRenewedBeyondItEither) {
+TEST_F(LeadershipTest, DisobedientServerIsNotRenewedBeyondTheAssignment) {
   runTask();
-  All_.cutLeader();
-  Obeys_ = false;
-  beat(A_, makeSettings("c1").AssignmentTtl_ - TestLeaseTtl);
+  FleetLog_.disconnectLeader();
+  ExecutesCommands_ = false;
+  advanceWithHeartbeats(A_, makeSettings("c1").AssignmentTtl_ - TestLeaseTtl);
   EXPECT_TRUE(announce(A_).Renewals_.empty());
 }
 
-TEST_F(LeadershipTest, AFleetLeaderThatMayBeReplacedRenewsNoAssignment) {
+TEST_F(LeadershipTest, FleetLeaderWithoutALeaseRenewsNoAssignment) {
   registerServer();
   A_.FleetGroup_.LeaseHeld_ = false;
   submit(A_, "j");
-  beat(A_, seconds(5));
-  EXPECT_TRUE(Held_.empty()) << "not a start without an assignment's lease";
+  advanceWithHeartbeats(A_, seconds(5));
+  EXPECT_TRUE(HeldAttempts_.empty())
+      << "must not start without an assignment lease";
   A_.FleetGroup_.LeaseHeld_ = true;
-  beat(A_, seconds(5));
-  EXPECT_EQ(Held_.size(), 1U);
+  advanceWithHeartbeats(A_, seconds(5));
+  EXPECT_EQ(HeldAttempts_.size(), 1U);
 }
 
-TEST_F(LeadershipTest, NothingIsPlacedOnASilentServer) {
+TEST_F(LeadershipTest, PlacesNothingOnASilentServer) {
   registerServer();
-  pass(milliseconds(1300));
+  advanceTime(milliseconds(1300));
   submit(A_, "j");
-  pass(seconds(1));
-  EXPECT_EQ(state(), TaskState::Waiting);
-  beat(A_, seconds(20));
-  EXPECT_EQ(state(), TaskState::Placed) << "but once it is heard again";
+  advanceTime(seconds(1));
+  EXPECT_EQ(getState(), TaskState::Waiting);
+  advanceWithHeartbeats(A_, seconds(20));
+  EXPECT_EQ(getState(), TaskState::Placed)
+      << "must be placed once the server is reachable";
 }
 
-TEST_F(LeadershipTest, WhatTheStateHeldAlreadyIsNotToldTwice) {
+TEST_F(LeadershipTest, IgnoresChangesAlreadyInTheInitialState) {
   runTask();
-  moveLeadership();
+  transferLeadership();
   const datacentre::Command Adopted = datacentre::AdoptJob{};
   const datacentre::CommandResult Result;
   datacentre::Change Waiting;
   Waiting.Kind_ = datacentre::ChangeKind::TaskWaiting;
   Waiting.Task_ = TaskId{JobId("j"), 0};
   Waiting.Attempt_ = AttemptNumber(1);
-  // As if it had been applied between the feed's opening and the reading.
+  // Simulates a change that was applied between opening the feed and reading
+  // the state.
   B_.Feed_.publish({1, 2, Adopted, Result, {Waiting}});
   EXPECT_EQ(Json::parse(B_.call("GET", "/dump").Body_)["waitingTasks"], 0);
 }
 
-TEST_F(LeadershipTest, AnEntrysNextLifeEndsWhatTheLastOneHadBegun) {
+TEST_F(LeadershipTest, NewEntryIncarnationEndsRequestsOfTheEarlierOne) {
   wire::EntryReport Report = makeReport();
   Report.Incarnation_ = 1;
   A_.send(Report);
@@ -287,29 +297,30 @@
   EXPECT_EQ(A_.send(Begin)->value().Disposition_,
             wire::RequestDisposition::Run);
   Report.Incarnation_ = 2;
-  Own_.Held_ = true;
+  DataCentreLog_.HoldCommits_ = true;
   for (int I = 0; I < 200; ++I) {
     A_.send(Report);
-    pass(milliseconds(500));
+    advanceTime(milliseconds(500));
   }
-  EXPECT_EQ(Own_.Open_.size(), 1U) << "proposed once while it is open";
-  Own_.Held_ = false;
-  Own_.commit();
+  EXPECT_EQ(DataCentreLog_.Pending_.size(), 1U)
+      << "proposed once while it is open";
+  DataCentreLog_.HoldCommits_ = false;
+  DataCentreLog_.commit();
   Begin.EntryIncarnation_ = 2;
   EXPECT_EQ(A_.send(Begin)->value().Disposition_,
             wire::RequestDisposition::Unknown);
 }
 
-TEST_F(LeadershipTest, ABeginIsAnsweredOnlyOnceItIsCommitted) {
+TEST_F(LeadershipTest, BeginIsAnsweredOnlyAfterCommit) {
   wire::BeginRequest Begin;
   Begin.Key_ = RequestKey("k");
   Begin.Digest_ = Digest("d");
-  Own_.Held_ = true;
+  DataCentreLog_.HoldCommits_ = true;
   EXPECT_FALSE(A_.send(Begin).has_value());
-  EXPECT_EQ(Own_.Open_.size(), 1U);
+  EXPECT_EQ(DataCentreLog_.Pending_.size(), 1U);
 }
 
-TEST_F(LeadershipTest, AReportIsAnsweredWithTheBundleOnlyIfItIsOlder) {
+TEST_F(LeadershipTest, ReportGetsTheBundleOnlyIfItsOwnIsOlder) {
   const std::string Text = fleet::test::makeBundleText(1, 0, "", 1, 1);
   A_.FleetGroup_.propose(
       fleet::encodeCommand(fleet::test::makeProposal(Text, 1)),
@@ -326,28 +337,32 @@
   EXPECT_EQ(Status["controls"][0]["entries"][0]["version"], 1);
 }
 
-TEST_F(LeadershipTest, ASilentServerLeavesTheRoutesWithinTwoSeconds) {
+TEST_F(LeadershipTest, SilentServerLeavesTheRoutesWithinTwoSeconds) {
   announce(A_);
   wire::EntryReport Report = makeReport();
   const auto Routes = [&] {
     Report.RoutesHeld_ = 0;
-    const auto Got = A_.send(Report);
-    return Got->value().Routes_.value_or(std::vector<wire::Route>()).size();
+    const auto Received = A_.send(Report);
+    return Received->value()
+        .Routes_.value_or(std::vector<wire::Route>())
+        .size();
   };
-  pass(milliseconds(500));
+  advanceTime(milliseconds(500));
   EXPECT_EQ(Routes(), 1U);
-  pass(milliseconds(1000)); // Two seconds less an entry's own period.
+  advanceTime(milliseconds(
+      1000)); // Two seconds minus the reporting interval of an entry.
   EXPECT_EQ(Routes(), 0U);
   announce(A_);
-  EXPECT_EQ(Routes(), 1U) << "and is back with its next announcement";
+  EXPECT_EQ(Routes(), 1U) << "must return with the next announcement";
 }
 
-TEST_F(LeadershipTest, AbsurdAndForeignAnnouncementsAreRefused) {
+TEST_F(LeadershipTest, RefusesInvalidAndForeignAnnouncements) {
   const auto Refused = [&](auto Change) {
     wire::Announcement Value = makeAnnouncement();
     Change(Value);
-    const auto Got = A_.send(Value);
-    return Got && !*Got && Got->error().Code_ == ErrorCode::InvalidArgument;
+    const auto Received = A_.send(Value);
+    return Received && !*Received &&
+           Received->error().Code_ == ErrorCode::InvalidArgument;
   };
   EXPECT_TRUE(Refused([](auto &V) { V.DataCentre_ = DataCentreId("west"); }));
   EXPECT_TRUE(Refused([](auto &V) { V.Capacity_.MemoryMib_ = -1; }));
--- a/tests/control/OperatorApiTest.cpp
+++ b/tests/control/OperatorApiTest.cpp
@@ -1,6 +1,6 @@
-//===- OperatorApiTest.cpp - The operators' paths, good input and bad -----===//
+//===- OperatorApiTest.cpp - The operator API, valid and invalid input ---===//
 
-#include "control/ControlWorld.h"
+#include "control/ControlCluster.h"
 
 #include <gtest/gtest.h>
 
@@ -21,7 +21,7 @@
   const char *Error_;
 };
 
-class OperatorApiTest : public testing::Test, protected ControlWorld {
+class OperatorApiTest : public testing::Test, protected ControlCluster {
 protected:
   static std::string makeProposal(const std::string &Text, unsigned Operator) {
     const auto Signed = makeSignOff(fleet::computeDigest(Text), Operator);
@@ -81,7 +81,7 @@
         BadCall{"POST", "/members/east/add", R"({"incarnation":"x"})", 400,
                 "invalid_argument"}));
 
-TEST_P(BadCallTest, GetsATypedErrorAndChangesNothing) {
+TEST_P(BadCallTest, IsRejectedWithATypedErrorAndChangesNothing) {
   const BadCall &Bad = GetParam();
   const auto Answer = A_.call(Bad.Method_, Bad.Path_, Bad.Body_);
   EXPECT_EQ(Answer.Status_, Bad.Status_) << Answer.Body_;
@@ -91,7 +91,7 @@
   EXPECT_EQ(A_.Fleet_.listJobs(10).size(), 0U);
 }
 
-TEST_F(OperatorApiTest, EveryProblemOfAJobIsNamedAtOnce) {
+TEST_F(OperatorApiTest, ReportsEveryProblemOfAJobAtOnce) {
   const auto Answer = A_.call("POST", "/jobs", R"({"tasks":0,"x":1})");
   for (const char *Name : {"job", "team", "tasks", "declared", "x"})
     EXPECT_NE(Answer.Body_.find("\\\"" + std::string(Name) + "\\\""),
@@ -99,22 +99,22 @@
         << Name;
 }
 
-TEST_F(OperatorApiTest, AJobSubmittedTwiceIsOneJob) {
+TEST_F(OperatorApiTest, SubmittingAJobTwiceCreatesOneJob) {
   EXPECT_EQ(A_.call("POST", "/jobs", GoodJob).Status_, 200U);
   const auto Again = A_.call("POST", "/jobs", GoodJob);
   EXPECT_EQ(Json::parse(Again.Body_)["error"], "already_exists");
   EXPECT_EQ(A_.Fleet_.listJobs(10).size(), 1U);
 }
 
-TEST_F(OperatorApiTest, AJobThatFitsNowhereIsTakenWithAWarning) {
-  beat(A_, seconds(1));
+TEST_F(OperatorApiTest, JobThatFitsNoServerIsAcceptedWithAWarning) {
+  advanceWithHeartbeats(A_, seconds(1));
   const auto Answer = A_.call(
       "POST", "/jobs",
       R"({"job":"j","team":"t","declared":{"milliCpus":99000,"memoryMib":1}})");
   EXPECT_EQ(Json::parse(Answer.Body_)["warnings"].size(), 1U);
 }
 
-TEST_F(OperatorApiTest, ABundleIsCheckedProposedSignedAndShown) {
+TEST_F(OperatorApiTest, BundleIsCheckedProposedSignedAndShown) {
   const std::string Text = makeBundleText(1, 0, "", 2, 2);
   const Digest Value = fleet::computeDigest(Text);
   EXPECT_EQ(Json::parse(A_.call("POST", "/bundles/check", Text).Body_)["ok"],
@@ -136,19 +136,21 @@
   EXPECT_EQ(read(A_, "/bundles/1")["digest"], Value.value());
 }
 
-TEST_F(OperatorApiTest, OfFiftyRacingBundlesOneWinsAndTheOthersLearnWhich) {
+TEST_F(OperatorApiTest, OneOfFiftyConcurrentBundlesWins) {
   const std::string First = makeBundleText(1, 0, "", 50, 1);
   A_.call("POST", "/bundles", makeProposal(First, 1));
   const std::string Parent = fleet::computeDigest(First).value();
-  // The fleet's leader is another control; half of the calls go through it.
-  Own_.lead(&B_.Group_);
-  pass(seconds(1));
+  // The fleet's leader is another control process; half of the calls are sent
+  // to it.
+  DataCentreLog_.lead(&B_.Group_);
+  advanceTime(seconds(1));
   std::string Winner;
   std::vector<std::string> Losers;
   for (unsigned Operator = 1; Operator <= 50; ++Operator) {
     const std::string Text =
         makeBundleText(2, 1, Parent, 50, 1, "by " + std::to_string(Operator));
-    for (int Sent = 0; Sent < 2; ++Sent) { // The answer may get lost.
+    for (int Sent = 0; Sent < 2;
+         ++Sent) { // Sends each call twice, as the reply may be lost.
       const auto Answer =
           B_.call("POST", "/bundles", makeProposal(Text, Operator));
       const Json Body = Json::parse(Answer.Body_);
@@ -162,37 +164,39 @@
     }
   }
   EXPECT_EQ(Losers.size(), 98U);
-  for (const std::string &Told : Losers)
-    EXPECT_EQ(Told, Winner);
+  for (const std::string &ReportedWinner : Losers)
+    EXPECT_EQ(ReportedWinner, Winner);
   EXPECT_EQ(B_.Fleet_.getInForce()->Digest_.value(), Winner);
   EXPECT_FALSE(B_.Peers_.Calls_.empty());
 }
 
-TEST_F(OperatorApiTest, AnUnreachableFleetIsSaidSoWithinTheDeadline) {
-  All_.cutLeader();
-  const auto Got = A_.send(wire::OperatorCall{"POST", "/jobs", "", GoodJob});
-  EXPECT_FALSE(Got) << "it goes on trying";
-  pass(seconds(9));
+TEST_F(OperatorApiTest, UnreachableFleetIsReportedWithinTheDeadline) {
+  FleetLog_.disconnectLeader();
+  const auto Received =
+      A_.send(wire::OperatorCall{"POST", "/jobs", "", GoodJob});
+  EXPECT_FALSE(Received) << "must keep retrying";
+  advanceTime(seconds(9));
   EXPECT_EQ(A_.Core_->getInProgress(), 0U);
 }
 
-TEST_F(OperatorApiTest, ACancelledJobIsStoppedAndDropped) {
-  beat(A_, seconds(4));
+TEST_F(OperatorApiTest, CancelledJobIsStoppedAndDropped) {
+  advanceWithHeartbeats(A_, seconds(4));
   submit(A_, "j");
-  beat(A_, seconds(1));
-  ASSERT_EQ(Held_.size(), 1U);
+  advanceWithHeartbeats(A_, seconds(1));
+  ASSERT_EQ(HeldAttempts_.size(), 1U);
   EXPECT_EQ(A_.call("POST", "/jobs/j/cancel", "{}").Status_, 200U);
-  beat(A_, seconds(6)); // Its server's word, or its lease.
-  EXPECT_TRUE(Held_.empty());
+  advanceWithHeartbeats(
+      A_, seconds(6)); // The server confirms the stop, or its lease expires.
+  EXPECT_TRUE(HeldAttempts_.empty());
   EXPECT_EQ(read(A_, "/jobs/j")["state"], "cancelled");
   EXPECT_EQ(findTask(A_, "j"), nullptr);
 }
 
-TEST_F(OperatorApiTest, TheViewsShowWhatTheLeaderSees) {
-  beat(A_, seconds(4));
+TEST_F(OperatorApiTest, ViewsShowTheLeadersState) {
+  advanceWithHeartbeats(A_, seconds(4));
   submit(A_, "j", 2);
   submit(A_, "big", 1);
-  beat(A_, seconds(1));
+  advanceWithHeartbeats(A_, seconds(1));
   EXPECT_EQ(read(A_, "/servers")["servers"][0]["state"], "up");
   EXPECT_EQ(read(A_, "/services")["services"][0]["slots"], 8);
   EXPECT_EQ(read(A_, "/jobs/j")["progress"]["running"], 2);
@@ -203,7 +207,7 @@
   EXPECT_EQ(read(A_, "/dump")["leadsDataCentre"], true);
 }
 
-TEST_F(OperatorApiTest, AJobHeldElsewhereIsAskedForThere) {
+TEST_F(OperatorApiTest, CallForAJobHeldElsewhereIsForwarded) {
   EXPECT_EQ(A_.call("POST", "/jobs", GoodJob).Status_, 200U);
   fleet::AssignJob Assign{JobId("j"), DataCentreId("west")};
   A_.FleetGroup_.propose(fleet::encodeCommand(Assign), [](const auto &) {});
@@ -214,44 +218,45 @@
     Report.Name_ = "c3";
     Report.DataCentre_ = DataCentreId("west");
     Report.Leads_ = true;
-    const bool Asked = Call.Path_ == "/passed-on/report";
+    const bool IsReportCall = Call.Path_ == "/passed-on/report";
     return wire::encode(wire::OperatorAnswer{
-        200, Asked ? renderJson(makeReportJson(Report)) : Call.Path_});
+        200, IsReportCall ? renderJson(makeReportJson(Report)) : Call.Path_});
   };
   EXPECT_EQ(A_.call("GET", "/jobs/j").Body_, "/passed-on/jobs/j");
 }
 
-TEST_F(OperatorApiTest, AMemberIsReplacedInOneCallRemovalFirst) {
+TEST_F(OperatorApiTest, ReplacesAMemberInOneCallRemovalFirst) {
   FakeReplica &Group = A_.Group_;
   Group.Members_.push_back({{"c2", 5}, replication::MemberRole::Voter});
   Group.Waiting_ = {{"c2", 8}, {"c2", 7}};
-  Group.PromotionsRefused_ = 2; // It has to catch up first.
+  Group.PromotionsRefused_ = 2; // The learner has to catch up first.
   A_.send(wire::OperatorCall{"POST", "/members/east/replace", "",
                              R"({"name":"c2"})"});
-  pass(seconds(1));
+  advanceTime(seconds(1));
   EXPECT_EQ(Group.Steps_,
             (std::vector<std::string>{"remove 5", "add c2 8", "promote 8",
                                       "promote 8", "promote 8"}));
   const auto Stale = A_.call("POST", "/members/east/replace",
                              R"({"name":"c2","incarnation":6})");
-  EXPECT_EQ(Stale.Status_, 409U) << "a later one is a member already";
+  EXPECT_EQ(Stale.Status_, 409U) << "a later incarnation is already a member";
 }
 
-TEST_F(OperatorApiTest, AWaitingMemberBecomesALearnerButNeverAVoter) {
+TEST_F(OperatorApiTest, WaitingMemberBecomesALearnerButNeverAVoter) {
   A_.Group_.Waiting_ = {{"stranger", 3}, {"c3", 9}};
-  pass(seconds(5));
+  advanceTime(seconds(5));
   EXPECT_EQ(A_.Group_.Steps_, (std::vector<std::string>{"add c3 9"}));
 }
 
-TEST_F(OperatorApiTest, ChangesOfMembersGoToTheGroupsLeader) {
-  All_.lead(&B_.FleetGroup_);
+TEST_F(OperatorApiTest, MembershipChangesGoToTheGroupsLeader) {
+  FleetLog_.lead(&B_.FleetGroup_);
   A_.Peers_.Answers_["c2"] = [this](wire::MessageKind Kind,
                                     const std::string &Body) {
-    Outcome<std::string> Got = fail(ErrorCode::Timeout, "");
-    B_.Core_->handle(Kind, Body,
-                     [&Got](Outcome<std::string> Reply) { Got = Reply; });
+    Outcome<std::string> Received = fail(ErrorCode::Timeout, "");
+    B_.Core_->handle(Kind, Body, [&Received](Outcome<std::string> Reply) {
+      Received = Reply;
+    });
     B_.Strand_.run();
-    return Got;
+    return Received;
   };
   const auto Answer =
       A_.call("POST", "/members/fleet/add", R"({"name":"c9","incarnation":1})");
@@ -259,20 +264,22 @@
   EXPECT_EQ(B_.FleetGroup_.Steps_, (std::vector<std::string>{"add c9 1"}));
 }
 
-TEST_F(OperatorApiTest, FramesThatDoNotDecodeAreAnsweredAsMalformed) {
+TEST_F(OperatorApiTest, MalformedFramesAreRejected) {
   std::mt19937 Random(7);
   for (int Kind = 1; Kind <= 12; ++Kind) {
     if (Kind == 1)
-      continue; // One-way: nobody hears an answer.
+      continue; // One-way message without a reply.
     std::string Bytes(40, '\0');
     for (char &Byte : Bytes)
       Byte = static_cast<char>(Random());
-    std::optional<Outcome<std::string>> Got;
-    A_.Core_->handle(static_cast<wire::MessageKind>(Kind), Bytes,
-                     [&Got](Outcome<std::string> Reply) { Got = Reply; });
+    std::optional<Outcome<std::string>> Received;
+    A_.Core_->handle(
+        static_cast<wire::MessageKind>(Kind), Bytes,
+        [&Received](Outcome<std::string> Reply) { Received = Reply; });
     A_.Strand_.run();
-    ASSERT_TRUE(Got) << Kind;
-    const bool Fleet = Kind == 8; // Its bytes are the log's own matter.
-    EXPECT_TRUE(Fleet || !*Got) << Kind;
+    ASSERT_TRUE(Received) << Kind;
+    const bool Fleet =
+        Kind == 8; // The log decodes the bytes of a fleet command.
+    EXPECT_TRUE(Fleet || !*Received) << Kind;
   }
 }
