--- a/src/entry/CallerLimits.cpp
+++ b/src/entry/CallerLimits.cpp
@@ -47,5 +47,5 @@
   }
   if (CallerBucket.Tokens_.tryTake(Now))
     return std::nullopt;
-  return CallerBucket.Tokens_.timeUntil(Now);
+  return CallerBucket.Tokens_.getTimeUntil(Now);
 }
