--- a/bench/jobs/JobsBench.cpp
+++ b/bench/jobs/JobsBench.cpp
@@ -101,7 +101,7 @@
   Settings.Group_ = "bench";
   Settings.Name_ = "a";
   Settings.Folder_ = Folder.string();
-  Settings.FirstVoters_ = {"a"};
+  Settings.InitialVoters_ = {"a"};
   auto Group = replication::Replica::open(Settings, Machine, Out, Time);
   if (!Group)
     return false;
--- a/bench/replication/CommitBench.cpp
+++ b/bench/replication/CommitBench.cpp
@@ -105,7 +105,7 @@
         std::uint64_t MaxBatch, std::uint64_t SnapshotEvery)
       : Root_(std::move(Root)), Names_(std::move(Names)) {
     Settings_.Group_ = "bench";
-    Settings_.FirstVoters_ = Names_;
+    Settings_.InitialVoters_ = Names_;
     Settings_.MaxBatch_ = MaxBatch;
     Settings_.SnapshotEvery_ = SnapshotEvery;
     for (const std::string &Name : Names_)
--- a/include/tulipweir/replication/Replica.h
+++ b/include/tulipweir/replication/Replica.h
@@ -56,10 +56,10 @@
   std::string Folder_; ///< Of this group alone; empty keeps it in memory.
   /// Names of the first voters. Used only when the folder holds nothing; all
   /// first voters are started with the same list.
-  std::vector<std::string> FirstVoters_;
+  std::vector<std::string> InitialVoters_;
   /// False once the group was ever founded: a member that holds nothing then
   /// only asks to join.
-  bool MayFound_ = true;
+  bool MayBootstrap_ = true;
   Duration ElectionTimeout_ = std::chrono::milliseconds(500);
   Duration HeartbeatInterval_ = std::chrono::milliseconds(100);
   /// Least number of entries between snapshots; 0 for none. A state larger than
@@ -69,7 +69,7 @@
   std::uint64_t MaxBatch_ = 1024; ///< Entries that share one sync; 1 for none.
   /// Entries that are proposed within so long go out together. The first one
   /// after a pause is not kept waiting.
-  Duration ProposalPause_ = Duration(0);
+  Duration ProposalBatchInterval_ = Duration(0);
   /// Appends that may be on their way to one member; while there are as many,
   /// what is proposed gathers for the next one.
   std::size_t MaxMessagesInFlight_ = 64;
@@ -84,7 +84,7 @@
   /// its vote
   /// only once another member has taken its place, so that a machine which is
   /// cut off for a while costs nothing of what the group can bear.
-  Duration GoneAfter_ = std::chrono::milliseconds(2500);
+  Duration UnresponsiveAfter_ = std::chrono::milliseconds(2500);
 };
 
 /// The result of a committed and applied command.
@@ -106,9 +106,9 @@
   TimePoint LeaderSince_{}; ///< When this replica last became leader.
   std::vector<Member> Members_;
   /// On the leader: the other members that lately answered behind their disks.
-  std::vector<std::string> Heard_;
-  /// On the leader: those that it has not heard at all for GoneAfter_.
-  std::vector<std::string> Gone_;
+  std::vector<std::string> Responsive_;
+  /// On the leader: those that it has not heard at all for UnresponsiveAfter_.
+  std::vector<std::string> Unresponsive_;
   std::string Failure_; ///< Why this replica stopped, if it did.
   /// Why an earlier log was set aside as lost when the folder was opened.
   std::string LostDisk_;
@@ -117,7 +117,7 @@
   bool IsDurable_ = false;
   /// Members that hold nothing and have asked this one to join: new VMs, and
   /// those that lost their disk, with the incarnation to add them under.
-  std::vector<MemberId> Waiting_;
+  std::vector<MemberId> JoinRequests_;
 };
 
 /// Thread-safe. Callbacks run on the replica's own thread and must not block.
--- a/src/control/ControlProcess.cpp
+++ b/src/control/ControlProcess.cpp
@@ -42,7 +42,7 @@
   Result.Name_ = Settings.Name_;
   if (!Settings.DataFolder_.empty())
     Result.Folder_ = Settings.DataFolder_ + "/" + Group;
-  Result.FirstVoters_ =
+  Result.InitialVoters_ =
       listVoters(Fleet ? Settings.FleetMembers_ : Settings.DataCentreMembers_,
                  Settings.Join_);
   Result.ElectionTimeout_ =
--- a/src/control/GroupJson.cpp
+++ b/src/control/GroupJson.cpp
@@ -19,7 +19,7 @@
   for (const Member &Value : Status.Members_)
     Members.push_back(makeMemberJson(Value));
   Json Waiting = Json::array();
-  for (const MemberId &Id : Status.Waiting_)
+  for (const MemberId &Id : Status.JoinRequests_)
     Waiting.push_back({{"name", Id.Name_}, {"incarnation", Id.Incarnation_}});
   return {{"group", Group},
           {"leader", Status.LeaderName_},
--- a/src/control/LearnerDuty.cpp
+++ b/src/control/LearnerDuty.cpp
@@ -41,7 +41,7 @@
   const ReplicaStatus Status = Replica_.getStatus();
   if (Adding_ || !Status.IsLeader_)
     return;
-  for (const MemberId &Id : Status.Waiting_) {
+  for (const MemberId &Id : Status.JoinRequests_) {
     if (!Allowed_.contains(Id.Name_) || isSuperseded(Status, Id))
       continue;
     Adding_ = true;
--- a/src/control/MemberRoutes.cpp
+++ b/src/control/MemberRoutes.cpp
@@ -75,7 +75,7 @@
 static std::uint64_t findWaiting(const Replica &Group,
                                  const std::string &Name) {
   std::uint64_t Newest = 0;
-  for (const MemberId &Id : Group.getStatus().Waiting_)
+  for (const MemberId &Id : Group.getStatus().JoinRequests_)
     if (Id.Name_ == Name)
       Newest = std::max(Newest, Id.Incarnation_);
   return Newest;
--- a/src/jobservice/ControlNode.cpp
+++ b/src/jobservice/ControlNode.cpp
@@ -34,12 +34,12 @@
   Result.Name_ = Settings.Name_;
   if (!Settings.DataFolder_.empty())
     Result.Folder_ = Settings.DataFolder_ + "/" + GroupName;
-  Result.FirstVoters_ = Settings.Seeds_;
-  Result.MayFound_ = Settings.MayFound_;
+  Result.InitialVoters_ = Settings.Seeds_;
+  Result.MayBootstrap_ = Settings.MayFound_;
   Result.TargetVoters_ = Settings.Voters_;
   Result.ElectionTimeout_ = Settings.ElectionTimeout_;
   Result.HeartbeatInterval_ = Settings.ElectionTimeout_ / HeartbeatsPerElection;
-  Result.ProposalPause_ = ProposalPause;
+  Result.ProposalBatchInterval_ = ProposalPause;
   Result.MaxMessagesInFlight_ = MessagesInFlight;
   Result.Seed_ = std::hash<std::string>()(Settings.Name_);
   return Result;
--- a/src/jobservice/LeadershipTransferPolicy.cpp
+++ b/src/jobservice/LeadershipTransferPolicy.cpp
@@ -23,8 +23,9 @@
 
 static bool isFit(const replication::ReplicaStatus &Status,
                   const std::string &Name) {
-  const bool IsHeard = std::find(Status.Heard_.begin(), Status.Heard_.end(),
-                                 Name) != Status.Heard_.end();
+  const bool IsHeard =
+      std::find(Status.Responsive_.begin(), Status.Responsive_.end(), Name) !=
+      Status.Responsive_.end();
   return IsHeard &&
          std::any_of(Status.Members_.begin(), Status.Members_.end(),
                      [&Name](const replication::Member &Each) {
--- a/src/jobservice/RelayFlush.cpp
+++ b/src/jobservice/RelayFlush.cpp
@@ -91,8 +91,9 @@
         Status.Members_.begin(), Status.Members_.end(),
         [&Each = Each](const auto &M) { return M.Id_.Name_ == Each.Member_; });
     const bool IsGone =
-        !IsMember || std::find(Status.Gone_.begin(), Status.Gone_.end(),
-                               Each.Member_) != Status.Gone_.end();
+        !IsMember ||
+        std::find(Status.Unresponsive_.begin(), Status.Unresponsive_.end(),
+                  Each.Member_) != Status.Unresponsive_.end();
     if (!Status.IsLeader_ || IsGone ||
         Now - Each.Round_->Begin_ >= LongestRound)
       Over.push_back(Id);
--- a/src/jobservice/ReportRouter.cpp
+++ b/src/jobservice/ReportRouter.cpp
@@ -45,7 +45,7 @@
 /// none of them takes the reports itself.
 static std::string pickRelay(const ControlLife &Current,
                              const std::string &ServerId) {
-  return ReportRelay::pick(Current.Group_->getStatus().Heard_, ServerId);
+  return ReportRelay::pick(Current.Group_->getStatus().Responsive_, ServerId);
 }
 
 void ReportRouter::report(jobs::ServerReport Report, Done Reply) {
@@ -144,7 +144,7 @@
   const auto Gather = ReportGather::decide(
       std::move(Batch), *Current->Leader_, Flush_, Time_,
       [Current, Reply](jobs::ReportBatchReply Answers) {
-        Answers.Relays_ = Current->Group_->getStatus().Heard_;
+        Answers.Relays_ = Current->Group_->getStatus().Responsive_;
         if (Current->Leader_)
           Answers.AwaitingStop_ = Current->Leader_->listAwaitingStop();
         Reply(std::move(Answers));
--- a/src/replication/FolderStorage.cpp
+++ b/src/replication/FolderStorage.cpp
@@ -16,24 +16,24 @@
 constexpr std::string_view IdentityName = "identity";
 constexpr std::string_view LogPrefix = "log-";
 constexpr std::string_view SnapshotPrefix = "snapshot-";
-constexpr std::string_view SetAsidePrefix = "damaged-";
-constexpr std::string_view UnfinishedSuffix = ".tmp";
+constexpr std::string_view QuarantinePrefix = "damaged-";
+constexpr std::string_view TemporarySuffix = ".tmp";
 
 namespace tulipweir::replication::layout {
 
 /// The first frame of a segment.
-struct SegmentHead {
+struct SegmentHeader {
   std::uint64_t SnapshotIndex_ = 0; ///< 0 before the first snapshot.
   LogBatch Kept_;
 };
 
-static auto fields(SegmentHead &X) {
+static auto fields(SegmentHeader &X) {
   return std::tie(X.SnapshotIndex_, X.Kept_);
 }
 
 } // namespace tulipweir::replication::layout
 
-using layout::SegmentHead;
+using layout::SegmentHeader;
 
 /// Returns N of a name "Prefix" + N.
 static std::optional<std::uint64_t> parseNumber(std::string_view Name,
@@ -52,7 +52,7 @@
   return std::string(Prefix) + std::to_string(Number);
 }
 
-static bool isOurs(std::string_view Name) {
+static bool isStorageFile(std::string_view Name) {
   return Name == IdentityName || Name.starts_with(LogPrefix) ||
          Name.starts_with(SnapshotPrefix);
 }
@@ -95,9 +95,10 @@
   BOOST_OUTCOME_TRY(Names, Files.list(Folder));
   std::unique_ptr<FolderStorage> Storage(
       new FolderStorage(Files, Folder, std::move(Lock)));
-  std::erase_if(Names, [](const std::string &Name) { return !isOurs(Name); });
+  std::erase_if(Names,
+                [](const std::string &Name) { return !isStorageFile(Name); });
   bool HasAny = std::any_of(Names.begin(), Names.end(), [](auto &Name) {
-    return !Name.ends_with(UnfinishedSuffix);
+    return !Name.ends_with(TemporarySuffix);
   });
   if (!HasAny) {
     BOOST_OUTCOME_TRYV(Storage->create(Fresh));
@@ -110,17 +111,17 @@
   return Opened{std::move(Storage), std::move(Owner), std::move(Stored)};
 }
 
-Outcome<void> FolderStorage::setAside(FileSystem &Files,
-                                      const std::string &Folder,
-                                      const std::string &Tag) {
+Outcome<void> FolderStorage::quarantine(FileSystem &Files,
+                                        const std::string &Folder,
+                                        const std::string &Tag) {
   auto Lock = Files.lock(Folder);
   if (!Lock)
     return Lock.as_failure();
   BOOST_OUTCOME_TRY(Names, Files.list(Folder));
-  std::string Aside = Folder + "/" + std::string(SetAsidePrefix) + Tag;
+  std::string Aside = Folder + "/" + std::string(QuarantinePrefix) + Tag;
   BOOST_OUTCOME_TRYV(Files.makeFolder(Aside));
   for (const std::string &Name : Names) {
-    if (!isOurs(Name))
+    if (!isStorageFile(Name))
       continue;
     std::string From = Folder;
     From.append("/").append(Name);
@@ -132,12 +133,12 @@
   return Files.syncFolder(Folder);
 }
 
-Outcome<void> FolderStorage::writeWhole(const std::string &Name,
-                                        std::string_view Bytes) {
-  std::string Unfinished = pathOf(Name) + std::string(UnfinishedSuffix);
+Outcome<void> FolderStorage::writeAtomically(const std::string &Name,
+                                             std::string_view Bytes) {
+  std::string Unfinished = pathOf(Name) + std::string(TemporarySuffix);
   // Left over from a write that a crash cut off; appending would mix the two.
   BOOST_OUTCOME_TRY(Names, Files_.list(Folder_));
-  std::string UnfinishedName = Name + std::string(UnfinishedSuffix);
+  std::string UnfinishedName = Name + std::string(TemporarySuffix);
   if (std::find(Names.begin(), Names.end(), UnfinishedName) != Names.end()) {
     BOOST_OUTCOME_TRYV(Files_.remove(Unfinished));
   }
@@ -157,7 +158,8 @@
 
 Outcome<void> FolderStorage::saveIdentity(const Identity &Owner) {
   std::string Body = packing::pack(Owner);
-  return writeWhole(std::string(IdentityName), makeFrame(FormatVersion, Body));
+  return writeAtomically(std::string(IdentityName),
+                         makeFrame(FormatVersion, Body));
 }
 
 Outcome<Identity> FolderStorage::readIdentity(const Identity &Fresh) {
@@ -218,9 +220,9 @@
     if (!Next || Next->Number_ != NextFrame_)
       break;
     bool IsHead = NextFrame_ == 0;
-    SegmentHead Head;
+    SegmentHeader Head;
     if (IsHead) {
-      auto Decoded = packing::unpack<SegmentHead>(Next->Body_, Path);
+      auto Decoded = packing::unpack<SegmentHeader>(Next->Body_, Path);
       if (!Decoded)
         return failDamaged(Path);
       Head = std::move(Decoded.value());
@@ -274,12 +276,12 @@
 }
 
 Outcome<void> FolderStorage::startSegment(const Checkpoint &All) {
-  SegmentHead Head;
+  SegmentHeader Head;
   Head.SnapshotIndex_ = All.Snapshot_ ? All.Snapshot_->Index_ : 0;
   Head.Kept_ = LogBatch{All.Hard_, All.Entries_};
   std::string Bytes = makeFrame(0, packing::pack(Head));
   std::string Name = makeName(LogPrefix, SegmentNumber_ + 1);
-  BOOST_OUTCOME_TRYV(writeWhole(Name, Bytes));
+  BOOST_OUTCOME_TRYV(writeAtomically(Name, Bytes));
   BOOST_OUTCOME_TRY(Segment, Files_.openForAppend(pathOf(Name)));
   Segment_ = std::move(Segment);
   ++SegmentNumber_;
@@ -293,10 +295,11 @@
   if (All.Snapshot_) {
     std::uint64_t Index = All.Snapshot_->Index_;
     std::string Bytes = makeFrame(Index, packing::pack(*All.Snapshot_));
-    BOOST_OUTCOME_TRYV(writeWhole(makeName(SnapshotPrefix, Index), Bytes));
+    BOOST_OUTCOME_TRYV(writeAtomically(makeName(SnapshotPrefix, Index), Bytes));
   }
   BOOST_OUTCOME_TRYV(startSegment(All));
   BOOST_OUTCOME_TRY(Names, Files_.list(Folder_));
-  std::erase_if(Names, [](const std::string &Name) { return !isOurs(Name); });
+  std::erase_if(Names,
+                [](const std::string &Name) { return !isStorageFile(Name); });
   return cleanUp(Names);
 }
--- a/src/replication/FolderStorage.h
+++ b/src/replication/FolderStorage.h
@@ -41,13 +41,13 @@
   /// Opens the folder, or makes it for Fresh if it holds nothing. Errors:
   /// Conflict if the folder belongs to another group or member, or another
   /// process has it open; VersionMismatch for a newer format; Corrupt if it is
-  /// damaged (then setAside() and open again); StorageFailed.
+  /// damaged (then quarantine() and open again); StorageFailed.
   static Outcome<Opened> open(FileSystem &Files, const std::string &Folder,
                               const Identity &Fresh);
 
   /// Moves what a damaged folder holds out of the way, under Tag.
-  static Outcome<void> setAside(FileSystem &Files, const std::string &Folder,
-                                const std::string &Tag);
+  static Outcome<void> quarantine(FileSystem &Files, const std::string &Folder,
+                                  const std::string &Tag);
 
   Outcome<void> saveIdentity(const Identity &Owner) override;
   Outcome<void> append(const LogBatch &Batch) override;
@@ -60,7 +60,8 @@
                 std::shared_ptr<void> Lock);
 
   std::string pathOf(const std::string &Name) const;
-  Outcome<void> writeWhole(const std::string &Name, std::string_view Bytes);
+  Outcome<void> writeAtomically(const std::string &Name,
+                                std::string_view Bytes);
   Outcome<void> startSegment(const Checkpoint &All);
   Outcome<void> create(const Identity &Fresh);
   Outcome<Identity> readIdentity(const Identity &Fresh);
--- a/src/replication/GroupFounder.h
+++ b/src/replication/GroupBootstrap.h
@@ -1,4 +1,4 @@
-//===- GroupFounder.h - The first start of a group -------------*- C++ -*-===//
+//===- GroupBootstrap.h - The first start of a group ------------*- C++ -*-===//
 //
 // Tells a group's first start from a member that lost its disk. Pure, like the
 // core.
@@ -14,8 +14,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_REPLICATION_GROUPFOUNDER_H
-#define TULIPWEIR_REPLICATION_GROUPFOUNDER_H
+#ifndef TULIPWEIR_REPLICATION_GROUPBOOTSTRAP_H
+#define TULIPWEIR_REPLICATION_GROUPBOOTSTRAP_H
 
 #include "replication/LogMessages.h"
 #include "replication/LogStorage.h"
@@ -27,61 +27,65 @@
 namespace tulipweir::replication {
 
 /// What this member holds at the moment.
-struct Holdings {
+struct LocalState {
   bool IsEmpty_ = true; ///< No log and no term.
   /// The founding entry's members, while the log still has it.
-  std::vector<Member> FirstMembers_;
+  std::vector<Member> InitialMembers_;
 };
 
 /// Promise_ must be durable before Messages_ are sent.
-struct FounderOutputs {
+struct BootstrapOutputs {
   std::vector<Message> Messages_;
   std::optional<Identity> Promise_;
-  std::vector<Member> Founded_; ///< Not empty: the group has these members.
+  std::vector<Member>
+      BootstrapMembers_; ///< Not empty: the group has these members.
 };
 
 /// Not thread-safe.
-class GroupFounder {
+class GroupBootstrap {
 public:
-  /// MayFound is false where the group was founded before, whoever is asked.
-  GroupFounder(Identity Owner, std::vector<std::string> FirstVoters,
-               bool MayFound = true);
+  /// MayBootstrap is false where the group was founded before, whoever is
+  /// asked.
+  GroupBootstrap(Identity Owner, std::vector<std::string> InitialVoters,
+                 bool MayBootstrap = true);
 
   /// Called while this member holds nothing, every now and then.
-  FounderOutputs ask(const Holdings &Held);
+  BootstrapOutputs ask(const LocalState &Local);
 
   /// Asks to be taken in again, for a member that holds a log but hears no
   /// leader: it may have been removed while it was away.
-  FounderOutputs seek() const;
+  BootstrapOutputs requestJoin() const;
 
   /// The member is being taken in; if that comes to nothing, it asks again.
-  void forgetWaiting(const std::string &Name) { Waiting_.erase(Name); }
+  void removeJoinRequest(const std::string &Name) { JoinRequests_.erase(Name); }
 
-  /// Takes JoinProbe, JoinReply and FoundGroup; others do nothing.
-  FounderOutputs receive(const Message &From, const Holdings &Held);
+  /// Takes JoinProbe, JoinReply and BootstrapGroup; others do nothing.
+  BootstrapOutputs receive(const Message &From, const LocalState &Local);
 
   /// Members without a log that have asked, by name the incarnation that asked
   /// last.
-  const std::map<std::string, std::uint64_t> &getWaiting() const {
-    return Waiting_;
+  const std::map<std::string, std::uint64_t> &getJoinRequests() const {
+    return JoinRequests_;
   }
 
 private:
-  bool isFounder() const;
+  bool isCoordinator() const;
   bool isFirstVoter(const std::string &Name) const;
-  void tryToFound(FounderOutputs &Out);
-  void answer(const Message &From, const Holdings &Held, FounderOutputs &Out);
-  void noteReply(const Message &From, bool IsEmpty, FounderOutputs &Out);
-  void adopt(const Message &From, const FoundGroup &Body, FounderOutputs &Out);
+  void tryBootstrap(BootstrapOutputs &Out);
+  void answerProbe(const Message &From, const LocalState &Local,
+                   BootstrapOutputs &Out);
+  void handleReply(const Message &From, bool IsEmpty, BootstrapOutputs &Out);
+  void acceptGroup(const Message &From, const BootstrapGroup &Body,
+                   BootstrapOutputs &Out);
   Message make(const MemberId &To, decltype(Message::Body_) Body) const;
 
-  const bool MayFound_;
+  const bool MayBootstrap_;
   Identity Owner_;
-  std::set<std::string> FirstVoters_;
+  std::set<std::string> InitialVoters_;
   std::map<std::string, MemberId> Empty_; ///< Who answered "nothing".
-  std::map<std::string, std::uint64_t> Waiting_;
+  std::map<std::string, std::uint64_t> JoinRequests_;
 };
 
 } // namespace tulipweir::replication
 
-#endif // TULIPWEIR_REPLICATION_GROUPFOUNDER_H
+#endif // TULIPWEIR_REPLICATION_GROUPBOOTSTRAP_H
--- a/src/replication/LogMessages.h
+++ b/src/replication/LogMessages.h
@@ -53,9 +53,9 @@
 
 /// The sender has heard the leader's broadcast Round_; vouches for nothing in
 /// the log, and so waits for no disk. A member that does not know it drops it.
-struct RoundHeard {
+struct RoundAck {
   std::uint64_t Round_ = 0;
-  bool operator==(const RoundHeard &) const = default;
+  bool operator==(const RoundAck &) const = default;
 };
 
 /// A piece of a snapshot's state, from Offset_.
@@ -81,8 +81,8 @@
 };
 
 /// The leader asks its receiver to start an election now.
-struct TransferNow {
-  bool operator==(const TransferNow &) const = default;
+struct TimeoutNow {
+  bool operator==(const TimeoutNow &) const = default;
 };
 
 /// A member without a log asks what the receiver has.
@@ -98,9 +98,9 @@
 };
 
 /// The founder tells the first voters which incarnations form the group.
-struct FoundGroup {
+struct BootstrapGroup {
   std::vector<Member> Members_;
-  bool operator==(const FoundGroup &) const = default;
+  bool operator==(const BootstrapGroup &) const = default;
 };
 
 /// Incarnation 0 in To_ means whichever one runs; only joining uses it.
@@ -109,8 +109,8 @@
   MemberId To_;
   std::uint64_t Term_ = 0;
   std::variant<VoteRequest, VoteReply, AppendRequest, AppendReply,
-               SnapshotChunk, SnapshotReply, TransferNow, JoinProbe, JoinReply,
-               FoundGroup, RoundHeard>
+               SnapshotChunk, SnapshotReply, TimeoutNow, JoinProbe, JoinReply,
+               BootstrapGroup, RoundAck>
       Body_;
   bool operator==(const Message &) const = default;
 };
--- a/src/replication/LogStorage.h
+++ b/src/replication/LogStorage.h
@@ -25,7 +25,7 @@
   MemberId Self_;
   /// The highest incarnation of the group's founder that this member has
   /// answered while it held nothing; it follows no earlier one.
-  std::uint64_t FounderPromise_ = 0;
+  std::uint64_t CoordinatorPromise_ = 0;
   bool operator==(const Identity &) const = default;
 };
 
--- a/src/replication/LogWriter.cpp
+++ b/src/replication/LogWriter.cpp
@@ -9,7 +9,7 @@
 using namespace tulipweir::replication;
 
 template <class T>
-static void moveBehind(std::vector<T> &To, std::vector<T> &From) {
+static void appendMoved(std::vector<T> &To, std::vector<T> &From) {
   To.insert(To.end(), std::make_move_iterator(From.begin()),
             std::make_move_iterator(From.end()));
 }
@@ -32,8 +32,8 @@
     if (Job.HasBatch_)
       Last.Batch_.Hard_ = std::move(Job.Batch_.Hard_);
     Last.HasBatch_ |= Job.HasBatch_;
-    moveBehind(Last.Batch_.Entries_, Job.Batch_.Entries_);
-    moveBehind(Last.Messages_, Job.Messages_);
+    appendMoved(Last.Batch_.Entries_, Job.Batch_.Entries_);
+    appendMoved(Last.Messages_, Job.Messages_);
     Last.Checkpoint_ = std::move(Job.Checkpoint_);
   }
   return Merged;
@@ -63,7 +63,7 @@
 }
 
 /// Waits for work; returns nothing once the writer is to end.
-std::vector<WriteJob> LogWriter::take() {
+std::vector<WriteJob> LogWriter::waitForJobs() {
   std::unique_lock Guard(Lock_);
   Wake_.wait(Guard, [this] { return IsStopping_ || !Queue_.empty(); });
   return std::exchange(Queue_, {});
@@ -102,7 +102,8 @@
 }
 
 void LogWriter::run() {
-  for (std::vector<WriteJob> Jobs = take(); !Jobs.empty(); Jobs = take()) {
+  for (std::vector<WriteJob> Jobs = waitForJobs(); !Jobs.empty();
+       Jobs = waitForJobs()) {
     for (WriteJob &Job : merge(std::move(Jobs), MaxBatch_)) {
       Outcome<void> Written = write(Job);
       if (!Written) {
--- a/src/replication/LogWriter.h
+++ b/src/replication/LogWriter.h
@@ -47,7 +47,7 @@
 
 private:
   void run();
-  std::vector<WriteJob> take();
+  std::vector<WriteJob> waitForJobs();
   Outcome<void> append(const LogBatch &Batch);
   Outcome<void> write(WriteJob &Job);
   void complete(const WriteJob &Job);
--- a/src/replication/Packing.h
+++ b/src/replication/Packing.h
@@ -38,7 +38,7 @@
 inline auto fields(AppendReply &X) {
   return std::tie(X.Round_, X.Accepted_, X.Index_, X.Hint_);
 }
-inline auto fields(RoundHeard &X) { return std::tie(X.Round_); }
+inline auto fields(RoundAck &X) { return std::tie(X.Round_); }
 inline auto fields(SnapshotChunk &X) {
   return std::tie(X.Round_, X.Index_, X.LastTerm_, X.Members_, X.Offset_,
                   X.Total_, X.Digest_, X.Bytes_);
@@ -46,17 +46,17 @@
 inline auto fields(SnapshotReply &X) {
   return std::tie(X.Round_, X.Index_, X.Received_, X.Installed_);
 }
-inline auto fields(TransferNow &) { return std::tuple<>(); }
+inline auto fields(TimeoutNow &) { return std::tuple<>(); }
 inline auto fields(JoinProbe &) { return std::tuple<>(); }
 inline auto fields(JoinReply &X) { return std::tie(X.Empty_); }
-inline auto fields(FoundGroup &X) { return std::tie(X.Members_); }
+inline auto fields(BootstrapGroup &X) { return std::tie(X.Members_); }
 inline auto fields(Message &X) {
   return std::tie(X.From_, X.To_, X.Term_, X.Body_);
 }
 
 inline auto fields(LogBatch &X) { return std::tie(X.Hard_, X.Entries_); }
 inline auto fields(Identity &X) {
-  return std::tie(X.Group_, X.Self_, X.FounderPromise_);
+  return std::tie(X.Group_, X.Self_, X.CoordinatorPromise_);
 }
 
 /// The largest value of each enumeration.
--- a/src/replication/PendingCalls.cpp
+++ b/src/replication/PendingCalls.cpp
@@ -52,20 +52,20 @@
         fail(ErrorCode::NotLeader, "another leader's entry took its place"));
 }
 
-void PendingCalls::reachIndex(std::uint64_t Index) {
+void PendingCalls::completeReads(std::uint64_t Index) {
   while (!Reads_.empty() && Reads_.begin()->first <= Index) {
     auto Node = Reads_.extract(Reads_.begin());
     Node.mapped()(succeed());
   }
 }
 
-void PendingCalls::failPlaced(const Error &Why) {
+void PendingCalls::failAppended(const Error &Why) {
   for (auto &[Index, Each] : std::exchange(Placed_, {}))
     Each.Done_(failWith(Why));
 }
 
 void PendingCalls::failAll(const Error &Why) {
-  failPlaced(Why);
+  failAppended(Why);
   for (auto &[Id, Done] : std::exchange(Proposals_, {}))
     Done(failWith(Why));
   for (auto &[Id, Done] : std::exchange(Others_, {}))
--- a/src/replication/PendingCalls.h
+++ b/src/replication/PendingCalls.h
@@ -28,9 +28,9 @@
   void finish(const Finished &End, std::uint64_t AppliedIndex);
   void apply(const LogEntry &Entry, std::string Result);
   /// Answers the reads that waited for Index.
-  void reachIndex(std::uint64_t Index);
+  void completeReads(std::uint64_t Index);
   /// Fails the proposals that took a place in the log.
-  void failPlaced(const Error &Why);
+  void failAppended(const Error &Why);
   void failAll(const Error &Why);
 
 private:
--- a/src/replication/RaftCore.cpp
+++ b/src/replication/RaftCore.cpp
@@ -29,11 +29,11 @@
 }
 
 TimePoint RaftCore::getLeaseEnd() const {
-  bool IsHeld = Role_ == Role::Leader && hasOwnCommit() &&
+  bool IsHeld = Role_ == Role::Leader && hasCommittedInTerm() &&
                 !(Transfer_ && Transfer_->Sent_);
-  if (!IsHeld || LeaseFrom_ == TimePoint::min())
+  if (!IsHeld || LeaseStart_ == TimePoint::min())
     return TimePoint::min();
-  return LeaseFrom_ + Settings_.ElectionTimeout_ * 7 / 8;
+  return LeaseStart_ + Settings_.ElectionTimeout_ * 7 / 8;
 }
 
 void RaftCore::handle(const Tick &) {
@@ -53,7 +53,7 @@
 
 void RaftCore::handle(const Received &In) {
   const Message &From = In.Message_;
-  if (From.To_ != Settings_.Self_ || !admitTerm(From))
+  if (From.To_ != Settings_.Self_ || !checkTerm(From))
     return;
   std::visit([&](const auto &Body) { onMessage(From, Body); }, From.Body_);
 }
@@ -80,13 +80,13 @@
     advanceCommit();
 }
 
-void RaftCore::handle(const ReadAsked &In) {
+void RaftCore::handle(const ReadRequested &In) {
   if (Role_ != Role::Leader) {
     for (std::uint64_t Id : In.Ids_)
       finish(Id, makeNotLeader());
     return;
   }
-  std::uint64_t Index = std::max(Commit_, FirstOwnIndex_);
+  std::uint64_t Index = std::max(Commit_, FirstIndexOfTerm_);
   for (std::uint64_t Id : In.Ids_)
     Reads_.push_back({Id, Round_ + 1, Index});
   broadcastRound();
@@ -121,7 +121,7 @@
   return IsTooMuch ? KeepAfter : Limited;
 }
 
-void RaftCore::handle(const Founded &In) {
+void RaftCore::handle(const GroupBootstrapped &In) {
   if (!Log_.isEmpty() || Hard_.Term_ > 1)
     return;
   LogEntry First;
@@ -198,4 +198,6 @@
   return Values[Values.size() / 2];
 }
 
-bool RaftCore::hasOwnCommit() const { return Commit_ >= FirstOwnIndex_; }
+bool RaftCore::hasCommittedInTerm() const {
+  return Commit_ >= FirstIndexOfTerm_;
+}
--- a/src/replication/RaftCore.h
+++ b/src/replication/RaftCore.h
@@ -75,18 +75,18 @@
 
 enum class ChangeKind : std::uint8_t { AddLearner, Promote, Remove };
 
-struct ChangeAsked {
+struct ChangeRequested {
   std::uint64_t Id_ = 0;
   ChangeKind Kind_ = ChangeKind::AddLearner;
   MemberId Member_;
-  bool operator==(const ChangeAsked &) const = default;
+  bool operator==(const ChangeRequested &) const = default;
 };
 
-struct ReadAsked {
+struct ReadRequested {
   std::vector<std::uint64_t> Ids_;
 };
 
-struct TransferAsked {
+struct TransferRequested {
   std::uint64_t Id_ = 0;
   std::string To_ = {}; ///< A voter's name; empty: the best one.
 };
@@ -99,14 +99,14 @@
 };
 
 /// The group was founded with these members; only for an empty log.
-struct Founded {
+struct GroupBootstrapped {
   std::vector<Member> Members_;
 };
 
 struct Input {
   TimePoint Now_;
-  std::variant<Tick, Received, Proposed, Synced, ChangeAsked, ReadAsked,
-               TransferAsked, SnapshotTaken, Founded>
+  std::variant<Tick, Received, Proposed, Synced, ChangeRequested, ReadRequested,
+               TransferRequested, SnapshotTaken, GroupBootstrapped>
       Event_;
 };
 
@@ -126,14 +126,15 @@
 };
 
 /// The driver writes Hard_, Appended_ and Checkpoint_ in this order, syncs, and
-/// only then sends Late_. Early_ may go at once. Restore_ comes before
-/// Committed_. None of it may be dropped unless the member stops.
+/// only then sends MessagesAfterSync_. MessagesBeforeSync_ may go at once.
+/// Restore_ comes before Committed_. None of it may be dropped unless the
+/// member stops.
 struct Outputs {
   std::optional<HardState> Hard_;
   std::vector<LogEntry> Appended_; ///< Each cuts the log from its index on.
   std::optional<Checkpoint> Checkpoint_;
-  std::vector<Message> Early_;
-  std::vector<Message> Late_;
+  std::vector<Message> MessagesBeforeSync_;
+  std::vector<Message> MessagesAfterSync_;
   SnapshotRef Restore_;
   std::vector<LogEntry> Committed_;
   std::vector<Accepted> Accepted_;
@@ -156,14 +157,14 @@
   const std::optional<MemberId> &getLeader() const { return Leader_; }
   const RaftLog &getLog() const { return Log_; }
   /// The change of members that was asked for and has not ended.
-  const std::optional<ChangeAsked> &getChange() const { return Change_; }
+  const std::optional<ChangeRequested> &getChange() const { return Change_; }
   /// When this member last became leader.
   TimePoint getLeaderSince() const { return LeaderSince_; }
   /// For how long this leader has heard nothing of the member; zero of itself.
-  Duration getSilence(const MemberId &Id, TimePoint Now) const;
+  Duration getTimeSinceHeard(const MemberId &Id, TimePoint Now) const;
   /// For how long it has had no answer that the member's disk stands behind:
   /// one whose disk hangs is heard, and stores nothing.
-  Duration getStall(const MemberId &Id, TimePoint Now) const;
+  Duration getTimeSinceStored(const MemberId &Id, TimePoint Now) const;
   /// Until when no other leader can exist; the lowest time without a lease.
   TimePoint getLeaseEnd() const;
 
@@ -203,29 +204,29 @@
   void handle(const Received &In);
   void handle(const Proposed &In);
   void handle(const Synced &In);
-  void handle(const ChangeAsked &In);
-  void handle(const ReadAsked &In);
-  void handle(const TransferAsked &In);
+  void handle(const ChangeRequested &In);
+  void handle(const ReadRequested &In);
+  void handle(const TransferRequested &In);
   void handle(const SnapshotTaken &In);
-  void handle(const Founded &In);
+  void handle(const GroupBootstrapped &In);
 
   // Terms and elections, in RaftElection.cpp.
   void startPreVote();
   void startElection(bool IsTransfer);
-  void askForVotes(bool IsPreVote, bool IsTransfer);
+  void requestVotes(bool IsPreVote, bool IsTransfer);
   void becomeFollower(std::uint64_t Term, std::optional<MemberId> Leader);
   void becomeLeader();
-  void dropLeadership();
+  void endLeadership();
   void countVotes();
   void resetElectionTimer();
   void setElectionTimer(Duration AtLeast);
-  void giveWay(const MemberId &Other);
-  bool hasHeardLeaderLately() const;
+  void deferElection(const MemberId &Other);
+  bool hasRecentLeader() const;
   bool isUpToDate(const VoteRequest &Request) const;
-  bool admitTerm(const Message &From);
+  bool checkTerm(const Message &From);
   void onMessage(const Message &From, const VoteRequest &Body);
   void onMessage(const Message &From, const VoteReply &Body);
-  void onMessage(const Message &From, const TransferNow &Body);
+  void onMessage(const Message &From, const TimeoutNow &Body);
 
   // The follower's side, in RaftFollower.cpp.
   void onMessage(const Message &From, const AppendRequest &Body);
@@ -238,9 +239,9 @@
 
   // The leader's side, in RaftLeader.cpp.
   void onMessage(const Message &From, const AppendReply &Body);
-  void onMessage(const Message &From, const RoundHeard &Body);
+  void onMessage(const Message &From, const RoundAck &Body);
   void onMessage(const Message &From, const SnapshotReply &Body);
-  void noteAnswer(Progress &Peer, std::uint64_t Round);
+  void recordReply(Progress &Peer, std::uint64_t Round);
   void appendOwn(EntryKind Kind, std::string Command,
                  std::vector<Member> Members);
   void broadcastRound();
@@ -252,12 +253,12 @@
   void advanceCommit();
   void advanceRounds();
   void checkQuorum();
-  void syncProgress();
+  void updatePeerSet();
 
   // Membership and transfer, in RaftMembership.cpp.
   void tryChange();
   bool hasCaughtUp(const Progress &Learner);
-  std::optional<Error> findObjection(const ChangeAsked &Change) const;
+  std::optional<Error> validateChange(const ChangeRequested &Change) const;
   void finishChange();
   void tryTransfer();
   void checkTransferDeadline();
@@ -265,7 +266,7 @@
   // Joining messages are the founder's business, not the core's.
   void onMessage(const Message &, const JoinProbe &) {}
   void onMessage(const Message &, const JoinReply &) {}
-  void onMessage(const Message &, const FoundGroup &) {}
+  void onMessage(const Message &, const BootstrapGroup &) {}
 
   void setCommit(std::uint64_t Index);
   void setHard(HardState Hard);
@@ -280,7 +281,7 @@
   /// member itself is at Own.
   std::uint64_t findQuorumValue(std::uint64_t Progress::*Field,
                                 std::uint64_t Own) const;
-  bool hasOwnCommit() const;
+  bool hasCommittedInTerm() const;
   std::uint64_t limitCompaction(std::uint64_t KeepAfter) const;
 
   const CoreSettings Settings_;
@@ -299,25 +300,25 @@
   /// The last round acknowledged: its leader's term, its number.
   std::pair<std::uint64_t, std::uint64_t> LastRound_{};
   TimePoint ElectionDeadline_;
-  unsigned ElectionsInVain_ = 0; ///< Begun since a leader was last heard.
+  unsigned FailedElections_ = 0; ///< Begun since a leader was last heard.
   std::map<MemberId, bool> Votes_;
 
   /// The chunks of a snapshot that is arriving.
-  SnapshotChunk Arriving_;
+  SnapshotChunk IncomingSnapshot_;
 
   // Only while leading.
   std::map<MemberId, Progress> Peers_;
   TimePoint LeaderSince_{};
-  std::uint64_t FirstOwnIndex_ = 0;
+  std::uint64_t FirstIndexOfTerm_ = 0;
   std::uint64_t Round_ = 0;
   std::deque<Round> Rounds_;
-  TimePoint LeaseFrom_ = TimePoint::min();
+  TimePoint LeaseStart_ = TimePoint::min();
   TimePoint NextHeartbeat_{};
   std::vector<PendingRead> Reads_;
-  std::optional<ChangeAsked> Change_; ///< Waiting or appended.
-  std::uint64_t ChangeIndex_ = 0;     ///< 0 while waiting.
-  std::uint64_t CatchUpIndex_ = 0;    ///< What a learner must reach,
-  TimePoint CatchUpFrom_{};           ///< within an election timeout of this.
+  std::optional<ChangeRequested> Change_; ///< Waiting or appended.
+  std::uint64_t ChangeIndex_ = 0;         ///< 0 while waiting.
+  std::uint64_t CatchUpIndex_ = 0;        ///< What a learner must reach,
+  TimePoint CatchUpStart_{}; ///< within an election timeout of this.
   std::optional<Transfer> Transfer_;
 };
 
--- a/src/replication/RaftElection.cpp
+++ b/src/replication/RaftElection.cpp
@@ -10,7 +10,7 @@
 using namespace tulipweir::replication;
 
 /// Of the time that an election may take: four election timeouts at the most.
-static constexpr unsigned MostDoublings = 3;
+static constexpr unsigned MaxTimeoutDoublings = 3;
 
 void RaftCore::resetElectionTimer() {
   setElectionTimer(Settings_.ElectionTimeout_ * 5 / 4);
@@ -30,7 +30,7 @@
   // Another try comes sooner than the first: this one may be refused only
   // because a voter heard the leader a little later.
   setElectionTimer(Settings_.ElectionTimeout_ / 4);
-  askForVotes(true, false);
+  requestVotes(true, false);
   countVotes();
 }
 
@@ -43,13 +43,13 @@
   // the whole time again. Where several came to nothing, the disks may take
   // longer than that.
   setElectionTimer(Settings_.ElectionTimeout_ / 2 *
-                   (1 << std::min(ElectionsInVain_, MostDoublings)));
-  ++ElectionsInVain_;
-  askForVotes(false, IsTransfer);
+                   (1 << std::min(FailedElections_, MaxTimeoutDoublings)));
+  ++FailedElections_;
+  requestVotes(false, IsTransfer);
   countVotes();
 }
 
-void RaftCore::askForVotes(bool IsPreVote, bool IsTransfer) {
+void RaftCore::requestVotes(bool IsPreVote, bool IsTransfer) {
   VoteRequest Request;
   Request.PreVote_ = IsPreVote;
   Request.Transfer_ = IsTransfer;
@@ -60,7 +60,7 @@
     bool IsAsked =
         Each.Role_ == MemberRole::Voter && Each.Id_ != Settings_.Self_;
     if (IsAsked)
-      send(Out_.Late_, Each.Id_, Term, Request);
+      send(Out_.MessagesAfterSync_, Each.Id_, Term, Request);
   }
 }
 
@@ -78,7 +78,7 @@
 
 void RaftCore::becomeFollower(std::uint64_t Term,
                               std::optional<MemberId> Leader) {
-  dropLeadership();
+  endLeadership();
   Role_ = Role::Follower;
   Leader_ = std::move(Leader);
   Votes_.clear();
@@ -88,26 +88,26 @@
 
 void RaftCore::becomeLeader() {
   Role_ = Role::Leader;
-  ElectionsInVain_ = 0;
+  FailedElections_ = 0;
   Leader_ = Settings_.Self_;
   LeaderSince_ = Now_;
-  LeaseFrom_ = TimePoint::min();
+  LeaseStart_ = TimePoint::min();
   Round_ = 0;
   Rounds_.clear();
   Peers_.clear();
-  FirstOwnIndex_ = Log_.getLastIndex() + 1;
+  FirstIndexOfTerm_ = Log_.getLastIndex() + 1;
   // An entry of the own term: only with it may older ones be counted as
   // committed.
   appendOwn(EntryKind::NoOp, "", {});
   broadcastRound();
 }
 
-void RaftCore::dropLeadership() {
+void RaftCore::endLeadership() {
   if (Role_ != Role::Leader)
     return;
   Role_ = Role::Follower;
   Leader_.reset();
-  LeaseFrom_ = TimePoint::min();
+  LeaseStart_ = TimePoint::min();
   for (const PendingRead &Read : Reads_)
     finish(Read.Id_, makeNotLeader());
   Reads_.clear();
@@ -126,7 +126,7 @@
   resetElectionTimer();
 }
 
-bool RaftCore::hasHeardLeaderLately() const {
+bool RaftCore::hasRecentLeader() const {
   if (Role_ == Role::Leader)
     return true;
   return Now_ - LastHeard_ < Settings_.ElectionTimeout_;
@@ -140,12 +140,12 @@
 }
 
 /// Returns whether the message is to be handled, after following a higher term.
-bool RaftCore::admitTerm(const Message &From) {
+bool RaftCore::checkTerm(const Message &From) {
   const auto *Request = std::get_if<VoteRequest>(&From.Body_);
   if (Request && Request->PreVote_)
     return true;
   // Also its term is ignored: this is what leases and check-quorum rest on.
-  if (Request && !Request->Transfer_ && hasHeardLeaderLately())
+  if (Request && !Request->Transfer_ && hasRecentLeader())
     return false;
   const auto *Reply = std::get_if<VoteReply>(&From.Body_);
   if (Reply && Reply->PreVote_ && Reply->Granted_)
@@ -161,13 +161,13 @@
     return true;
   // A leader of an old term learns from this that it leads no longer.
   if (IsLeaders)
-    send(Out_.Late_, From.From_, Hard_.Term_, AppendReply{});
+    send(Out_.MessagesAfterSync_, From.From_, Hard_.Term_, AppendReply{});
   return false;
 }
 
 /// Two that try at once would split the votes: lets the other one go first, and
 /// of two that have both asked already, the one with the higher id.
-void RaftCore::giveWay(const MemberId &Other) {
+void RaftCore::deferElection(const MemberId &Other) {
   ElectionDeadline_ =
       std::max(ElectionDeadline_, Now_ + Settings_.ElectionTimeout_ / 4);
   if (Role_ == Role::PreCandidate && Other > Settings_.Self_)
@@ -179,11 +179,11 @@
   Reply.PreVote_ = Body.PreVote_;
   if (Body.PreVote_) {
     Reply.Granted_ =
-        From.Term_ > Hard_.Term_ && !hasHeardLeaderLately() && isUpToDate(Body);
+        From.Term_ > Hard_.Term_ && !hasRecentLeader() && isUpToDate(Body);
     if (Reply.Granted_)
-      giveWay(From.From_);
+      deferElection(From.From_);
     std::uint64_t Term = Reply.Granted_ ? From.Term_ : Hard_.Term_;
-    send(Out_.Late_, From.From_, Term, Reply);
+    send(Out_.MessagesAfterSync_, From.From_, Term, Reply);
     return;
   }
   bool IsFree = Hard_.Vote_.Name_.empty() || Hard_.Vote_ == From.From_;
@@ -193,7 +193,7 @@
     setHard({Hard_.Term_, From.From_});
     resetElectionTimer();
   }
-  send(Out_.Late_, From.From_, Hard_.Term_, Reply);
+  send(Out_.MessagesAfterSync_, From.From_, Hard_.Term_, Reply);
 }
 
 void RaftCore::onMessage(const Message &From, const VoteReply &Body) {
@@ -204,7 +204,7 @@
   countVotes();
 }
 
-void RaftCore::onMessage(const Message &From, const TransferNow &) {
+void RaftCore::onMessage(const Message &From, const TimeoutNow &) {
   bool IsFromLeader = Leader_ == From.From_ && Role_ == Role::Follower;
   if (IsFromLeader && isVoter(Settings_.Self_))
     startElection(true);
--- a/src/replication/RaftFollower.cpp
+++ b/src/replication/RaftFollower.cpp
@@ -15,7 +15,7 @@
   Role_ = Role::Follower;
   Leader_ = Leader;
   LastHeard_ = Now_;
-  ElectionsInVain_ = 0;
+  FailedElections_ = 0;
   resetElectionTimer();
 }
 
@@ -29,7 +29,7 @@
   if (Place <= LastRound_)
     return;
   LastRound_ = Place;
-  send(Out_.Early_, Leader, Hard_.Term_, RoundHeard{Round});
+  send(Out_.MessagesBeforeSync_, Leader, Hard_.Term_, RoundAck{Round});
 }
 
 /// Returns the last index at which the leader's log may match: entries of
@@ -52,7 +52,7 @@
   if (!IsMatch) {
     Reply.Index_ = Body.PrevIndex_;
     Reply.Hint_ = findHint(Body);
-    send(Out_.Late_, From.From_, Hard_.Term_, Reply);
+    send(Out_.MessagesAfterSync_, From.From_, Hard_.Term_, Reply);
     return;
   }
   storeEntries(Body.Entries_);
@@ -60,7 +60,7 @@
   Reply.Index_ = Body.PrevIndex_ + Body.Entries_.size();
   if (Body.Commit_ > Commit_ && Reply.Index_ > Commit_)
     setCommit(std::min(Body.Commit_, Reply.Index_));
-  send(Out_.Late_, From.From_, Hard_.Term_, Reply);
+  send(Out_.MessagesAfterSync_, From.From_, Hard_.Term_, Reply);
 }
 
 void RaftCore::storeEntries(const std::vector<LogEntry> &Entries) {
@@ -82,31 +82,31 @@
   Reply.Index_ = Body.Index_;
   if (Body.Index_ <= Commit_) {
     Reply.Installed_ = true;
-    send(Out_.Late_, From.From_, Hard_.Term_, Reply);
+    send(Out_.MessagesAfterSync_, From.From_, Hard_.Term_, Reply);
     return;
   }
-  bool IsSame = Arriving_.Index_ == Body.Index_ &&
-                Arriving_.LastTerm_ == Body.LastTerm_ &&
-                Arriving_.Digest_ == Body.Digest_ &&
-                Arriving_.Total_ == Body.Total_;
+  bool IsSame = IncomingSnapshot_.Index_ == Body.Index_ &&
+                IncomingSnapshot_.LastTerm_ == Body.LastTerm_ &&
+                IncomingSnapshot_.Digest_ == Body.Digest_ &&
+                IncomingSnapshot_.Total_ == Body.Total_;
   if (!IsSame) {
-    Arriving_ = Body;
-    Arriving_.Bytes_.clear();
+    IncomingSnapshot_ = Body;
+    IncomingSnapshot_.Bytes_.clear();
   }
-  if (Body.Offset_ == Arriving_.Bytes_.size())
-    Arriving_.Bytes_ += Body.Bytes_;
-  Reply.Received_ = Arriving_.Bytes_.size();
+  if (Body.Offset_ == IncomingSnapshot_.Bytes_.size())
+    IncomingSnapshot_.Bytes_ += Body.Bytes_;
+  Reply.Received_ = IncomingSnapshot_.Bytes_.size();
   if (Reply.Received_ >= Body.Total_) {
     installSnapshot(Body);
     Reply.Installed_ = Body.Index_ <= Commit_;
     Reply.Received_ = 0;
   }
-  send(Out_.Late_, From.From_, Hard_.Term_, Reply);
+  send(Out_.MessagesAfterSync_, From.From_, Hard_.Term_, Reply);
 }
 
 void RaftCore::installSnapshot(const SnapshotChunk &Last) {
-  std::string State = std::move(Arriving_.Bytes_);
-  Arriving_ = {};
+  std::string State = std::move(IncomingSnapshot_.Bytes_);
+  IncomingSnapshot_ = {};
   bool IsWhole = State.size() == Last.Total_ &&
                  XXH3_64bits(State.data(), State.size()) == Last.Digest_;
   if (!IsWhole)
--- a/src/replication/RaftLeader.cpp
+++ b/src/replication/RaftLeader.cpp
@@ -12,7 +12,7 @@
 
 /// Leaders give up after this many heartbeats without a sign that a chunk of a
 /// snapshot arrived, and send it again.
-constexpr int ChunkPatience = 4;
+constexpr int ChunkRetryHeartbeats = 4;
 
 void RaftCore::appendOwn(EntryKind Kind, std::string Command,
                          std::vector<Member> Members) {
@@ -24,11 +24,11 @@
   Entry.Members_ = std::move(Members);
   Log_.append(Entry);
   Out_.Appended_.push_back(std::move(Entry));
-  syncProgress();
+  updatePeerSet();
 }
 
 /// Keeps one Progress for each other member.
-void RaftCore::syncProgress() {
+void RaftCore::updatePeerSet() {
   if (Log_.getMembersIndex() != Log_.getLastIndex() && !Peers_.empty())
     return;
   std::map<MemberId, Progress> Kept;
@@ -105,12 +105,12 @@
     Peer.Next_ = Request.Entries_.back().Index_ + 1;
     Peer.InFlight_.push_back(Peer.Next_ - 1);
   }
-  send(Out_.Early_, To, Hard_.Term_, std::move(Request));
+  send(Out_.MessagesBeforeSync_, To, Hard_.Term_, std::move(Request));
 }
 
 void RaftCore::sendChunk(const MemberId &To, Progress &Peer) {
-  Duration Patience = Settings_.HeartbeatInterval_ * ChunkPatience;
-  bool IsUnderWay = Peer.Sending_ && Now_ - Peer.ChunkSentAt_ < Patience;
+  Duration RetryDelay = Settings_.HeartbeatInterval_ * ChunkRetryHeartbeats;
+  bool IsUnderWay = Peer.Sending_ && Now_ - Peer.ChunkSentAt_ < RetryDelay;
   if (IsUnderWay)
     return;
   if (!Peer.Sending_) {
@@ -128,10 +128,10 @@
   Chunk.Digest_ = XXH3_64bits(State.data(), State.size());
   Chunk.Bytes_ = State.substr(Peer.Offset_, Settings_.SnapshotChunkBytes_);
   Peer.ChunkSentAt_ = Now_;
-  send(Out_.Early_, To, Hard_.Term_, std::move(Chunk));
+  send(Out_.MessagesBeforeSync_, To, Hard_.Term_, std::move(Chunk));
 }
 
-void RaftCore::noteAnswer(Progress &Peer, std::uint64_t Round) {
+void RaftCore::recordReply(Progress &Peer, std::uint64_t Round) {
   Peer.LastHeard_ = Now_;
   Peer.AckedRound_ = std::max(Peer.AckedRound_, std::min(Round, Round_));
   advanceRounds();
@@ -143,7 +143,7 @@
     return;
   Progress &Peer = Known->second;
   Peer.LastStored_ = Now_;
-  noteAnswer(Peer, Body.Round_);
+  recordReply(Peer, Body.Round_);
   if (Body.Accepted_ && Body.Index_ > Log_.getLastIndex())
     return;
   if (!Body.Accepted_) {
@@ -177,10 +177,10 @@
     sendAppend(From.From_, Again->second, false);
 }
 
-void RaftCore::onMessage(const Message &From, const RoundHeard &Body) {
+void RaftCore::onMessage(const Message &From, const RoundAck &Body) {
   auto Known = Peers_.find(From.From_);
   if (Role_ == Role::Leader && Known != Peers_.end())
-    noteAnswer(Known->second, Body.Round_);
+    recordReply(Known->second, Body.Round_);
 }
 
 void RaftCore::onMessage(const Message &From, const SnapshotReply &Body) {
@@ -189,7 +189,7 @@
     return;
   Progress &Peer = Known->second;
   Peer.LastStored_ = Now_;
-  noteAnswer(Peer, Body.Round_);
+  recordReply(Peer, Body.Round_);
   if (!Peer.Sending_ || Peer.Sending_->Index_ != Body.Index_)
     return;
   if (Body.Installed_) {
@@ -229,7 +229,7 @@
 void RaftCore::advanceRounds() {
   std::uint64_t Confirmed = findQuorumValue(&Progress::AckedRound_, Round_);
   while (!Rounds_.empty() && Rounds_.front().Number_ <= Confirmed) {
-    LeaseFrom_ = Rounds_.front().SentAt_;
+    LeaseStart_ = Rounds_.front().SentAt_;
     Rounds_.pop_front();
   }
   auto Rest = std::stable_partition(
@@ -240,12 +240,12 @@
   Reads_.erase(Reads_.begin(), Rest);
 }
 
-Duration RaftCore::getSilence(const MemberId &Id, TimePoint Now) const {
+Duration RaftCore::getTimeSinceHeard(const MemberId &Id, TimePoint Now) const {
   const auto Known = Peers_.find(Id);
   return Known == Peers_.end() ? Duration(0) : Now - Known->second.LastHeard_;
 }
 
-Duration RaftCore::getStall(const MemberId &Id, TimePoint Now) const {
+Duration RaftCore::getTimeSinceStored(const MemberId &Id, TimePoint Now) const {
   const auto Known = Peers_.find(Id);
   return Known == Peers_.end() ? Duration(0) : Now - Known->second.LastStored_;
 }
--- a/src/replication/RaftMembership.cpp
+++ b/src/replication/RaftMembership.cpp
@@ -17,7 +17,7 @@
 }
 
 static std::vector<Member> makeChanged(std::vector<Member> All,
-                                       const ChangeAsked &Change) {
+                                       const ChangeRequested &Change) {
   std::erase_if(All,
                 [&](const Member &Each) { return Each.Id_ == Change.Member_; });
   if (Change.Kind_ == ChangeKind::AddLearner)
@@ -28,7 +28,7 @@
   return All;
 }
 
-void RaftCore::handle(const ChangeAsked &In) {
+void RaftCore::handle(const ChangeRequested &In) {
   if (Role_ != Role::Leader || Transfer_) {
     finish(In.Id_, makeNotLeader());
     return;
@@ -39,7 +39,7 @@
                                "yet; ask again when it is"));
     return;
   }
-  if (std::optional<Error> Why = findObjection(In)) {
+  if (std::optional<Error> Why = validateChange(In)) {
     finish(In.Id_, std::move(Why));
     return;
   }
@@ -50,11 +50,12 @@
                                      "another change of members came first"));
   Change_ = In;
   CatchUpIndex_ = Log_.getLastIndex();
-  CatchUpFrom_ = Now_;
+  CatchUpStart_ = Now_;
   tryChange();
 }
 
-std::optional<Error> RaftCore::findObjection(const ChangeAsked &Change) const {
+std::optional<Error>
+RaftCore::validateChange(const ChangeRequested &Change) const {
   const Member *Found = findMember(Log_.getMembers(), Change.Member_);
   const std::string &Name = Change.Member_.Name_;
   if (Change.Kind_ == ChangeKind::AddLearner) {
@@ -83,10 +84,10 @@
 bool RaftCore::hasCaughtUp(const Progress &Learner) {
   if (Learner.Match_ < CatchUpIndex_)
     return false;
-  if (Now_ - CatchUpFrom_ < Settings_.ElectionTimeout_)
+  if (Now_ - CatchUpStart_ < Settings_.ElectionTimeout_)
     return true;
   CatchUpIndex_ = Log_.getLastIndex();
-  CatchUpFrom_ = Now_;
+  CatchUpStart_ = Now_;
   return Learner.Match_ >= CatchUpIndex_;
 }
 
@@ -95,7 +96,7 @@
 /// a learner to be promoted has caught up.
 void RaftCore::tryChange() {
   bool IsWaiting = Role_ == Role::Leader && Change_ && ChangeIndex_ == 0;
-  bool IsSettled = hasOwnCommit() && Log_.getMembersIndex() <= Commit_;
+  bool IsSettled = hasCommittedInTerm() && Log_.getMembersIndex() <= Commit_;
   if (!IsWaiting || !IsSettled)
     return;
   if (Change_->Kind_ == ChangeKind::Promote) {
@@ -126,7 +127,7 @@
   becomeFollower(Hard_.Term_, std::nullopt);
 }
 
-void RaftCore::handle(const TransferAsked &In) {
+void RaftCore::handle(const TransferRequested &In) {
   if (Role_ != Role::Leader) {
     finish(In.Id_, makeNotLeader());
     return;
@@ -160,7 +161,7 @@
   if (!IsReady)
     return;
   Transfer_->Sent_ = true;
-  send(Out_.Late_, Transfer_->Target_, Hard_.Term_, TransferNow{});
+  send(Out_.MessagesAfterSync_, Transfer_->Target_, Hard_.Term_, TimeoutNow{});
 }
 
 /// A hand-over that came to nothing ends in a new term in any case: a leader
--- a/src/replication/Rejoin.cpp
+++ b/src/replication/Rejoin.cpp
@@ -5,21 +5,22 @@
 using namespace tulipweir;
 using namespace tulipweir::replication;
 
-static bool isNamed(const MemberStanding &Each, const std::string &Name) {
+static bool isNamed(const MemberHealth &Each, const std::string &Name) {
   return Each.Member_.Id_.Name_ == Name;
 }
 
-static bool isSilentNamesake(const MemberStanding &Each, const MemberId &Of) {
+static bool isUnresponsiveIncarnation(const MemberHealth &Each,
+                                      const MemberId &Of) {
   return isNamed(Each, Of.Name_) && Each.Member_.Id_ != Of && !Each.IsAlive_;
 }
 
 /// Whether the member that asks runs in the place of one that no longer does. A
 /// name is that of one VM: while one of its incarnations answers, a question
 /// from another is an old one that was held up.
-static bool isSuccessor(const std::vector<MemberStanding> &Members,
+static bool isSuccessor(const std::vector<MemberHealth> &Members,
                         const MemberId &Asker) {
   bool IsKnown = false;
-  for (const MemberStanding &Each : Members) {
+  for (const MemberHealth &Each : Members) {
     if (!isNamed(Each, Asker.Name_))
       continue;
     if (Each.Member_.Id_ == Asker || Each.IsAlive_)
@@ -29,55 +30,55 @@
   return IsKnown;
 }
 
-std::optional<ChangeAsked>
-replication::planRejoin(const std::vector<MemberStanding> &Members,
+std::optional<ChangeRequested>
+replication::planRejoin(const std::vector<MemberHealth> &Members,
                         const std::vector<MemberId> &Waiting) {
   // First, for a disk may be lost again before its member was promoted.
   for (const MemberId &Each : Waiting)
     if (isSuccessor(Members, Each))
-      return ChangeAsked{0, ChangeKind::AddLearner, Each};
-  for (const MemberStanding &Each : Members) {
+      return ChangeRequested{0, ChangeKind::AddLearner, Each};
+  for (const MemberHealth &Each : Members) {
     const MemberId &Id = Each.Member_.Id_;
     if (!Each.IsAlive_)
       continue;
-    const MemberStanding *Before = nullptr;
+    const MemberHealth *Before = nullptr;
     bool HasVoter = false;
-    for (const MemberStanding &Other : Members) {
-      if (!isSilentNamesake(Other, Id))
+    for (const MemberHealth &Other : Members) {
+      if (!isUnresponsiveIncarnation(Other, Id))
         continue;
       Before = &Other;
       HasVoter = HasVoter || Other.Member_.Role_ == MemberRole::Voter;
     }
     if (HasVoter && Each.Member_.Role_ == MemberRole::Learner)
-      return ChangeAsked{0, ChangeKind::Promote, Id};
+      return ChangeRequested{0, ChangeKind::Promote, Id};
     if (Before)
-      return ChangeAsked{0, ChangeKind::Remove, Before->Member_.Id_};
+      return ChangeRequested{0, ChangeKind::Remove, Before->Member_.Id_};
   }
   return std::nullopt;
 }
 
 /// Bounds what strangers can cost the leader.
-static constexpr std::size_t MostMembers = 32;
+static constexpr std::size_t MaxMembers = 32;
 
-std::optional<ChangeAsked>
-replication::planMembers(const std::vector<MemberStanding> &Members,
+std::optional<ChangeRequested>
+replication::planMembers(const std::vector<MemberHealth> &Members,
                          const std::vector<MemberId> &Waiting,
                          std::uint64_t TargetVoters) {
   for (const MemberId &Each : Waiting) {
     const bool IsStranger = std::none_of(
-        Members.begin(), Members.end(), [&](const MemberStanding &Known) {
+        Members.begin(), Members.end(), [&](const MemberHealth &Known) {
           return Known.Member_.Id_.Name_ == Each.Name_;
         });
-    if (IsStranger && Members.size() < MostMembers)
-      return ChangeAsked{0, ChangeKind::AddLearner, Each};
+    if (IsStranger && Members.size() < MaxMembers)
+      return ChangeRequested{0, ChangeKind::AddLearner, Each};
   }
   std::uint64_t Voters = 0;
-  const MemberStanding *Gone = nullptr;
-  const MemberStanding *Spare = nullptr;
-  for (const MemberStanding &Each : Members) {
+  const MemberHealth *Gone = nullptr;
+  const MemberHealth *Spare = nullptr;
+  for (const MemberHealth &Each : Members) {
     const bool IsVoter = Each.Member_.Role_ == MemberRole::Voter;
     Voters += IsVoter ? 1 : 0;
-    if (IsVoter && Each.IsGone_ && !Gone)
+    if (IsVoter && Each.IsUnresponsive_ && !Gone)
       Gone = &Each;
     if (!IsVoter && Each.IsAlive_ && !Spare)
       Spare = &Each;
@@ -85,8 +86,8 @@
   const bool IsShort =
       Voters < TargetVoters || (Gone && Voters == TargetVoters);
   if (Spare && IsShort)
-    return ChangeAsked{0, ChangeKind::Promote, Spare->Member_.Id_};
+    return ChangeRequested{0, ChangeKind::Promote, Spare->Member_.Id_};
   if (Gone && Voters > TargetVoters)
-    return ChangeAsked{0, ChangeKind::Remove, Gone->Member_.Id_};
+    return ChangeRequested{0, ChangeKind::Remove, Gone->Member_.Id_};
   return std::nullopt;
 }
--- a/src/replication/Rejoin.h
+++ b/src/replication/Rejoin.h
@@ -19,24 +19,24 @@
 namespace tulipweir::replication {
 
 /// A member as the leader sees it.
-struct MemberStanding {
+struct MemberHealth {
   Member Member_;
   bool IsAlive_ = false; ///< Its disk answered within an election timeout.
-  bool IsGone_ = false;  ///< It has not for so long that it is given up.
+  bool IsUnresponsive_ = false; ///< It has not for so long that it is given up.
 };
 
 /// Waiting are members without a log that have asked to join. Strangers among
 /// them are left to the operator. Which of two incarnations is the later one is
 /// told by which of them answers, not by their numbers: those come from a clock
 /// that may have been set back between them.
-std::optional<ChangeAsked>
-planRejoin(const std::vector<MemberStanding> &Members,
+std::optional<ChangeRequested>
+planRejoin(const std::vector<MemberHealth> &Members,
            const std::vector<MemberId> &Waiting);
 
 /// A gone voter is removed only while there is one voter more than wanted, so
 /// the number of voters that answer never falls by it.
-std::optional<ChangeAsked>
-planMembers(const std::vector<MemberStanding> &Members,
+std::optional<ChangeRequested>
+planMembers(const std::vector<MemberHealth> &Members,
             const std::vector<MemberId> &Waiting, std::uint64_t TargetVoters);
 
 } // namespace tulipweir::replication
--- a/src/replication/Replica.cpp
+++ b/src/replication/Replica.cpp
@@ -13,7 +13,7 @@
 constexpr int RandomBits = 20;
 
 /// Never the same twice. Rises as long as the wall clock does, which only the
-/// very first start of a group relies on (GroupFounder).
+/// very first start of a group relies on (GroupBootstrap).
 static std::uint64_t makeIncarnation(const Clock &Time) {
   std::random_device Random;
   std::uint64_t Low = Random() & ((1U << RandomBits) - 1);
@@ -21,7 +21,7 @@
   return Millis << RandomBits | Low;
 }
 
-static std::optional<Error> findObjection(const ReplicaSettings &Settings) {
+static std::optional<Error> validateSettings(const ReplicaSettings &Settings) {
   if (Settings.Name_.empty() || Settings.Group_.empty())
     return Error::make(ErrorCode::InvalidArgument,
                        "a replica needs a name and a group");
@@ -44,7 +44,7 @@
   if (IsDamaged) {
     Start.LostDisk_ = Opened.error().Message_;
     std::string Tag = std::to_string(Start.Owner_.Self_.Incarnation_);
-    BOOST_OUTCOME_TRYV(FolderStorage::setAside(Files, Folder, Tag));
+    BOOST_OUTCOME_TRYV(FolderStorage::quarantine(Files, Folder, Tag));
     Opened = FolderStorage::open(Files, Folder, Start.Owner_);
   }
   if (!Opened)
@@ -59,7 +59,7 @@
                                                 StateMachine &Machine,
                                                 Transport &Out,
                                                 const Clock &Time) {
-  if (std::optional<Error> Why = findObjection(Settings))
+  if (std::optional<Error> Why = validateSettings(Settings))
     return fail(Why->Code_, Why->Message_);
   ReplicaStart Start;
   Start.Settings_ = Settings;
--- a/src/replication/ReplicaDriver.cpp
+++ b/src/replication/ReplicaDriver.cpp
@@ -48,10 +48,12 @@
       Storage_(std::move(Start.Storage_)),
       Core_(makeCoreSettings(Settings_, Start.Owner_.Self_), Time.now(),
             Start.Stored_),
-      Founder_(Start.Owner_, Settings_.FirstVoters_, Settings_.MayFound_),
+      Bootstrap_(Start.Owner_, Settings_.InitialVoters_,
+                 Settings_.MayBootstrap_),
       Hard_(Start.Stored_.Hard_), Applied_(Core_.getCommit()),
       NextSnapshot_(planFirstSnapshot(Settings_, Applied_)),
-      NextTick_(Time.now()), NextAsk_(Time.now()), NextRejoin_(Time.now()) {
+      NextTick_(Time.now()), NextJoinProbe_(Time.now()),
+      NextMembershipCheck_(Time.now()) {
   if (Start.Stored_.Snapshot_)
     SnapshotBytes_ = Start.Stored_.Snapshot_->State_.size();
   Status_.Self_ = Start.Owner_.Self_;
@@ -97,22 +99,23 @@
   post([&](Inbox &In) { In.Reads_.push_back(std::move(Done)); });
 }
 
-void ReplicaDriver::askChange(ChangeKind Kind, MemberId Id, DoneCallback Done) {
+void ReplicaDriver::requestChange(ChangeKind Kind, MemberId Id,
+                                  DoneCallback Done) {
   post([&](Inbox &In) {
     In.Changes_.push_back({Kind, std::move(Id), std::move(Done)});
   });
 }
 
 void ReplicaDriver::addLearner(MemberId Id, DoneCallback Done) {
-  askChange(ChangeKind::AddLearner, std::move(Id), std::move(Done));
+  requestChange(ChangeKind::AddLearner, std::move(Id), std::move(Done));
 }
 
 void ReplicaDriver::promote(MemberId Id, DoneCallback Done) {
-  askChange(ChangeKind::Promote, std::move(Id), std::move(Done));
+  requestChange(ChangeKind::Promote, std::move(Id), std::move(Done));
 }
 
 void ReplicaDriver::remove(MemberId Id, DoneCallback Done) {
-  askChange(ChangeKind::Remove, std::move(Id), std::move(Done));
+  requestChange(ChangeKind::Remove, std::move(Id), std::move(Done));
 }
 
 void ReplicaDriver::transferLeadership(DoneCallback Done) {
@@ -152,18 +155,19 @@
 ReplicaDriver::Inbox ReplicaDriver::takeInbox() {
   std::unique_lock Guard(InboxLock_);
   for (TimePoint Now = Time_.now(); Now < NextTick_; Now = Time_.now()) {
-    const bool AreDue = !Inbox_.Calls_.empty() && Now >= NextProposals_;
+    const bool AreDue = !Inbox_.Calls_.empty() && Now >= NextProposalTime_;
     if (AreDue || Inbox_.isUrgent())
       break;
-    const TimePoint Until =
-        Inbox_.Calls_.empty() ? NextTick_ : std::min(NextTick_, NextProposals_);
+    const TimePoint Until = Inbox_.Calls_.empty()
+                                ? NextTick_
+                                : std::min(NextTick_, NextProposalTime_);
     Wake_.wait_for(Guard, Until - Now);
   }
   bool IsStopping = Inbox_.IsStopping_;
   Inbox Taken = std::exchange(Inbox_, Inbox{});
   Inbox_.IsStopping_ = IsStopping;
   // Something else was urgent; proposals gather on.
-  if (!IsStopping && Time_.now() < NextProposals_)
+  if (!IsStopping && Time_.now() < NextProposalTime_)
     std::swap(Taken.Calls_, Inbox_.Calls_);
   return Taken;
 }
@@ -191,63 +195,65 @@
   for (const Synced &Mark : In.Synced_)
     step(Mark);
   for (const std::string &Bytes : In.Messages_)
-    receiveOne(Bytes);
+    handleMessage(Bytes);
   proposeAll(In.Calls_);
-  ReadAsked Reads;
+  ReadRequested Reads;
   for (DoneCallback &Done : In.Reads_)
     Reads.Ids_.push_back(Pending_.addOther(std::move(Done)));
   if (!Reads.Ids_.empty())
     step(std::move(Reads));
   for (Change &Each : In.Changes_)
-    step(ChangeAsked{Pending_.addOther(std::move(Each.Done_)), Each.Kind_,
-                     std::move(Each.Member_)});
-  for (HandOver &Each : In.Transfers_)
-    step(TransferAsked{Pending_.addOther(std::move(Each.Done_)),
-                       std::move(Each.To_)});
+    step(ChangeRequested{Pending_.addOther(std::move(Each.Done_)), Each.Kind_,
+                         std::move(Each.Member_)});
+  for (TransferCall &Each : In.Transfers_)
+    step(TransferRequested{Pending_.addOther(std::move(Each.Done_)),
+                           std::move(Each.To_)});
 }
 
 void ReplicaDriver::tick() {
   NextTick_ = Time_.now() + tickInterval(Settings_);
   step(Tick{});
-  rejoinNext();
-  if (HasFailed_ || Time_.now() < NextAsk_)
+  proposeMembershipChange();
+  if (HasFailed_ || Time_.now() < NextJoinProbe_)
     return;
-  NextAsk_ = Time_.now() + Settings_.ElectionTimeout_ / 2;
+  NextJoinProbe_ = Time_.now() + Settings_.ElectionTimeout_ / 2;
   if (Core_.getLog().isEmpty())
-    return carryOut(Founder_.ask(getHoldings()));
+    return processOutputs(Bootstrap_.ask(getLocalState()));
   // Nobody tells a member that was removed while it was away.
   if (Settings_.TargetVoters_ > 0 && !Core_.getLeader())
-    carryOut(Founder_.seek());
+    processOutputs(Bootstrap_.requestJoin());
 }
 
-void ReplicaDriver::rejoinNext() {
+void ReplicaDriver::proposeMembershipChange() {
   bool IsDue = Settings_.RejoinsLostDisks_ && !HasFailed_ &&
-               Core_.getRole() == Role::Leader && Time_.now() >= NextRejoin_;
+               Core_.getRole() == Role::Leader &&
+               Time_.now() >= NextMembershipCheck_;
   if (!IsDue)
     return;
-  NextRejoin_ = Time_.now() + Settings_.HeartbeatInterval_;
-  const std::optional<ChangeAsked> &Current = Core_.getChange();
+  NextMembershipCheck_ = Time_.now() + Settings_.HeartbeatInterval_;
+  const std::optional<ChangeRequested> &Current = Core_.getChange();
   // An operator's change goes first; one of ours may have become pointless.
   if (Current && Current->Id_ != 0)
     return;
-  const std::vector<MemberStanding> Standings = listStandings();
-  auto Next = planRejoin(Standings, getWaiting());
+  const std::vector<MemberHealth> Health = listMemberHealth();
+  auto Next = planRejoin(Health, getJoinRequests());
   if (!Next && Settings_.TargetVoters_ > 0)
-    Next = planMembers(Standings, getWaiting(), Settings_.TargetVoters_);
+    Next = planMembers(Health, getJoinRequests(), Settings_.TargetVoters_);
   if (!Next || Next == Current)
     return;
   if (Next->Kind_ == ChangeKind::AddLearner)
-    Founder_.forgetWaiting(Next->Member_.Name_);
+    Bootstrap_.removeJoinRequest(Next->Member_.Name_);
   step(*Next);
 }
 
-void ReplicaDriver::receiveOne(const std::string &Bytes) {
+void ReplicaDriver::handleMessage(const std::string &Bytes) {
   Outcome<Message> Decoded = decodeMessage(Settings_.Group_, Bytes);
   if (!Decoded || HasFailed_)
     return;
-  bool IsFounding = std::holds_alternative<JoinProbe>(Decoded.value().Body_) ||
-                    std::holds_alternative<JoinReply>(Decoded.value().Body_) ||
-                    std::holds_alternative<FoundGroup>(Decoded.value().Body_);
+  bool IsBootstrapMessage =
+      std::holds_alternative<JoinProbe>(Decoded.value().Body_) ||
+      std::holds_alternative<JoinReply>(Decoded.value().Body_) ||
+      std::holds_alternative<BootstrapGroup>(Decoded.value().Body_);
   const std::optional<MemberId> &Leader = Core_.getLeader();
   const bool IsForLeader =
       std::holds_alternative<JoinProbe>(Decoded.value().Body_) && Leader &&
@@ -259,8 +265,8 @@
     Passed.To_ = MemberId{Leader->Name_, 0};
     sendAll({Passed});
   }
-  if (IsFounding)
-    carryOut(Founder_.receive(Decoded.value(), getHoldings()));
+  if (IsBootstrapMessage)
+    processOutputs(Bootstrap_.receive(Decoded.value(), getLocalState()));
   else
     step(Received{std::move(Decoded.value())});
 }
@@ -273,7 +279,7 @@
   }
   if (Batch.Proposals_.empty())
     return;
-  NextProposals_ = Time_.now() + Settings_.ProposalPause_;
+  NextProposalTime_ = Time_.now() + Settings_.ProposalBatchInterval_;
   step(std::move(Batch));
 }
 
@@ -283,13 +289,13 @@
                                  "this replica has stopped; see its status"));
     return;
   }
-  carryOut(Core_.step({Time_.now(), std::move(Event)}));
+  processOutputs(Core_.step({Time_.now(), std::move(Event)}));
 }
 
-void ReplicaDriver::carryOut(Outputs Out) {
+void ReplicaDriver::processOutputs(Outputs Out) {
   // Before anything leaves: handing over leadership rests on it.
   setLease({Core_.getLeaseEnd(), Core_.getTerm()});
-  sendAll(Out.Early_);
+  sendAll(Out.MessagesBeforeSync_);
   write(Out);
   for (const Accepted &Place : Out.Accepted_)
     Pending_.accept(Place);
@@ -300,7 +306,7 @@
     Pending_.finish(End, Applied_);
   bool IsLeader = Core_.getRole() == Role::Leader;
   if (std::exchange(WasLeader_, IsLeader) && !IsLeader)
-    Pending_.failPlaced(
+    Pending_.failAppended(
         Error::make(ErrorCode::Unavailable,
                     "leadership was lost; it may or may not take effect"));
   if (!Out.Committed_.empty())
@@ -314,7 +320,7 @@
     Hard_ = std::move(*Out.Hard_);
   Job.Batch_ = {Hard_, std::move(Out.Appended_)};
   Job.Checkpoint_ = std::move(Out.Checkpoint_);
-  Job.Messages_ = std::move(Out.Late_);
+  Job.Messages_ = std::move(Out.MessagesAfterSync_);
   if (Job.HasBatch_ || Job.Checkpoint_ || !Job.Messages_.empty())
     Writer_->submit(std::move(Job));
 }
@@ -346,7 +352,7 @@
   Machine_.endBatch();
   for (std::size_t I = 0; I < Entries.size(); ++I)
     Pending_.apply(Entries[I], std::move(Results[I]));
-  Pending_.reachIndex(Applied_);
+  Pending_.completeReads(Applied_);
 }
 
 /// Snapshots cost no more bytes than the log itself, and are never put off for
@@ -371,17 +377,17 @@
   step(SnapshotTaken{Applied_, std::move(State), Applied_ - Kept});
 }
 
-Holdings ReplicaDriver::getHoldings() const {
+LocalState ReplicaDriver::getLocalState() const {
   const RaftLog &Log = Core_.getLog();
-  Holdings Held;
-  Held.IsEmpty_ = Log.isEmpty() && Core_.getTerm() == 0;
+  LocalState Local;
+  Local.IsEmpty_ = Log.isEmpty() && Core_.getTerm() == 0;
   bool HasFirst = Log.getBaseIndex() == 0 && !Log.isEmpty();
   if (HasFirst)
-    Held.FirstMembers_ = Log.at(1).Members_;
-  return Held;
+    Local.InitialMembers_ = Log.at(1).Members_;
+  return Local;
 }
 
-void ReplicaDriver::carryOut(FounderOutputs Out) {
+void ReplicaDriver::processOutputs(BootstrapOutputs Out) {
   if (Out.Promise_) {
     Outcome<void> Saved = Storage_->saveIdentity(*Out.Promise_);
     if (!Saved) {
@@ -389,8 +395,8 @@
       return;
     }
   }
-  if (!Out.Founded_.empty())
-    step(Founded{std::move(Out.Founded_)});
+  if (!Out.BootstrapMembers_.empty())
+    step(GroupBootstrapped{std::move(Out.BootstrapMembers_)});
   // Behind the founding entry in the writer's queue.
   WriteJob Job;
   Job.Messages_ = std::move(Out.Messages_);
@@ -419,52 +425,53 @@
   Status_.AppliedIndex_ = Applied_;
   Status_.LeaderSince_ = Core_.getLeaderSince();
   Status_.Members_ = Core_.getLog().getMembers();
-  publishStandings();
+  publishMemberHealth();
   Status_.LogBytes_ = Storage_->countBytes();
   Status_.Syncs_ = Storage_->countSyncs();
-  Status_.Waiting_ = getWaiting();
+  Status_.JoinRequests_ = getJoinRequests();
 }
 
-std::vector<MemberStanding> ReplicaDriver::listStandings() const {
-  std::vector<MemberStanding> Standings;
+std::vector<MemberHealth> ReplicaDriver::listMemberHealth() const {
+  std::vector<MemberHealth> Health;
   for (const Member &Each : Core_.getLog().getMembers()) {
-    const Duration Stall = Core_.getStall(Each.Id_, Time_.now());
-    Standings.push_back({Each, Stall < Settings_.ElectionTimeout_,
-                         Stall >= Settings_.GoneAfter_});
+    const Duration Stall = Core_.getTimeSinceStored(Each.Id_, Time_.now());
+    Health.push_back({Each, Stall < Settings_.ElectionTimeout_,
+                      Stall >= Settings_.UnresponsiveAfter_});
   }
-  return Standings;
+  return Health;
 }
 
 /// Guarded by the caller.
-void ReplicaDriver::publishStandings() {
-  Status_.Heard_.clear();
-  Status_.Gone_.clear();
+void ReplicaDriver::publishMemberHealth() {
+  Status_.Responsive_.clear();
+  Status_.Unresponsive_.clear();
   if (!Status_.IsLeader_)
     return;
-  for (const MemberStanding &Each : listStandings()) {
+  for (const MemberHealth &Each : listMemberHealth()) {
     const std::string &Name = Each.Member_.Id_.Name_;
     if (Name == Settings_.Name_)
       continue;
     if (Each.IsAlive_)
-      Status_.Heard_.push_back(Name);
+      Status_.Responsive_.push_back(Name);
     // One whose disk hangs still passes on what it hears.
-    if (Core_.getSilence(Each.Member_.Id_, Time_.now()) >= Settings_.GoneAfter_)
-      Status_.Gone_.push_back(Name);
+    if (Core_.getTimeSinceHeard(Each.Member_.Id_, Time_.now()) >=
+        Settings_.UnresponsiveAfter_)
+      Status_.Unresponsive_.push_back(Name);
   }
 }
 
-std::vector<MemberId> ReplicaDriver::getWaiting() const {
+std::vector<MemberId> ReplicaDriver::getJoinRequests() const {
   const std::vector<Member> &Members = Core_.getLog().getMembers();
-  std::vector<MemberId> Waiting;
-  for (const auto &[Name, Incarnation] : Founder_.getWaiting()) {
+  std::vector<MemberId> JoinRequests;
+  for (const auto &[Name, Incarnation] : Bootstrap_.getJoinRequests()) {
     MemberId Id{Name, Incarnation};
     bool IsMember =
         std::any_of(Members.begin(), Members.end(),
                     [&](const Member &Each) { return Each.Id_ == Id; });
     if (!IsMember)
-      Waiting.push_back(std::move(Id));
+      JoinRequests.push_back(std::move(Id));
   }
-  return Waiting;
+  return JoinRequests;
 }
 
 void ReplicaDriver::sendAll(const std::vector<Message> &Messages) {
--- a/src/replication/ReplicaDriver.h
+++ b/src/replication/ReplicaDriver.h
@@ -10,7 +10,7 @@
 
 #include "tulipweir/replication/StateMachine.h"
 
-#include "replication/GroupFounder.h"
+#include "replication/GroupBootstrap.h"
 #include "replication/LogStorage.h"
 #include "replication/LogWriter.h"
 #include "replication/PendingCalls.h"
@@ -67,7 +67,7 @@
     MemberId Member_;
     DoneCallback Done_;
   };
-  struct HandOver {
+  struct TransferCall {
     std::string To_; ///< Empty: to the best other voter.
     DoneCallback Done_;
   };
@@ -78,7 +78,7 @@
     std::vector<Call> Calls_;
     std::vector<DoneCallback> Reads_;
     std::vector<Change> Changes_;
-    std::vector<HandOver> Transfers_;
+    std::vector<TransferCall> Transfers_;
     std::optional<Error> Failure_;
     bool IsStopping_ = false;
     bool isEmpty() const { return Calls_.empty() && !isUrgent(); }
@@ -88,28 +88,28 @@
 
   /// Hands something in; Edit runs under the lock.
   template <class Function> void post(Function Edit);
-  void askChange(ChangeKind Kind, MemberId Id, DoneCallback Done);
+  void requestChange(ChangeKind Kind, MemberId Id, DoneCallback Done);
 
   // All below runs on the driver's thread.
   void run();
   Inbox takeInbox();
   void handleInbox(Inbox &In);
   void tick();
-  void receiveOne(const std::string &Bytes);
+  void handleMessage(const std::string &Bytes);
   void proposeAll(std::vector<Call> &Calls);
   void step(decltype(Input::Event_) Event);
-  void carryOut(Outputs Out);
+  void processOutputs(Outputs Out);
   void write(Outputs &Out);
   void restore(const Snapshot &From);
   void applyAll(const std::vector<LogEntry> &Entries);
   bool isSnapshotDue() const;
   void takeSnapshotIfDue();
-  Holdings getHoldings() const;
-  std::vector<MemberId> getWaiting() const;
-  std::vector<MemberStanding> listStandings() const;
-  void publishStandings();
-  void rejoinNext();
-  void carryOut(FounderOutputs Out);
+  LocalState getLocalState() const;
+  std::vector<MemberId> getJoinRequests() const;
+  std::vector<MemberHealth> listMemberHealth() const;
+  void publishMemberHealth();
+  void proposeMembershipChange();
+  void processOutputs(BootstrapOutputs Out);
   void failWith(const Error &Why);
   void setLease(const LeaderLease &Value);
   void publish();
@@ -122,7 +122,7 @@
   const std::unique_ptr<LogStorage> Storage_;
 
   RaftCore Core_;
-  GroupFounder Founder_;
+  GroupBootstrap Bootstrap_;
   PendingCalls Pending_;
   HardState Hard_;
   std::uint64_t Applied_ = 0;
@@ -132,9 +132,9 @@
   bool WasLeader_ = false;
   bool HasFailed_ = false;
   TimePoint NextTick_;
-  TimePoint NextProposals_{}; ///< Until then they gather.
-  TimePoint NextAsk_;
-  TimePoint NextRejoin_;
+  TimePoint NextProposalTime_{}; ///< Until then they gather.
+  TimePoint NextJoinProbe_;
+  TimePoint NextMembershipCheck_;
 
   std::mutex InboxLock_;
   std::condition_variable Wake_;
--- a/tests/control/Fakes.h
+++ b/tests/control/Fakes.h
@@ -101,7 +101,7 @@
     Status.LeaderName_ = BelievesToLead_ ? Name_ : leaderName();
     Status.Term_ = BelievesToLead_ ? BelievedTerm_ : Log_.Term_;
     Status.Members_ = Members_;
-    Status.Waiting_ = Waiting_;
+    Status.JoinRequests_ = Waiting_;
     return Status;
   }
   void addLearner(replication::MemberId Id,
--- a/tests/jobservice/LeadershipTransferPolicyTest.cpp
+++ b/tests/jobservice/LeadershipTransferPolicyTest.cpp
@@ -27,7 +27,7 @@
     for (const char *Name : {"me", "x", "y"})
       Status_.Members_.push_back({{Name, 1}, replication::MemberRole::Voter});
     Status_.Members_.push_back({{"new", 1}, replication::MemberRole::Learner});
-    Status_.Heard_ = {"x", "y", "new"};
+    Status_.Responsive_ = {"x", "y", "new"};
     Status_.IsLeader_ = true;
     Status_.LeaderSince_ = Time_.now() - 1min;
   }
@@ -87,7 +87,7 @@
 TEST_F(LeadershipTransferPolicyTest, WhoIsNotHeardOrSaidItLongAgoIsNotTaken) {
   Policy_.recordProbe("x", 70us);
   Policy_.recordProbe("y", 90us);
-  Status_.Heard_ = {"y"};
+  Status_.Responsive_ = {"y"};
   EXPECT_EQ(find(210us), "y");
   Time_.advance(3s);
   EXPECT_EQ(find(210us), "");
--- a/tests/jobservice/RelayFlushTest.cpp
+++ b/tests/jobservice/RelayFlushTest.cpp
@@ -62,7 +62,7 @@
   Flush_.onBatch(Asked_[0].Request_.Id_, {"a"});
   Flush_.retryExpired();
   EXPECT_FALSE(Got_) << "it may only be slow";
-  Status_.Gone_ = {"y"};
+  Status_.Unresponsive_ = {"y"};
   Flush_.retryExpired();
   ASSERT_TRUE(Got_);
   EXPECT_EQ(*Got_, ReportRelays::Heard{"a"});
--- a/tests/replication/CoreCluster.cpp
+++ b/tests/replication/CoreCluster.cpp
@@ -8,15 +8,16 @@
 using namespace tulipweir::replication;
 
 constexpr CoreCluster::Millis StepMs = 5;
-constexpr CoreCluster::Millis DayMs = 3500;
-constexpr CoreCluster::Millis HealMs = 6000;
+constexpr CoreCluster::Millis FaultPhaseMs = 3500;
+constexpr CoreCluster::Millis RecoveryMs = 6000;
 constexpr std::uint64_t SnapshotEvery = 25;
 /// Clocks differ by less than the margin that the lease allows for.
 constexpr double SlowestClock = 0.94;
 constexpr double FastestClock = 1.06;
 
 CoreCluster::CoreCluster(std::uint64_t Seed, std::vector<PlannedFault> Plan)
-    : Random_(Seed), Plan_(std::move(Plan)), IsRough_(Seed % 2 == 1) {
+    : Random_(Seed), Plan_(std::move(Plan)),
+      InjectsRandomFaults_(Seed % 2 == 1) {
   // An answer takes up to four of these; with more than an election timeout no
   // leader could last.
   constexpr Millis Delays[] = {0, 5, 10, 20};
@@ -33,7 +34,7 @@
     Each.Rate_ = Rate(Random_);
     start(Each);
     if (Each.IsWanted_)
-      step(Each, Founded{First});
+      step(Each, GroupBootstrapped{First});
   }
 }
 
@@ -48,18 +49,18 @@
 }
 
 void CoreCluster::expect(bool Holds, const std::string &What) {
-  if (!Holds && Broken_.empty())
-    Broken_ = What + " at " + std::to_string(Now_) + " ms";
+  if (!Holds && Violation_.empty())
+    Violation_ = What + " at " + std::to_string(Now_) + " ms";
 }
 
-bool CoreCluster::hasStruck() const {
+bool CoreCluster::haveAllFaultsOccurred() const {
   return std::all_of(Plan_.begin(), Plan_.end(),
                      [](const PlannedFault &Each) { return Each.Done_; });
 }
 
 std::string CoreCluster::run() {
-  for (; Now_ < DayMs && Broken_.empty(); Now_ += StepMs) {
-    runScript();
+  for (; Now_ < FaultPhaseMs && Violation_.empty(); Now_ += StepMs) {
+    runScenario();
     tickAll();
   }
   IsHealing_ = true;
@@ -67,14 +68,14 @@
     Each.Until_.clear();
     Each.FrozenUntil_ = 0;
   }
-  Millis End = Now_ + HealMs;
-  for (; Now_ < End && Broken_.empty() && !isSettled(); Now_ += StepMs)
+  Millis End = Now_ + RecoveryMs;
+  for (; Now_ < End && Violation_.empty() && !hasConverged(); Now_ += StepMs)
     tickAll();
-  expect(isSettled(), "the group did not settle after all was healed");
-  return Broken_;
+  expect(hasConverged(), "the group did not settle after all was healed");
+  return Violation_;
 }
 
-void CoreCluster::runScript() {
+void CoreCluster::runScenario() {
   if (Now_ == 300) {
     Node &Down = std::next(Nodes_.begin(), pick(0, 2))->second;
     if (Down.Core_) {
@@ -82,8 +83,8 @@
       Down.RestartAt_ = Now_ + 600;
     }
   }
-  if (IsRough_ && pick(0, 19) == 0)
-    blow();
+  if (InjectsRandomFaults_ && pick(0, 19) == 0)
+    injectRandomFaults();
   if (Now_ == 1600)
     Nodes_["d"].IsWanted_ = true;
   if (Now_ == 2700)
@@ -91,7 +92,7 @@
   bool IsHandOver = Now_ == 1300 || Now_ == 2400 || Now_ == 3000;
   Node *Leader = IsHandOver ? findLeader() : nullptr;
   if (Leader)
-    step(*Leader, TransferAsked{++NextId_});
+    step(*Leader, TransferRequested{++NextId_});
 }
 
 void CoreCluster::tickAll() {
@@ -100,12 +101,12 @@
     Order.push_back(&Each);
   std::shuffle(Order.begin(), Order.end(), Random_);
   for (Node *Each : Order) {
-    turn(*Each);
+    runNode(*Each);
     checkLeases();
   }
 }
 
-void CoreCluster::turn(Node &Which) {
+void CoreCluster::runNode(Node &Which) {
   if (!Which.Core_ && Now_ >= Which.RestartAt_)
     start(Which);
   if (!Which.Core_ || Now_ < Which.FrozenUntil_)
@@ -120,7 +121,7 @@
   if (IsTick && Which.Core_ && Which.Core_->getRole() == Role::Leader) {
     propose(Which);
     if (Which.Core_ && pick(0, 3) == 0)
-      repair(Which);
+      reconcileMembers(Which);
   }
 }
 
@@ -133,39 +134,41 @@
     return;
   Which.Reads_[++NextId_] =
       Acknowledged_.empty() ? 0 : Acknowledged_.rbegin()->first;
-  step(Which, ReadAsked{{NextId_}});
+  step(Which, ReadRequested{{NextId_}});
 }
 
 /// What an operator or the control program does: brings in whoever stands
 /// outside, and removes the incarnations that are gone.
-void CoreCluster::repair(Node &Leader) {
+void CoreCluster::reconcileMembers(Node &Leader) {
   const std::vector<Member> Members = Leader.Core_->getLog().getMembers();
   auto Find = [&](const MemberId &Id) {
     return std::find_if(Members.begin(), Members.end(),
                         [&](const Member &M) { return M.Id_ == Id; });
   };
-  auto IsGone = [&](const Member &Each) {
+  auto IsSuperseded = [&](const Member &Each) {
     const Node &Now = Nodes_[Each.Id_.Name_];
     return Each.Id_ != Now.Id_ && Find(Now.Id_) != Members.end();
   };
   for (const Member &Each : Members)
-    if (IsGone(Each))
-      return step(Leader, ChangeAsked{++NextId_, ChangeKind::Remove, Each.Id_});
+    if (IsSuperseded(Each))
+      return step(Leader,
+                  ChangeRequested{++NextId_, ChangeKind::Remove, Each.Id_});
   for (auto &[Name, Each] : Nodes_) {
     if (!Each.IsWanted_)
       continue;
     auto Known = Find(Each.Id_);
     if (Known == Members.end())
       return step(Leader,
-                  ChangeAsked{++NextId_, ChangeKind::AddLearner, Each.Id_});
+                  ChangeRequested{++NextId_, ChangeKind::AddLearner, Each.Id_});
     if (Known->Role_ == MemberRole::Learner)
       return step(Leader,
-                  ChangeAsked{++NextId_, ChangeKind::Promote, Each.Id_});
+                  ChangeRequested{++NextId_, ChangeKind::Promote, Each.Id_});
   }
   // Last, for nobody takes away a voter while another one is broken.
   for (const Member &Each : Members)
     if (!Nodes_[Each.Id_.Name_].IsWanted_)
-      return step(Leader, ChangeAsked{++NextId_, ChangeKind::Remove, Each.Id_});
+      return step(Leader,
+                  ChangeRequested{++NextId_, ChangeKind::Remove, Each.Id_});
 }
 
 void CoreCluster::deliver(Node &Which) {
@@ -183,7 +186,7 @@
 }
 
 void CoreCluster::step(Node &Which, decltype(Input::Event_) Event) {
-  carryOut(Which, Which.Core_->step({localNow(Which), std::move(Event)}));
+  processOutputs(Which, Which.Core_->step({localNow(Which), std::move(Event)}));
 }
 
 static std::set<LogStep> findSteps(const Outputs &Out, bool IsLeader) {
@@ -199,18 +202,18 @@
   for (const LogEntry &Each : Out.Appended_)
     if (Each.Kind_ == EntryKind::Membership && Each.Index_ > 1)
       Steps.insert(LogStep::ChangeMembers);
-  for (const Message &Each : Out.Late_)
-    if (std::holds_alternative<TransferNow>(Each.Body_))
+  for (const Message &Each : Out.MessagesAfterSync_)
+    if (std::holds_alternative<TimeoutNow>(Each.Body_))
       Steps.insert(LogStep::Transfer);
   return Steps;
 }
 
-void CoreCluster::carryOut(Node &Which, Outputs Out) {
+void CoreCluster::processOutputs(Node &Which, Outputs Out) {
   bool IsLeader = Which.Core_->getRole() == Role::Leader;
   std::set<LogStep> Steps = findSteps(Out, IsLeader);
-  if (strikeBefore(Which, Steps))
+  if (injectFaultBefore(Which, Steps))
     return;
-  for (const Message &Each : Out.Early_)
+  for (const Message &Each : Out.MessagesBeforeSync_)
     send(Which, Each);
   Write Job;
   Job.HasBatch_ = Out.Hard_ || !Out.Appended_.empty();
@@ -219,7 +222,7 @@
   Job.Hard_ = Which.Hard_;
   Job.Entries_ = Out.Appended_;
   Job.Checkpoint_ = Out.Checkpoint_;
-  Job.Late_ = Out.Late_;
+  Job.MessagesAfterSync_ = Out.MessagesAfterSync_;
   Which.LastWriteAt_ =
       std::max(Which.LastWriteAt_, Now_ + pick(0, MaxDelay_ * 2));
   Job.DueAt_ = Which.LastWriteAt_;
@@ -228,8 +231,8 @@
     Proposed_[Each.Index_] = Each.Term_;
   if (Out.Restore_) {
     Which.Applied_ = Out.Restore_->Index_;
-    Which.Chain_ = std::stoull(Out.Restore_->State_);
-    expect(ChainAt_.at(Which.Applied_) == Which.Chain_,
+    Which.HistoryHash_ = std::stoull(Out.Restore_->State_);
+    expect(HistoryHashAt_.at(Which.Applied_) == Which.HistoryHash_,
            "an installed snapshot differs");
   }
   for (const LogEntry &Each : Out.Committed_)
@@ -239,7 +242,7 @@
       expect(Each.Error_ || Each.ReadIndex_ >= Read.mapped(),
              "a confirmed read misses what was acknowledged before it");
   check(Which);
-  strikeAfter(Which, Steps);
+  injectFaultAfter(Which, Steps);
   if (Which.Core_ && !Out.Committed_.empty())
     takeSnapshotIfDue(Which);
 }
@@ -247,24 +250,26 @@
 void CoreCluster::apply(Node &Which, const LogEntry &Entry) {
   expect(Entry.Index_ == Which.Applied_ + 1, "a gap in what is applied");
   Which.Applied_ = Entry.Index_;
-  std::string Text = std::to_string(Which.Chain_) + "/" +
+  std::string Text = std::to_string(Which.HistoryHash_) + "/" +
                      std::to_string(Entry.Term_) + "/" + Entry.Command_;
-  Which.Chain_ = XXH3_64bits(Text.data(), Text.size());
-  auto [Known, IsNew] = ChainAt_.try_emplace(Entry.Index_, Which.Chain_);
-  expect(Known->second == Which.Chain_, "applied prefixes differ");
+  Which.HistoryHash_ = XXH3_64bits(Text.data(), Text.size());
+  auto [Known, IsNew] =
+      HistoryHashAt_.try_emplace(Entry.Index_, Which.HistoryHash_);
+  expect(Known->second == Which.HistoryHash_, "applied prefixes differ");
   bool IsAnswered = Which.Core_->getRole() == Role::Leader &&
                     Proposed_.count(Entry.Index_) != 0 &&
                     Proposed_[Entry.Index_] == Entry.Term_;
   if (IsAnswered)
-    Acknowledged_[Entry.Index_] = Which.Chain_;
+    Acknowledged_[Entry.Index_] = Which.HistoryHash_;
 }
 
 void CoreCluster::takeSnapshotIfDue(Node &Which) {
   const SnapshotRef &Last = Which.Core_->getLog().getSnapshot();
   std::uint64_t Since = Which.Applied_ - (Last ? Last->Index_ : 0);
   if (Since >= SnapshotEvery)
-    step(Which, SnapshotTaken{Which.Applied_, std::to_string(Which.Chain_),
-                              Which.Applied_ - pick(0, 5)});
+    step(Which,
+         SnapshotTaken{Which.Applied_, std::to_string(Which.HistoryHash_),
+                       Which.Applied_ - pick(0, 5)});
 }
 
 void CoreCluster::store(Node &Which, const Write &Job) {
@@ -288,16 +293,16 @@
     std::set<LogStep> Steps;
     if (Job.HasBatch_)
       Steps.insert(LogStep::Sync);
-    for (const Message &Each : Job.Late_)
+    for (const Message &Each : Job.MessagesAfterSync_)
       if (const auto *Reply = std::get_if<AppendReply>(&Each.Body_))
         if (Reply->Accepted_)
           Steps.insert(LogStep::Acknowledge);
-    if (strikeBefore(Which, Steps))
+    if (injectFaultBefore(Which, Steps))
       return;
     store(Which, Job);
-    for (const Message &Each : Job.Late_)
+    for (const Message &Each : Job.MessagesAfterSync_)
       send(Which, Each);
-    strikeAfter(Which, Steps);
+    injectFaultAfter(Which, Steps);
     if (Which.Core_ && !Job.Entries_.empty())
       step(Which,
            Synced{Job.Entries_.back().Term_, Job.Entries_.back().Index_});
@@ -316,7 +321,7 @@
   Which.Hard_ = Which.Disk_.Hard_;
   const SnapshotRef &Last = Which.Disk_.Snapshot_;
   Which.Applied_ = Last ? Last->Index_ : 0;
-  Which.Chain_ = Last ? std::stoull(Last->State_) : 0;
+  Which.HistoryHash_ = Last ? std::stoull(Last->State_) : 0;
   Which.Core_ =
       std::make_unique<RaftCore>(Settings, localNow(Which), Which.Disk_);
 }
@@ -334,7 +339,7 @@
 }
 
 /// Whether the newest leader's committed members are just those that run.
-bool CoreCluster::isWhole() const {
+bool CoreCluster::isHealthy() const {
   const Node *Leader = const_cast<CoreCluster *>(this)->findLeader();
   if (!Leader)
     return false;
@@ -347,14 +352,14 @@
          Log.getMembers() == Running;
 }
 
-bool CoreCluster::isSettled() const {
-  if (!isWhole() || Acknowledged_.empty())
+bool CoreCluster::hasConverged() const {
+  if (!isHealthy() || Acknowledged_.empty())
     return false;
   std::uint64_t Last = Acknowledged_.rbegin()->first;
   for (const auto &[Name, Each] : Nodes_) {
-    bool IsThere = Each.Core_ && Each.Applied_ + 20 >= Last &&
-                   Each.Core_->getLeader().has_value();
-    if (Each.IsWanted_ && !IsThere)
+    bool IsUpToDate = Each.Core_ && Each.Applied_ + 20 >= Last &&
+                      Each.Core_->getLeader().has_value();
+    if (Each.IsWanted_ && !IsUpToDate)
       return false;
   }
   return true;
--- a/tests/replication/CoreCluster.h
+++ b/tests/replication/CoreCluster.h
@@ -70,7 +70,7 @@
   /// did not hold, or an empty text.
   std::string run();
 
-  bool hasStruck() const;
+  bool haveAllFaultsOccurred() const;
   std::size_t countAcknowledged() const { return Acknowledged_.size(); }
 
 private:
@@ -79,7 +79,7 @@
     HardState Hard_;
     std::vector<LogEntry> Entries_;
     std::optional<Checkpoint> Checkpoint_;
-    std::vector<Message> Late_;
+    std::vector<Message> MessagesAfterSync_;
     Millis DueAt_ = 0;
   };
   struct Node {
@@ -89,8 +89,8 @@
     HardState Hard_;
     std::deque<Write> Writes_;
     std::uint64_t Applied_ = 0;
-    std::uint64_t Chain_ = 0; ///< Hash of all that was applied.
-    double Rate_ = 1;         ///< Of its clock.
+    std::uint64_t HistoryHash_ = 0; ///< Hash of all that was applied.
+    double Rate_ = 1;               ///< Of its clock.
     Millis RestartAt_ = 0;
     Millis FrozenUntil_ = 0;
     Millis NextTick_ = 0;
@@ -106,28 +106,28 @@
   };
 
   void tickAll();
-  void runScript();
-  void turn(Node &Which);
+  void runScenario();
+  void runNode(Node &Which);
   void propose(Node &Which);
-  void repair(Node &Leader);
+  void reconcileMembers(Node &Leader);
   void deliver(Node &Which);
   void completeWrites(Node &Which);
   void step(Node &Which, decltype(Input::Event_) Event);
-  void carryOut(Node &Which, Outputs Out);
+  void processOutputs(Node &Which, Outputs Out);
   void apply(Node &Which, const LogEntry &Entry);
   void takeSnapshotIfDue(Node &Which);
   void store(Node &Which, const Write &Job);
   void send(Node &Which, const Message &Each);
   void crash(Node &Which, bool LosesDisk);
   void start(Node &Which);
-  bool strikeBefore(Node &Which, const std::set<LogStep> &Steps);
-  void strikeAfter(Node &Which, const std::set<LogStep> &Steps);
-  void strike(Node &Which, Fault What);
-  bool isWhole() const;
-  bool isSettled() const;
-  bool isHit(const Node &Which, Fault What) const;
+  bool injectFaultBefore(Node &Which, const std::set<LogStep> &Steps);
+  void injectFaultAfter(Node &Which, const std::set<LogStep> &Steps);
+  void injectFault(Node &Which, Fault What);
+  bool isHealthy() const;
+  bool hasConverged() const;
+  bool hasFault(const Node &Which, Fault What) const;
   bool isCut(const Node &From, const Node &To) const;
-  void blow();
+  void injectRandomFaults();
   void check(const Node &Which);
   void checkLeases();
   void expect(bool Holds, const std::string &What);
@@ -141,13 +141,13 @@
   std::vector<InFlight> Network_;
   Millis Now_ = 0;
   bool IsHealing_ = false;
-  bool IsRough_ = false;
+  bool InjectsRandomFaults_ = false;
   Millis MaxDelay_ = 10;
   std::uint64_t NextId_ = 0;
   std::uint64_t NextIncarnation_ = 10;
-  std::string Broken_;
-  std::map<std::uint64_t, MemberId> LeaderOf_;      ///< By term.
-  std::map<std::uint64_t, std::uint64_t> ChainAt_;  ///< By index.
+  std::string Violation_;
+  std::map<std::uint64_t, MemberId> LeaderOf_;           ///< By term.
+  std::map<std::uint64_t, std::uint64_t> HistoryHashAt_; ///< By index.
   std::map<std::uint64_t, std::uint64_t> Proposed_; ///< Index to term, open.
   std::map<std::uint64_t, std::uint64_t> Acknowledged_;
 };
--- a/tests/replication/CoreClusterFaults.cpp
+++ b/tests/replication/CoreClusterFaults.cpp
@@ -8,7 +8,7 @@
 using namespace tulipweir;
 using namespace tulipweir::replication;
 
-void CoreCluster::blow() {
+void CoreCluster::injectRandomFaults() {
   constexpr Fault Kinds[] = {Fault::CrashAfter,  Fault::TornWrite,
                              Fault::Frozen,      Fault::CutOutgoing,
                              Fault::CutIncoming, Fault::CutBothWays,
@@ -16,7 +16,7 @@
   Node &Which = std::next(Nodes_.begin(), pick(0, 3))->second;
   auto Kind = static_cast<std::size_t>(pick(0, std::size(Kinds) - 1));
   if (Which.Core_)
-    strike(Which, Kinds[Kind]);
+    injectFault(Which, Kinds[Kind]);
 }
 
 void CoreCluster::crash(Node &Which, bool LosesDisk) {
@@ -31,14 +31,15 @@
   Which.Id_.Incarnation_ = ++NextIncarnation_;
 }
 
-bool CoreCluster::strikeBefore(Node &Which, const std::set<LogStep> &Steps) {
+bool CoreCluster::injectFaultBefore(Node &Which,
+                                    const std::set<LogStep> &Steps) {
   for (PlannedFault &Each : Plan_) {
     bool IsDue = !Each.Done_ && !IsHealing_ && Steps.count(Each.Step_) != 0 &&
                  Now_ > 150;
     if (!IsDue || Each.Skip_-- > 0)
       continue;
     // Losing two disks at once is more than any quorum of three stands.
-    if (Each.Fault_ == Fault::LostDisk && !isWhole())
+    if (Each.Fault_ == Fault::LostDisk && !isHealthy())
       continue;
     bool IsBefore =
         Each.Fault_ == Fault::CrashBefore || Each.Fault_ == Fault::LostDisk;
@@ -51,7 +52,8 @@
   return false;
 }
 
-void CoreCluster::strikeAfter(Node &Which, const std::set<LogStep> &Steps) {
+void CoreCluster::injectFaultAfter(Node &Which,
+                                   const std::set<LogStep> &Steps) {
   for (PlannedFault &Each : Plan_) {
     bool IsDue = !Each.Done_ && !IsHealing_ && Steps.count(Each.Step_) != 0 &&
                  Each.Skip_ < 0 && Each.Fault_ != Fault::LostDisk &&
@@ -59,11 +61,11 @@
     if (!IsDue || !Which.Core_)
       continue;
     Each.Done_ = true;
-    strike(Which, Each.Fault_);
+    injectFault(Which, Each.Fault_);
   }
 }
 
-void CoreCluster::strike(Node &Which, Fault What) {
+void CoreCluster::injectFault(Node &Which, Fault What) {
   if (What == Fault::CrashAfter || What == Fault::TornWrite) {
     // After: all that was begun gets to the disk, and out. Torn: some of it
     // does, and nothing is said about it.
@@ -74,7 +76,7 @@
       store(Which, Which.Writes_[static_cast<std::size_t>(Each)]);
       if (What == Fault::CrashAfter)
         for (const Message &Late :
-             Which.Writes_[static_cast<std::size_t>(Each)].Late_)
+             Which.Writes_[static_cast<std::size_t>(Each)].MessagesAfterSync_)
           send(Which, Late);
     }
     crash(Which, false);
@@ -96,16 +98,16 @@
 
 void CoreCluster::send(Node &Which, const Message &Each) {
   const Node &To = Nodes_.at(Each.To_.Name_);
-  bool IsLost = IsRough_ && !IsHealing_ && pick(0, 19) == 0;
+  bool IsLost = InjectsRandomFaults_ && !IsHealing_ && pick(0, 19) == 0;
   if (IsLost || isCut(Which, To))
     return;
-  auto IsNear = [&](Fault What) {
-    return isHit(Which, What) || isHit(To, What);
+  auto AffectsLink = [&](Fault What) {
+    return hasFault(Which, What) || hasFault(To, What);
   };
   Millis Delay = pick(0, MaxDelay_);
-  if (IsNear(Fault::Reordered))
+  if (AffectsLink(Fault::Reordered))
     Delay = pick(0, ElectionMs / 2);
-  if (IsNear(Fault::DelayedPastElection))
+  if (AffectsLink(Fault::DelayedPastElection))
     Delay += 5 * ElectionMs;
   Millis DueAt = Now_ + Delay;
   // Healed links are those of the programs: they keep the order.
@@ -114,21 +116,22 @@
       if (Other.Message_.From_ == Each.From_ && Other.Message_.To_ == Each.To_)
         DueAt = std::max(DueAt, Other.DueAt_);
   Network_.push_back({Each, DueAt});
-  if (IsNear(Fault::Duplicated))
+  if (AffectsLink(Fault::Duplicated))
     Network_.push_back({Each, Now_ + pick(0, 6 * ElectionMs)});
 }
 
 bool CoreCluster::isCut(const Node &From, const Node &To) const {
   auto CutsOff = [&](const Node &Which, const Node &Other, Fault OneWay) {
-    bool IsOn = isHit(Which, OneWay) || isHit(Which, Fault::CutBothWays);
-    bool IsMeant = Which.CutFrom_.empty() || Which.CutFrom_ == Other.Id_.Name_;
-    return IsOn && IsMeant;
+    bool IsOn = hasFault(Which, OneWay) || hasFault(Which, Fault::CutBothWays);
+    bool IsTargeted =
+        Which.CutFrom_.empty() || Which.CutFrom_ == Other.Id_.Name_;
+    return IsOn && IsTargeted;
   };
   return CutsOff(From, To, Fault::CutOutgoing) ||
          CutsOff(To, From, Fault::CutIncoming);
 }
 
-bool CoreCluster::isHit(const Node &Which, Fault What) const {
+bool CoreCluster::hasFault(const Node &Which, Fault What) const {
   auto Found = Which.Until_.find(What);
   return Found != Which.Until_.end() && Now_ < Found->second;
 }
--- a/tests/replication/FaultMatrixTest.cpp
+++ b/tests/replication/FaultMatrixTest.cpp
@@ -34,7 +34,7 @@
   ASSERT_EQ(Cluster.run(), "") << "seed " << Seed << Cells;
   // A day on which little is committed would prove little.
   ASSERT_GE(Cluster.countAcknowledged(), 20U) << "seed " << Seed << Cells;
-  Struck += Cluster.hasStruck() ? 1 : 0;
+  Struck += Cluster.haveAllFaultsOccurred() ? 1 : 0;
 }
 
 TEST(FaultMatrixTest, NothingBreaksWithoutFaults) {
--- a/tests/replication/FolderStorageTest.cpp
+++ b/tests/replication/FolderStorageTest.cpp
@@ -115,7 +115,7 @@
   if (!IsCreated && !Opened) {
     // Nothing was said under the first incarnation, so a new one will do.
     EXPECT_EQ(Opened.error().Code_, ErrorCode::Corrupt);
-    EXPECT_TRUE(FolderStorage::setAside(Files, Folder, "6"));
+    EXPECT_TRUE(FolderStorage::quarantine(Files, Folder, "6"));
     Opened = FolderStorage::open(Files, Folder, Newer);
   }
   EXPECT_TRUE(Opened) << Opened.error().Message_ << " crash at " << CrashAt;
@@ -192,7 +192,7 @@
   Fresh.Self_.Incarnation_ = 6;
   auto Opened = FolderStorage::open(Files, Folder, Fresh);
   EXPECT_EQ(Opened.error().Code_, ErrorCode::Corrupt);
-  ASSERT_TRUE(FolderStorage::setAside(Files, Folder, "6"));
+  ASSERT_TRUE(FolderStorage::quarantine(Files, Folder, "6"));
   EXPECT_EQ(FolderStorage::open(Files, Folder, Fresh).value().Owner_, Fresh);
 }
 
--- a/tests/replication/GroupFounderTest.cpp
+++ b/tests/replication/GroupBootstrapTest.cpp
@@ -1,4 +1,4 @@
-#include "replication/GroupFounder.h"
+#include "replication/GroupBootstrap.h"
 
 #include <gtest/gtest.h>
 
@@ -11,9 +11,9 @@
 
 /// Three members that start for the first time, with a network that delays,
 /// repeats and reorders, and perhaps one disk that is lost on the way.
-class Founding {
+class BootstrapNetwork {
 public:
-  explicit Founding(std::uint64_t Seed) : Random_(Seed) {
+  explicit BootstrapNetwork(std::uint64_t Seed) : Random_(Seed) {
     for (const char *Name : {"a", "b", "c"})
       start(Name);
   }
@@ -25,41 +25,41 @@
         start(std::string(1, static_cast<char>('a' + Random_() % 3)));
       if (Turn % 10 == 0)
         for (auto &[Name, Each] : Nodes_)
-          take(Each, Each.Founder_->ask(Each.Held_));
+          processOutputs(Each, Each.Bootstrap_->ask(Each.Local_));
       if (!Network_.empty())
         deliver();
     }
   }
 
   /// How many of the running members belong to a group; all to the same one.
-  int countFounded() const {
+  int countBootstrapped() const {
     int Count = 0;
     const std::vector<Member> *Seen = nullptr;
     for (const auto &[Name, Each] : Nodes_) {
-      if (Each.Held_.IsEmpty_)
+      if (Each.Local_.IsEmpty_)
         continue;
       ++Count;
-      EXPECT_TRUE(!Seen || *Seen == Each.Held_.FirstMembers_);
-      Seen = &Each.Held_.FirstMembers_;
+      EXPECT_TRUE(!Seen || *Seen == Each.Local_.InitialMembers_);
+      Seen = &Each.Local_.InitialMembers_;
     }
     return Count;
   }
 
 private:
   struct Node {
-    std::unique_ptr<GroupFounder> Founder_;
-    Holdings Held_;
+    std::unique_ptr<GroupBootstrap> Bootstrap_;
+    LocalState Local_;
   };
 
   void start(const std::string &Name) {
     Identity Owner{"group", {Name, ++Incarnation_}, 0};
-    Nodes_[Name] = {std::make_unique<GroupFounder>(
+    Nodes_[Name] = {std::make_unique<GroupBootstrap>(
                         Owner, std::vector<std::string>{"a", "b", "c"}),
                     {}};
   }
-  void take(Node &Which, FounderOutputs Out) {
-    if (!Out.Founded_.empty())
-      Which.Held_ = {false, Out.Founded_};
+  void processOutputs(Node &Which, BootstrapOutputs Out) {
+    if (!Out.BootstrapMembers_.empty())
+      Which.Local_ = {false, Out.BootstrapMembers_};
     for (Message &Each : Out.Messages_)
       Network_.push_back(std::move(Each));
   }
@@ -69,7 +69,7 @@
     if (Random_() % 4 != 0)
       Network_.erase(Network_.begin() + static_cast<std::ptrdiff_t>(At));
     Node &To = Nodes_.at(Each.To_.Name_);
-    take(To, To.Founder_->receive(Each, To.Held_));
+    processOutputs(To, To.Bootstrap_->receive(Each, To.Local_));
   }
 
   std::mt19937_64 Random_;
@@ -78,23 +78,23 @@
   std::vector<Message> Network_;
 };
 
-TEST(GroupFounderTest, FirstVotersFoundOneGroup) {
+TEST(GroupBootstrapTest, FirstVotersFoundOneGroup) {
   for (std::uint64_t Seed = 1; Seed <= 200; ++Seed) {
-    Founding Group(Seed);
+    BootstrapNetwork Group(Seed);
     Group.run(false);
-    EXPECT_EQ(Group.countFounded(), 3) << Seed;
+    EXPECT_EQ(Group.countBootstrapped(), 3) << Seed;
   }
 }
 
-TEST(GroupFounderTest, LostDiskMeanwhileNeverMakesASecondGroup) {
+TEST(GroupBootstrapTest, LostDiskMeanwhileNeverMakesASecondGroup) {
   int Outside = 0;
   for (std::uint64_t Seed = 1; Seed <= 2000; ++Seed) {
-    Founding Group(Seed);
+    BootstrapNetwork Group(Seed);
     Group.run(true);
-    int Founded = Group.countFounded();
+    int BootstrappedCount = Group.countBootstrapped();
     // Whoever was left out votes, and gets the log from the leader.
-    EXPECT_GE(Founded, 1) << Seed;
-    Outside += Founded < 3 ? 1 : 0;
+    EXPECT_GE(BootstrappedCount, 1) << Seed;
+    Outside += BootstrappedCount < 3 ? 1 : 0;
   }
   EXPECT_GT(Outside, 100);
 }
--- a/tests/replication/MessageCodecTest.cpp
+++ b/tests/replication/MessageCodecTest.cpp
@@ -20,13 +20,13 @@
   Add(VoteReply{true, true});
   Add(AppendRequest{1, 2, 3, 4, {Command, Change}});
   Add(AppendReply{1, true, 2, 3});
-  Add(RoundHeard{5});
+  Add(RoundAck{5});
   Add(SnapshotChunk{1, 2, 3, Members, 4, 5, 6, "state"});
   Add(SnapshotReply{1, 2, 3, true});
-  Add(TransferNow{});
+  Add(TimeoutNow{});
   Add(JoinProbe{});
   Add(JoinReply{true});
-  Add(FoundGroup{Members});
+  Add(BootstrapGroup{Members});
   return All;
 }
 
@@ -46,7 +46,7 @@
 
 TEST(MessageCodecTest, ValuesOutOfRangeAreRefused) {
   Message Odd = makeOneOfEach().back();
-  std::get<FoundGroup>(Odd.Body_).Members_[0].Role_ =
+  std::get<BootstrapGroup>(Odd.Body_).Members_[0].Role_ =
       static_cast<MemberRole>(2);
   EXPECT_EQ(decodeMessage("g", encodeMessage("g", Odd)).error().Code_,
             ErrorCode::Malformed);
--- a/tests/replication/RaftCoreTest.cpp
+++ b/tests/replication/RaftCoreTest.cpp
@@ -76,7 +76,7 @@
     return nullptr;
   }
   bool isGranted(const Outputs &Out) {
-    const auto *Reply = find<VoteReply>(Out.Late_);
+    const auto *Reply = find<VoteReply>(Out.MessagesAfterSync_);
     return Reply && Reply->Granted_;
   }
 
@@ -89,7 +89,7 @@
   Outputs First = receive(B, 2, VoteRequest{false, false, 1, 1});
   EXPECT_TRUE(isGranted(First));
   EXPECT_EQ(First.Hard_, (HardState{2, B}));
-  EXPECT_FALSE(find<VoteReply>(First.Early_));
+  EXPECT_FALSE(find<VoteReply>(First.MessagesBeforeSync_));
   EXPECT_FALSE(isGranted(receive(C, 2, VoteRequest{false, false, 1, 1})));
   restart({}, *First.Hard_);
   wait(Timeout);
@@ -155,7 +155,7 @@
   sync();
   answer(B, last());
   ASSERT_GT(Core_->getLeaseEnd(), Now_);
-  EXPECT_TRUE(find<TransferNow>(step(TransferAsked{5}).Late_));
+  EXPECT_TRUE(find<TimeoutNow>(step(TransferRequested{5}).MessagesAfterSync_));
   EXPECT_LT(Core_->getLeaseEnd(), Now_);
   // The other one does not take over: its late election must find no lease.
   wait(Timeout - 1ms);
@@ -192,15 +192,15 @@
   lead();
   sync();
   answer(B, last());
-  Outputs Unknown = step(TransferAsked{5, "d"});
+  Outputs Unknown = step(TransferRequested{5, "d"});
   ASSERT_EQ(Unknown.Finished_.size(), 1U);
   EXPECT_EQ(Unknown.Finished_[0].Error_->Code_, ErrorCode::Unavailable);
-  step(TransferAsked{6, "c"});
-  EXPECT_FALSE(find<TransferNow>(answer(B, last()).Late_));
+  step(TransferRequested{6, "c"});
+  EXPECT_FALSE(find<TimeoutNow>(answer(B, last()).MessagesAfterSync_));
   Outputs Out = answer(C, last());
-  ASSERT_TRUE(find<TransferNow>(Out.Late_));
-  for (const Message &Each : Out.Late_)
-    EXPECT_TRUE(!std::holds_alternative<TransferNow>(Each.Body_) ||
+  ASSERT_TRUE(find<TimeoutNow>(Out.MessagesAfterSync_));
+  for (const Message &Each : Out.MessagesAfterSync_)
+    EXPECT_TRUE(!std::holds_alternative<TimeoutNow>(Each.Body_) ||
                 Each.To_ == C);
 }
 
@@ -208,22 +208,22 @@
   AppendRequest Request{1, 1, 1, 0, {makeEntry(1, 2)}};
   Outputs Out = receive(B, 1, Request);
   EXPECT_EQ(Out.Appended_.size(), 1U);
-  EXPECT_FALSE(find<AppendReply>(Out.Early_));
-  ASSERT_TRUE(find<AppendReply>(Out.Late_));
-  EXPECT_TRUE(find<AppendReply>(Out.Late_)->Accepted_);
+  EXPECT_FALSE(find<AppendReply>(Out.MessagesBeforeSync_));
+  ASSERT_TRUE(find<AppendReply>(Out.MessagesAfterSync_));
+  EXPECT_TRUE(find<AppendReply>(Out.MessagesAfterSync_)->Accepted_);
 }
 
 TEST_F(RaftCoreTest, FollowerSaysAtOnceOfEachRoundThatItIsHeard) {
   AppendRequest Request{1, 1, 1, 0, {makeEntry(1, 2)}};
   Outputs Out = receive(B, 1, Request);
-  ASSERT_TRUE(find<RoundHeard>(Out.Early_));
-  EXPECT_EQ(find<RoundHeard>(Out.Early_)->Round_, 1U);
-  EXPECT_FALSE(find<RoundHeard>(receive(B, 1, Request).Early_));
+  ASSERT_TRUE(find<RoundAck>(Out.MessagesBeforeSync_));
+  EXPECT_EQ(find<RoundAck>(Out.MessagesBeforeSync_)->Round_, 1U);
+  EXPECT_FALSE(find<RoundAck>(receive(B, 1, Request).MessagesBeforeSync_));
   Request.Round_ = 2;
-  EXPECT_TRUE(find<RoundHeard>(receive(B, 1, Request).Early_));
+  EXPECT_TRUE(find<RoundAck>(receive(B, 1, Request).MessagesBeforeSync_));
   // The next leader counts from one again.
   Request.Round_ = 1;
-  EXPECT_TRUE(find<RoundHeard>(receive(C, 2, Request).Early_));
+  EXPECT_TRUE(find<RoundAck>(receive(C, 2, Request).MessagesBeforeSync_));
 }
 
 TEST_F(RaftCoreTest, ARoundThatIsHeardKeepsTheLeaderAndCommitsNothing) {
@@ -231,7 +231,7 @@
   sync();
   const std::uint64_t Commit = Core_->getCommit();
   for (std::uint64_t Round = 1; Round < 20; ++Round) {
-    receive(B, Core_->getTerm(), RoundHeard{Round});
+    receive(B, Core_->getTerm(), RoundAck{Round});
     wait(Timeout / 2);
   }
   EXPECT_EQ(Core_->getRole(), Role::Leader);
@@ -248,18 +248,18 @@
   answer(B, last());
   for (std::uint64_t Round = 1; Round <= 20; ++Round) {
     wait(Timeout / 4);
-    receive(B, Core_->getTerm(), RoundHeard{Round});
+    receive(B, Core_->getTerm(), RoundAck{Round});
   }
-  EXPECT_EQ(Core_->getSilence(B, Now_), Duration(0));
-  EXPECT_EQ(Core_->getStall(B, Now_), 5 * Timeout);
+  EXPECT_EQ(Core_->getTimeSinceHeard(B, Now_), Duration(0));
+  EXPECT_EQ(Core_->getTimeSinceStored(B, Now_), 5 * Timeout);
   answer(B, last());
-  EXPECT_EQ(Core_->getStall(B, Now_), Duration(0));
+  EXPECT_EQ(Core_->getTimeSinceStored(B, Now_), Duration(0));
   // Nor is leadership handed to it.
   for (std::uint64_t Round = 21; Round <= 30; ++Round) {
     wait(Timeout / 4);
-    receive(B, Core_->getTerm(), RoundHeard{Round});
+    receive(B, Core_->getTerm(), RoundAck{Round});
   }
-  EXPECT_EQ(step(TransferAsked{5}).Finished_.size(), 1U);
+  EXPECT_EQ(step(TransferRequested{5}).Finished_.size(), 1U);
 }
 
 TEST_F(RaftCoreTest, FollowerCommitsOnlyWhatTheMessageVouchesFor) {
@@ -271,7 +271,7 @@
 TEST_F(RaftCoreTest, FollowerReplacesWhatConflicts) {
   restart({2, 2}, {3, {}});
   Outputs Wrong = receive(B, 3, AppendRequest{1, 3, 3, 1, {}});
-  EXPECT_FALSE(find<AppendReply>(Wrong.Late_)->Accepted_);
+  EXPECT_FALSE(find<AppendReply>(Wrong.MessagesAfterSync_)->Accepted_);
   Outputs Out = receive(B, 3, AppendRequest{1, 1, 1, 2, {makeEntry(3, 2)}});
   EXPECT_EQ(Out.Appended_.size(), 1U);
   EXPECT_EQ(last(), 2U);
@@ -282,7 +282,7 @@
   lead();
   sync();
   answer(B, last());
-  step(ReadAsked{{9}});
+  step(ReadRequested{{9}});
   EXPECT_TRUE(answer(B, last(), 1).Finished_.empty());
   Outputs Out = answer(C, last(), 2);
   ASSERT_EQ(Out.Finished_.size(), 1U);
@@ -293,12 +293,12 @@
   receive(B, 1, AppendRequest{1, 1, 1, 1, {}});
   ASSERT_EQ(Core_->getCommit(), 1U);
   lead();
-  step(ChangeAsked{1, ChangeKind::AddLearner, D});
+  step(ChangeRequested{1, ChangeKind::AddLearner, D});
   EXPECT_EQ(Core_->getLog().getMembers().size(), 3U);
   sync();
   answer(B, last());
   EXPECT_EQ(Core_->getLog().getMembers().size(), 4U);
-  Outputs Second = step(ChangeAsked{2, ChangeKind::Remove, C});
+  Outputs Second = step(ChangeRequested{2, ChangeKind::Remove, C});
   EXPECT_EQ(Second.Finished_.at(0).Error_->Code_, ErrorCode::Conflict);
   sync();
   Outputs Out = answer(B, last());
@@ -309,11 +309,11 @@
   lead();
   sync();
   answer(B, last());
-  step(ChangeAsked{1, ChangeKind::AddLearner, D});
+  step(ChangeRequested{1, ChangeKind::AddLearner, D});
   sync();
   answer(B, last());
   std::uint64_t Before = last();
-  step(ChangeAsked{2, ChangeKind::Promote, D});
+  step(ChangeRequested{2, ChangeKind::Promote, D});
   answer(D, Before - 1);
   EXPECT_EQ(last(), Before);
   answer(D, Before);
@@ -324,7 +324,7 @@
   lead();
   sync();
   answer(B, last());
-  step(ChangeAsked{1, ChangeKind::Remove, A});
+  step(ChangeRequested{1, ChangeKind::Remove, A});
   answer(B, last());
   EXPECT_EQ(Core_->getRole(), Role::Leader);
   answer(C, last());
@@ -334,7 +334,7 @@
 TEST_F(RaftCoreTest, NothingMeantForAnotherIncarnationIsHeard) {
   wait(Timeout);
   Outputs Out = receive(B, 2, VoteRequest{false, false, 1, 1}, {"a", 2});
-  EXPECT_TRUE(Out.Late_.empty());
+  EXPECT_TRUE(Out.MessagesAfterSync_.empty());
   EXPECT_EQ(Core_->getTerm(), 1U);
 }
 
@@ -365,7 +365,7 @@
   ++Chunk.Digest_;
   Outputs Out = receive(B, 1, Chunk);
   EXPECT_FALSE(Out.Restore_);
-  EXPECT_FALSE(find<SnapshotReply>(Out.Late_)->Installed_);
+  EXPECT_FALSE(find<SnapshotReply>(Out.MessagesAfterSync_)->Installed_);
 }
 
 } // namespace
--- a/tests/replication/RejoinTest.cpp
+++ b/tests/replication/RejoinTest.cpp
@@ -13,14 +13,14 @@
 constexpr bool Alive = true;
 constexpr bool Silent = false;
 
-MemberStanding voter(const char *Name, bool IsAlive = Alive,
-                     bool IsGone = false) {
+MemberHealth voter(const char *Name, bool IsAlive = Alive,
+                   bool IsGone = false) {
   return {{{Name, 1}, MemberRole::Voter}, IsAlive, IsGone};
 }
-MemberStanding learner(const char *Name, bool IsAlive = Alive) {
+MemberHealth learner(const char *Name, bool IsAlive = Alive) {
   return {{{Name, 1}, MemberRole::Learner}, IsAlive, false};
 }
-ChangeAsked change(ChangeKind Kind, const char *Name) {
+ChangeRequested change(ChangeKind Kind, const char *Name) {
   return {0, Kind, {Name, 1}};
 }
 
@@ -45,7 +45,7 @@
 }
 
 TEST(PlanMembersTest, AGoneVoterIsReplacedBeforeItIsRemoved) {
-  const MemberStanding Gone = voter("c", Silent, true);
+  const MemberHealth Gone = voter("c", Silent, true);
   EXPECT_EQ(planMembers({voter("a"), voter("b"), Gone, learner("d")}, {}, 3),
             change(ChangeKind::Promote, "d"));
   EXPECT_EQ(planMembers({voter("a"), voter("b"), Gone, voter("d")}, {}, 3),
@@ -68,21 +68,21 @@
 TEST(PlanMembersTest, AKnownNameIsLeftToTheOtherPlan) {
   EXPECT_EQ(planMembers({voter("a")}, {{"a", 2}}, 3), std::nullopt);
   EXPECT_EQ(planRejoin({voter("a", Silent)}, {{"a", 2}}),
-            (ChangeAsked{0, ChangeKind::AddLearner, {"a", 2}}));
+            (ChangeRequested{0, ChangeKind::AddLearner, {"a", 2}}));
 }
 
 TEST(PlanRejoinTest, AClockThatWasSetBackKeepsNobodyOut) {
   // Its number is below that of the incarnation that is no more.
-  const MemberStanding Before{{{"a", 9}, MemberRole::Voter}, Silent, false};
+  const MemberHealth Before{{{"a", 9}, MemberRole::Voter}, Silent, false};
   const MemberId Now{"a", 3};
   EXPECT_EQ(planRejoin({Before}, {Now}),
-            (ChangeAsked{0, ChangeKind::AddLearner, Now}));
-  MemberStanding Fresh{{Now, MemberRole::Learner}, Alive, false};
+            (ChangeRequested{0, ChangeKind::AddLearner, Now}));
+  MemberHealth Fresh{{Now, MemberRole::Learner}, Alive, false};
   EXPECT_EQ(planRejoin({Fresh, Before}, {}),
-            (ChangeAsked{0, ChangeKind::Promote, Now}));
+            (ChangeRequested{0, ChangeKind::Promote, Now}));
   Fresh.Member_.Role_ = MemberRole::Voter;
   EXPECT_EQ(planRejoin({Fresh, Before}, {}),
-            (ChangeAsked{0, ChangeKind::Remove, {"a", 9}}));
+            (ChangeRequested{0, ChangeKind::Remove, {"a", 9}}));
   EXPECT_EQ(planRejoin({Fresh}, {}), std::nullopt);
 }
 
@@ -92,11 +92,11 @@
 }
 
 TEST(PlanRejoinTest, NobodyIsRemovedWhileNoIncarnationAnswers) {
-  const MemberStanding Other{{{"a", 2}, MemberRole::Voter}, Silent, false};
+  const MemberHealth Other{{{"a", 2}, MemberRole::Voter}, Silent, false};
   EXPECT_EQ(planRejoin({voter("a", Silent), Other}, {}), std::nullopt);
 }
 
 TEST(PlanMembersTest, StrangersCannotGrowTheGroupWithoutBound) {
-  const std::vector<MemberStanding> Many(32, learner("x", Silent));
+  const std::vector<MemberHealth> Many(32, learner("x", Silent));
   EXPECT_EQ(planMembers(Many, {{"b", 1}}, 3), std::nullopt);
 }
--- a/tests/replication/ReplicaTest.cpp
+++ b/tests/replication/ReplicaTest.cpp
@@ -94,12 +94,12 @@
     Settings.Group_ = "group";
     Settings.Name_ = Name;
     Settings.Folder_ = (Root_ / Name).string();
-    Settings.FirstVoters_ = FirstVoters_;
+    Settings.InitialVoters_ = InitialVoters_;
     Settings.ElectionTimeout_ = 200ms;
     Settings.HeartbeatInterval_ = 20ms;
     Settings.SnapshotEvery_ = 50;
     Settings.RejoinsLostDisks_ = Rejoins_;
-    Settings.ProposalPause_ = ProposalPause_;
+    Settings.ProposalBatchInterval_ = ProposalBatchInterval_;
     if (IsInMemory_)
       Settings.Folder_.clear();
     return Settings;
@@ -167,17 +167,17 @@
   }
 
   const std::filesystem::path Root_;
-  std::vector<std::string> FirstVoters_{"a", "b", "c"};
+  std::vector<std::string> InitialVoters_{"a", "b", "c"};
   bool Rejoins_ = true;
   bool IsInMemory_ = false;
-  Duration ProposalPause_{0};
+  Duration ProposalBatchInterval_{0};
   SystemClock Time_;
   Wire Wire_;
   std::map<std::string, Node> Nodes_;
 };
 
 TEST_F(ReplicaTest, SingleVoterCommitsAndKeepsItsLogOverARestart) {
-  FirstVoters_ = {"a"};
+  InitialVoters_ = {"a"};
   start("a");
   ASSERT_TRUE(commit("one"));
   EXPECT_EQ(commit("two").value().Result_, "2");
@@ -238,7 +238,7 @@
   MemberId Fresh = Nodes_["c"].Replica_->getStatus().Self_;
   ASSERT_TRUE(waitFor([&] {
     Replica *Leader = findLeader();
-    return Leader && Leader->getStatus().Waiting_ == std::vector{Fresh};
+    return Leader && Leader->getStatus().JoinRequests_ == std::vector{Fresh};
   }));
   EXPECT_EQ(Nodes_["c"].Replica_->getStatus().AppliedIndex_, 0U);
   Replica *Leader = findLeader();
@@ -306,8 +306,8 @@
 
 TEST_F(ReplicaTest, ProposalsThatGatherGoOutTogether) {
   // Far above what it takes to hand them in.
-  ProposalPause_ = 500ms;
-  FirstVoters_ = {"a"};
+  ProposalBatchInterval_ = 500ms;
+  InitialVoters_ = {"a"};
   start("a");
   ASSERT_TRUE(commit("first"));
   Replica *Leader = findLeader();
--- a/tests/replication/SlowDiskTest.cpp
+++ b/tests/replication/SlowDiskTest.cpp
@@ -83,14 +83,14 @@
   void step(Node &Which, decltype(Input::Event_) Event) {
     Outputs Out = Which.Core_->step({Now_, std::move(Event)});
     Write Next;
-    Next.Messages_ = std::move(Out.Late_);
+    Next.Messages_ = std::move(Out.MessagesAfterSync_);
     Next.IsSlow_ = Out.Hard_ || !Out.Appended_.empty();
     if (!Out.Appended_.empty())
       Next.Mark_ =
           Synced{Out.Appended_.back().Term_, Out.Appended_.back().Index_};
     if (Next.IsSlow_ || !Next.Messages_.empty())
       Which.Queued_.push_back(std::move(Next));
-    deliver(Out.Early_);
+    deliver(Out.MessagesBeforeSync_);
   }
   void deliver(const std::vector<Message> &Messages) {
     for (const Message &Each : Messages)
