--- a/bench/replication/CommitBench.cpp
+++ b/bench/replication/CommitBench.cpp
@@ -1,5 +1,4 @@
-//===- CommitBench.cpp - What a commit costs
-//-------------------------------===//
+//===- CommitBench.cpp - Latency and throughput of commits ----------------===//
 //
 // Three members in one process, each with its own folder and real syncs, and a
 // transport in memory. Measures commits a second at 64 clients, batched against
@@ -40,7 +39,7 @@
 constexpr std::size_t KeyCount = 1000;
 constexpr std::size_t KeySize = 8;
 
-/// A table from keys to values; a command is a key and its new value.
+/// A key-value table. A command holds a key and its new value.
 class Table final : public StateMachine {
 public:
   std::string apply(const CommittedEntry &Entry) override {
@@ -71,7 +70,7 @@
   std::map<std::string, std::string> Values_;
 };
 
-/// A command of about 100 bytes that sets one of the keys.
+/// Returns a command of about 100 bytes that sets one of the keys.
 static std::string makeCommand(std::uint64_t Number) {
   constexpr std::uint64_t Stride = 7919;
   std::string Key = std::to_string(Number * Stride % KeyCount);
@@ -133,9 +132,9 @@
     Replicas_.erase(Name);
   }
   Replica *findLeader() {
-    for (auto &[Name, Each] : Replicas_)
-      if (Each->getStatus().IsLeader_)
-        return Each.get();
+    for (auto &[Name, Running] : Replicas_)
+      if (Running->getStatus().IsLeader_)
+        return Running.get();
     return nullptr;
   }
   Replica &waitForLeader() {
@@ -145,7 +144,7 @@
       std::this_thread::sleep_for(100us);
     }
   }
-  /// Proposes until it is committed.
+  /// Retries a proposal until it is committed.
   void commit(const std::string &Command) {
     for (bool IsDone = false; !IsDone;) {
       std::promise<bool> Done;
@@ -167,16 +166,17 @@
   std::map<std::string, std::unique_ptr<Replica>> Replicas_;
 };
 
-/// Each client proposes again as soon as its last command was committed.
+/// Each client proposes again as soon as its last command is committed.
 class Load {
 public:
   explicit Load(Replica &Leader) : Leader_(Leader) {}
 
-  /// Returns commits; stops at Limit or after For, whichever is first.
+  /// Returns the number of commits; stops at Limit or after For, whichever is
+  /// first.
   std::uint64_t run(int HowMany, std::uint64_t Limit, Duration For) {
     Limit_ = Limit;
     Running_ = HowMany;
-    for (int Each = 0; Each < HowMany; ++Each)
+    for (int I = 0; I < HowMany; ++I)
       proposeNext();
     if (AllDone_.get_future().wait_for(For) == std::future_status::timeout) {
       IsStopping_ = true;
@@ -228,14 +228,14 @@
   return Rate;
 }
 
-/// Returns the longest of several, in election timeouts.
+/// Returns the longest of several outages, in election timeouts.
 static double measureFailover(const std::filesystem::path &Root) {
   Group Members(Root, {"a", "b", "c"}, 1024, ReplicaSettings().SnapshotEvery_);
   Members.commit(makeCommand(0));
   std::chrono::duration<double> Timeout =
       Members.getSettings().ElectionTimeout_;
   double Longest = 0;
-  for (int Each = 0; Each < Kills; ++Each) {
+  for (int I = 0; I < Kills; ++I) {
     std::string Name = Members.waitForLeader().getStatus().Self_.Name_;
     auto Start = std::chrono::steady_clock::now();
     Members.stop(Name);
@@ -245,15 +245,15 @@
                 Timeouts);
     Longest = std::max(Longest, Timeouts);
     Members.start(Name);
-    // So that the next kill finds all three in touch.
+    // Waits until all three members are in contact before the next kill.
     std::this_thread::sleep_for(Members.getSettings().ElectionTimeout_ * 2);
   }
   return Longest;
 }
 
-/// Returns the seconds until a restarted member has applied its log again: the
-/// least of several, with and without alike, for a restart has one sync in it
-/// and others' work on the disk makes that long.
+/// Returns the seconds until a restarted member has applied its log again. It
+/// takes the minimum of several runs, with and without a snapshot alike: a
+/// restart includes one sync, which other processes' disk use may slow down.
 static double measureRestart(const std::filesystem::path &Root,
                              std::uint64_t SnapshotEvery) {
   std::uint64_t Entries = 0;
@@ -268,7 +268,7 @@
     LogBytes = Status.LogBytes_;
   }
   std::vector<double> Times;
-  for (int Each = 0; Each < Restarts; ++Each) {
+  for (int I = 0; I < Restarts; ++I) {
     auto Start = std::chrono::steady_clock::now();
     Group Again(Root, {"a"}, 1024, SnapshotEvery);
     while (Again.waitForLeader().getStatus().AppliedIndex_ < Entries)
@@ -284,7 +284,9 @@
   return Seconds;
 }
 
-static const char *tell(bool IsMet) { return IsMet ? "met" : "missed"; }
+static const char *formatVerdict(bool IsMet) {
+  return IsMet ? "met" : "missed";
+}
 
 int main(int Count, char **Words) {
   if (Count != 2) {
@@ -306,14 +308,15 @@
   bool IsFailoverMet = Failover < MaxFailoverTimeouts;
   bool IsRestartMet = SnapshotGain >= MinSnapshotGain;
   std::printf("bound: batched at least %.0fx one sync a commit: %.1fx %s\n",
-              MinBatchingGain, Gain, tell(IsGainMet));
+              MinBatchingGain, Gain, formatVerdict(IsGainMet));
   std::printf("bound: next commit within %.0f election timeouts: %.2f %s\n",
-              MaxFailoverTimeouts, Failover, tell(IsFailoverMet));
+              MaxFailoverTimeouts, Failover, formatVerdict(IsFailoverMet));
   std::printf("bound: restart at least %.0fx faster with snapshots: %.1fx %s\n",
-              MinSnapshotGain, SnapshotGain, tell(IsRestartMet));
+              MinSnapshotGain, SnapshotGain, formatVerdict(IsRestartMet));
   bool AreMet = IsGainMet && IsFailoverMet && IsRestartMet;
   std::printf("commit: batched_per_s=%.0f single_per_s=%.0f gain=%.1f "
               "failover_timeouts=%.2f snapshot_gain=%.1f bounds=%s\n",
-              Batched, Single, Gain, Failover, SnapshotGain, tell(AreMet));
+              Batched, Single, Gain, Failover, SnapshotGain,
+              formatVerdict(AreMet));
   return AreMet ? 0 : 1;
 }
--- a/include/tulipweir/replication/Replica.h
+++ b/include/tulipweir/replication/Replica.h
@@ -1,7 +1,8 @@
 //===- Replica.h - One member of a replicated log --------------*- C++ -*-===//
 //
-// Drives the pure log core with a clock, a data folder and a transport, on
-// threads of its own. One process holds one Replica for each group it is in.
+// Runs the deterministic Raft core with a clock, a data folder and a
+// transport, on threads of its own. A process holds one Replica for each group
+// it belongs to.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,12 +24,13 @@
 
 class StateMachine;
 
-/// A member of a group: a control process on a VM. Incarnation_ is another one
-/// after its disk was lost, so that a lost disk never votes twice.
+/// A member of a group: a control process on a VM. A member that has lost its
+/// disk gets a new incarnation, so that the incarnation with the lost disk
+/// never votes twice in one term.
 struct MemberId {
   std::string Name_;
   std::uint64_t Incarnation_ = 0;
-  // The linter objects to a variable in the code that the compiler makes.
+  // The linter reports a variable in the code that the compiler generates.
   // NOLINTNEXTLINE(readability-identifier-naming)
   auto operator<=>(const MemberId &) const = default;
 };
@@ -42,8 +44,8 @@
   auto operator<=>(const Member &) const = default;
 };
 
-/// Carries encoded messages to other members; may lose, repeat, reorder.
-/// Thread-safe and never blocking.
+/// Carries encoded messages to other members. Messages may be lost, duplicated
+/// or reordered. Implementations are thread-safe and never block.
 class Transport {
 public:
   virtual ~Transport() = default;
@@ -51,43 +53,46 @@
 };
 
 struct ReplicaSettings {
-  std::string Group_;  ///< "fleet" or a data centre's id.
-  std::string Name_;   ///< This member's name, unique in the group.
-  std::string Folder_; ///< Of this group alone; empty keeps it in memory.
-  /// Names of the first voters. Used only when the folder holds nothing; all
-  /// first voters are started with the same list.
+  std::string Group_; ///< "fleet" or the id of a data centre.
+  std::string Name_;  ///< This member's name, unique in the group.
+  std::string
+      Folder_; ///< Used by this group only; empty keeps the log in memory.
+  /// Names of the initial voters. Used only when the folder is empty; all
+  /// initial voters are started with the same list.
   std::vector<std::string> InitialVoters_;
-  /// False once the group was ever founded: a member that holds nothing then
-  /// only asks to join.
+  /// False once the group has been bootstrapped: a member with an empty folder
+  /// then only asks to join.
   bool MayBootstrap_ = true;
   Duration ElectionTimeout_ = std::chrono::milliseconds(500);
   Duration HeartbeatInterval_ = std::chrono::milliseconds(100);
-  /// Least number of entries between snapshots; 0 for none. A state larger than
-  /// these entries is saved more rarely, up to eight times this number.
+  /// The minimum number of entries between snapshots; 0 disables them. A state
+  /// that is larger than these entries is saved less often, after up to eight
+  /// times this number.
   std::uint64_t SnapshotEvery_ = 5'000;
-  std::uint64_t Seed_ = 0;        ///< For election jitter.
-  std::uint64_t MaxBatch_ = 1024; ///< Entries that share one sync; 1 for none.
-  /// Entries that are proposed within so long go out together. The first one
-  /// after a pause is not kept waiting.
+  std::uint64_t Seed_ = 0; ///< For election jitter.
+  std::uint64_t MaxBatch_ =
+      1024; ///< Entries that share one sync; 1 disables batching.
+  /// Entries that are proposed within this interval are sent together. The
+  /// first one after an idle period is sent without delay.
   Duration ProposalBatchInterval_ = Duration(0);
-  /// Appends that may be on their way to one member; while there are as many,
-  /// what is proposed gathers for the next one.
+  /// The number of appends in flight to one member. Once it is reached, further
+  /// proposals are batched into the next append.
   std::size_t MaxMessagesInFlight_ = 64;
   /// Whether the leader replaces, by committed changes, the old incarnation of
-  /// a member that lost its disk by the one that now runs under its name.
+  /// a member that lost its disk with the one that now runs under its name.
   bool RejoinsLostDisks_ = true;
-  /// Over 0: the leader keeps so many voters by itself. It takes in members
-  /// that ask to join, promotes one in place of a voter that is gone, and makes
-  /// the gone one a learner; each step is a committed change.
+  /// If above 0, the leader maintains this number of voters. It adds members
+  /// that ask to join, promotes one in place of an unresponsive voter, and then
+  /// removes that voter; each step is a committed change.
   std::uint64_t TargetVoters_ = 0;
-  /// A voter whose disk has not answered for so long counts as gone. It loses
-  /// its vote
-  /// only once another member has taken its place, so that a machine which is
-  /// cut off for a while costs nothing of what the group can bear.
+  /// A voter counts as unresponsive once its disk has not answered for this
+  /// time. It loses its vote only after another member has been promoted in its
+  /// place, so that a machine which is cut off for a while does not reduce the
+  /// number of failures that the group tolerates.
   Duration UnresponsiveAfter_ = std::chrono::milliseconds(2500);
 };
 
-/// The result of a committed and applied command.
+/// The result of a command that was committed and applied.
 struct Applied {
   std::uint64_t Term_ = 0;
   std::uint64_t Index_ = 0;
@@ -97,7 +102,7 @@
 struct ReplicaStatus {
   MemberId Self_;
   bool IsLeader_ = false;
-  std::string LeaderName_; ///< Empty when unknown.
+  std::string LeaderName_; ///< Empty if unknown.
   std::uint64_t Term_ = 0;
   std::uint64_t CommitIndex_ = 0;
   std::uint64_t AppliedIndex_ = 0;
@@ -105,18 +110,19 @@
   std::uint64_t Syncs_ = 0;
   TimePoint LeaderSince_{}; ///< When this replica last became leader.
   std::vector<Member> Members_;
-  /// On the leader: the other members that lately answered behind their disks.
+  /// On the leader: the other members whose disks answered within the election
+  /// timeout.
   std::vector<std::string> Responsive_;
-  /// On the leader: those that it has not heard at all for UnresponsiveAfter_.
+  /// On the leader: the members that have sent nothing for UnresponsiveAfter_.
   std::vector<std::string> Unresponsive_;
-  std::string Failure_; ///< Why this replica stopped, if it did.
-  /// Why an earlier log was set aside as lost when the folder was opened.
+  std::string Failure_; ///< Why this replica stopped; empty while it runs.
+  /// Why an earlier log was quarantined as lost when the folder was opened.
   std::string LostDisk_;
-  /// Whether this member's log is on a disk. A group survives a loss of power
-  /// everywhere only if that holds for a majority of its voters.
+  /// Whether this member's log is on a disk. A group survives a power loss of
+  /// all members only if the logs of a majority of its voters are.
   bool IsDurable_ = false;
-  /// Members that hold nothing and have asked this one to join: new VMs, and
-  /// those that lost their disk, with the incarnation to add them under.
+  /// Members without a log that have asked this one to join: new VMs, and
+  /// members that lost their disk, with the incarnation to add them under.
   std::vector<MemberId> JoinRequests_;
 };
 
@@ -126,52 +132,56 @@
   using AppliedCallback = std::function<void(Outcome<Applied>)>;
 
   /// Opens or creates the data folder and starts the replica's threads. The
-  /// references must outlive it.
+  /// references must outlive the replica.
   static Outcome<std::unique_ptr<Replica>> open(const ReplicaSettings &Settings,
                                                 StateMachine &Machine,
                                                 Transport &Out,
                                                 const Clock &Time);
   virtual ~Replica() = default;
 
-  /// Proposes a command. Done gets the result once it is committed and applied
-  /// here; NotLeader if it certainly was not taken; Timeout or Unavailable if
-  /// leadership was lost meanwhile and it may or may not be committed.
+  /// Proposes a command. Done receives the result once the command is committed
+  /// and applied here; NotLeader if it was certainly not appended; Timeout or
+  /// Unavailable if leadership was lost meanwhile and the command may or may
+  /// not be committed.
   virtual void propose(std::string Command, AppliedCallback Done) = 0;
 
-  /// Hands in a message that Transport::send of another member was given.
+  /// Handles a message that another member passed to Transport::send.
   virtual void receive(std::string Message) = 0;
 
-  /// Calls Done with success once this replica has confirmed, by a round to a
-  /// quorum begun after the call, that it leads and has applied everything
-  /// committed before the call.
+  /// Calls Done with success once a quorum has answered a round that began
+  /// after the call, which confirms that this replica leads, and once it has
+  /// applied everything that was committed before the call.
   virtual void confirmLeadership(std::function<void(Outcome<void>)> Done) = 0;
 
-  /// The term that this replica leads if no other leader can exist at Now, as
-  /// a quorum answered recently enough; else nullopt. Checked directly before
-  /// each promise: what was learnt under another term must not be acted on,
-  /// as others may have led in between.
+  /// Returns the term that this replica leads if a quorum answered so recently
+  /// that no other leader can exist at Now, and nullopt otherwise. Callers
+  /// check it directly before each commitment to a client: state that was read
+  /// under another term is stale, as other leaders may have led in between.
   virtual std::optional<std::uint64_t> findLeaseTerm(TimePoint Now) const = 0;
 
-  /// Whether no other leader can exist at Now. Says nothing about the term.
+  /// Returns whether no other leader can exist at Now, in whichever term.
   bool holdsLeaderLease(TimePoint Now) const {
     return findLeaseTerm(Now).has_value();
   }
 
   virtual ReplicaStatus getStatus() const = 0;
 
-  /// Adds a learner, or promotes, demotes or removes a member, one change at a
-  /// time. Promotion waits until the learner has caught up.
+  /// Adds a learner, or promotes or removes a member, one change at a time. A
+  /// promotion waits until the learner has caught up.
   virtual void addLearner(MemberId Id, std::function<void(Outcome<void>)>) = 0;
   virtual void promote(MemberId Id, std::function<void(Outcome<void>)>) = 0;
   virtual void remove(MemberId Id, std::function<void(Outcome<void>)>) = 0;
 
-  /// Hands leadership to the best other voter, if this one leads.
+  /// Transfers leadership to the most up-to-date other voter, if this replica
+  /// leads.
   virtual void transferLeadership(std::function<void(Outcome<void>)>) = 0;
-  /// Hands it to that voter alone; Unavailable where that one is not heard.
+  /// Transfers leadership to the named voter only; fails with Unavailable if
+  /// that voter does not respond.
   virtual void transferLeadershipTo(std::string To,
                                     std::function<void(Outcome<void>)>) = 0;
 
-  /// Syncs, ends the threads; no callback runs afterwards.
+  /// Writes what was submitted and ends the threads. No callback runs
+  /// afterwards.
   virtual void stop() = 0;
 };
 
--- a/include/tulipweir/replication/StateMachine.h
+++ b/include/tulipweir/replication/StateMachine.h
@@ -1,4 +1,4 @@
-//===- StateMachine.h - What a replicated log drives -----------*- C++ -*-===//
+//===- StateMachine.h - The interface of replicated state ------*- C++ -*-===//
 //
 // The state that all replicas of a group build from the same entries.
 //
@@ -22,29 +22,31 @@
   std::string_view Command_; ///< Valid during the call only.
 };
 
-/// Deterministic: the same entries in the same order give the same state and
-/// results on every replica. The replica calls it from one thread at a time;
-/// an implementation that also answers queries brings its own lock.
+/// Implementations are deterministic: the same entries in the same order give
+/// the same state and results on every replica. The replica calls from one
+/// thread at a time; an implementation that also answers queries needs its own
+/// lock.
 class StateMachine {
 public:
   virtual ~StateMachine() = default;
 
-  /// Applies the entry and returns the result for whoever proposed it. A
-  /// command that is not allowed is a result, not an error: it changes
-  /// nothing, the same on all replicas.
+  /// Applies the entry and returns the result for its proposer. A command that
+  /// is rejected is a result, not an error: it changes nothing, in the same way
+  /// on all replicas.
   virtual std::string apply(const CommittedEntry &Entry) = 0;
 
-  /// Called around the entries that are applied in one go. After a restart
-  /// that is the whole history since the snapshot: whoever must never show an
-  /// older state than before shows nothing in between. Results go out after
-  /// endBatch.
+  /// Enclose the entries that are applied in one batch. After a restart the
+  /// first batch is the whole log since the snapshot, so an implementation that
+  /// must never expose an older state than before publishes nothing between the
+  /// two calls. Results are returned to callers after endBatch.
   virtual void beginBatch() {}
   virtual void endBatch() {}
 
-  /// The whole state as bytes.
+  /// Serializes the whole state.
   virtual std::string takeSnapshot() const = 0;
 
-  /// Replaces the state by that of a snapshot; on failure it is unchanged.
+  /// Replaces the state with that of a snapshot. On failure the state is
+  /// unchanged.
   virtual Outcome<void> restoreSnapshot(std::string_view Snapshot) = 0;
 };
 
--- a/src/replication/FileSystem.h
+++ b/src/replication/FileSystem.h
@@ -26,16 +26,16 @@
   virtual Outcome<void> sync() = 0;
 };
 
-/// All errors are StorageFailed but where said otherwise.
+/// Creates the folder and its parents if they do not exist, and syncs them.
 class FileSystem {
 public:
   virtual ~FileSystem() = default;
-  /// Creates the folder and its parents where missing, and syncs them.
+  /// Returns the names in the folder, sorted.
   virtual Outcome<void> makeFolder(const std::string &Path) = 0;
-  /// The names in the folder, sorted.
+  /// Opens the file for appending and creates it if it does not exist.
   virtual Outcome<std::vector<std::string>> list(const std::string &Folder) = 0;
   virtual Outcome<std::string> read(const std::string &Path) = 0;
-  /// Opens the file for appending; creates it where missing.
+  /// Truncates the file to Size and syncs it.
   virtual Outcome<std::unique_ptr<AppendFile>>
   openForAppend(const std::string &Path) = 0;
   /// Cuts the file to Size and syncs it.
@@ -46,8 +46,8 @@
                                const std::string &To) = 0;
   virtual Outcome<void> remove(const std::string &Path) = 0;
   virtual Outcome<void> syncFolder(const std::string &Folder) = 0;
-  /// Takes the folder for this process until the result is destroyed; fails
-  /// with Conflict if another one holds it.
+  /// Locks the folder for this process until the result is destroyed. Fails
+  /// with Conflict if another process holds the lock.
   virtual Outcome<std::shared_ptr<void>> lock(const std::string &Folder) = 0;
 };
 
--- a/src/replication/FolderStorage.cpp
+++ b/src/replication/FolderStorage.cpp
@@ -11,7 +11,8 @@
 using namespace tulipweir;
 using namespace tulipweir::replication;
 
-/// Raised when the files' layout changes; a newer one is refused.
+/// Must be incremented when the layout of the files changes; newer versions are
+/// rejected.
 constexpr std::uint64_t FormatVersion = 1;
 constexpr std::string_view IdentityName = "identity";
 constexpr std::string_view LogPrefix = "log-";
@@ -58,10 +59,10 @@
 }
 
 static auto failDamaged(const std::string &What) {
-  return fail(ErrorCode::Corrupt, What + " is damaged; it counts as lost");
+  return fail(ErrorCode::Corrupt, What + " is damaged and counts as lost");
 }
 
-/// Adds a batch to what was read so far; false if it leaves a gap.
+/// Adds a batch to the checkpoint; returns false if the batch leaves a gap.
 static bool applyBatch(Checkpoint &Read, LogBatch Batch) {
   Read.Hard_ = std::move(Batch.Hard_);
   std::vector<LogEntry> &All = Read.Entries_;
@@ -104,7 +105,8 @@
     BOOST_OUTCOME_TRYV(Storage->create(Fresh));
     return Opened{std::move(Storage), Fresh, {}};
   }
-  // The owner first: another member's folder is refused, whatever is in it.
+  // The owner is checked first, so that another member's folder is refused even
+  // if its log is damaged.
   BOOST_OUTCOME_TRY(Owner, Storage->readIdentity(Fresh));
   BOOST_OUTCOME_TRY(Stored, Storage->readLog(Names));
   BOOST_OUTCOME_TRYV(Storage->cleanUp(Names));
@@ -136,7 +138,8 @@
 Outcome<void> FolderStorage::writeAtomically(const std::string &Name,
                                              std::string_view Bytes) {
   std::string Unfinished = pathOf(Name) + std::string(TemporarySuffix);
-  // Left over from a write that a crash cut off; appending would mix the two.
+  // A crash may have left a partial file; appending to it would mix two
+  // versions.
   BOOST_OUTCOME_TRY(Names, Files_.list(Folder_));
   std::string UnfinishedName = Name + std::string(TemporarySuffix);
   if (std::find(Names.begin(), Names.end(), UnfinishedName) != Names.end()) {
@@ -151,7 +154,8 @@
 }
 
 Outcome<void> FolderStorage::create(const Identity &Fresh) {
-  // The identity comes last: without one, nothing was ever sent or promised.
+  // The identity is written last. Nothing was sent or promised by a member that
+  // has none, so a folder without one can be initialized again.
   BOOST_OUTCOME_TRYV(startSegment({}));
   return saveIdentity(Fresh);
 }
@@ -170,10 +174,11 @@
   if (!Found)
     return failDamaged(pathOf(std::string(IdentityName)));
   if (Found->Number_ != FormatVersion)
-    return fail(ErrorCode::VersionMismatch,
-                Folder_ + " is of format " + std::to_string(Found->Number_) +
-                    "; this program reads " + std::to_string(FormatVersion) +
-                    ": start the newer program, or give another folder");
+    return fail(
+        ErrorCode::VersionMismatch,
+        Folder_ + " has format version " + std::to_string(Found->Number_) +
+            "; this program reads version " + std::to_string(FormatVersion) +
+            ": start the newer program or use another folder");
   BOOST_OUTCOME_TRY(Owner,
                     packing::unpack<Identity>(Found->Body_, "an identity"));
   bool IsOwn =
@@ -183,7 +188,7 @@
                 Folder_ + " belongs to member '" + Owner.Self_.Name_ +
                     "' of group '" + Owner.Group_ + "', not to '" +
                     Fresh.Self_.Name_ + "' of '" + Fresh.Group_ +
-                    "': give this member a folder of its own");
+                    "': use a separate folder for this member");
   return std::move(Owner);
 }
 
@@ -253,7 +258,7 @@
   return Read;
 }
 
-/// Removes what an interrupted replace() left.
+/// Removes the files that an interrupted replace() left behind.
 Outcome<void> FolderStorage::cleanUp(const std::vector<std::string> &Names) {
   std::string Log = makeName(LogPrefix, SegmentNumber_);
   std::string Last = makeName(SnapshotPrefix, SnapshotIndex_);
--- a/src/replication/FolderStorage.h
+++ b/src/replication/FolderStorage.h
@@ -1,20 +1,23 @@
 //===- FolderStorage.h - A log in one folder -------------------*- C++ -*-===//
 //
 // The folder holds
-//   identity      whose log this is, and the format's version;
-//   log-N         the live segment: a first frame with the hard state, the
-//                 snapshot's index and the entries kept, then one frame for
-//                 each synced batch;
+//   identity      the group and member that own the log, and the format
+//   version; log-N         the live segment: a first frame with the hard state,
+//   the
+//                 snapshot's index and the retained entries, then one frame per
+//                 synced batch;
 //   snapshot-I    the state after entry I;
-//   damaged-T/    (set aside) a log that could not be read.
-// A frame is: magic, number, length, xxh3, bytes. Whole files (identity,
-// snapshot, a new segment) are written under another name, synced, renamed,
-// and the folder is synced; older ones are removed only after that.
+//   damaged-T/    a quarantined log that could not be read.
+// A frame consists of magic, number, length, xxh3 and body. Whole files
+// (identity, snapshot, a new segment) are written under a temporary name,
+// synced and renamed, and then the folder is synced. Older files are removed
+// only after that.
 //
-// A bad frame at the very end is a write that was cut off: it was never synced,
-// so it was never acknowledged, and is cut. If any good frame of a higher
-// number comes after it, it had been synced before: that is damage. So is
-// anything wrong with another file. Damage counts as a lost disk.
+// A bad frame at the very end is an interrupted write. It was never synced,
+// hence never acknowledged, and is truncated. If an intact frame with a higher
+// number follows it, the bad frame had been synced before and the log is
+// corrupt. Any error in another file is corruption, too. A corrupt log counts
+// as a lost disk.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,21 +34,22 @@
 
 class FolderStorage final : public LogStorage {
 public:
-  /// What open() found.
+  /// The result of open().
   struct Opened {
     std::unique_ptr<FolderStorage> Storage_;
     Identity Owner_;
     Checkpoint Stored_;
   };
 
-  /// Opens the folder, or makes it for Fresh if it holds nothing. Errors:
-  /// Conflict if the folder belongs to another group or member, or another
-  /// process has it open; VersionMismatch for a newer format; Corrupt if it is
-  /// damaged (then quarantine() and open again); StorageFailed.
+  /// Opens the folder, or initializes it for Fresh if it is empty. Fails with
+  /// Conflict if the folder belongs to another group or member or is open in
+  /// another process, VersionMismatch for a newer format, Corrupt if the log is
+  /// damaged (call quarantine() and open the folder again), or StorageFailed.
   static Outcome<Opened> open(FileSystem &Files, const std::string &Folder,
                               const Identity &Fresh);
 
-  /// Moves what a damaged folder holds out of the way, under Tag.
+  /// Moves the files of a damaged folder to a subfolder that is named after
+  /// Tag.
   static Outcome<void> quarantine(FileSystem &Files, const std::string &Folder,
                                   const std::string &Tag);
 
--- a/src/replication/Frame.cpp
+++ b/src/replication/Frame.cpp
@@ -23,7 +23,8 @@
   return Value;
 }
 
-/// Covers the number too: a frame that was copied elsewhere is damaged.
+/// The hash covers the number too, so that a frame copied to another position
+/// is recognized as damaged.
 static std::uint64_t hash(std::uint64_t Number, std::string_view Body) {
   return XXH3_64bits_withSeed(Body.data(), Body.size(), Number);
 }
--- a/src/replication/Frame.h
+++ b/src/replication/Frame.h
@@ -16,16 +16,19 @@
 
 struct Frame {
   std::uint64_t Number_ = 0;
-  std::string_view Body_; ///< Within the bytes it was read from.
-  std::size_t Size_ = 0;  ///< With the header.
+  std::string_view
+      Body_; ///< A view into the bytes that the frame was read from.
+  std::size_t Size_ = 0; ///< Includes the header.
 };
 
 std::string makeFrame(std::uint64_t Number, std::string_view Body);
 
-/// Reads the frame that begins Bytes, if a whole and undamaged one does.
+/// Reads the frame at the beginning of Bytes; returns nullopt if it is
+/// incomplete or damaged.
 std::optional<Frame> readFrame(std::string_view Bytes);
 
-/// Whether any undamaged frame of a number above Number begins in Bytes.
+/// Returns whether Bytes contains, at any offset, an intact frame with a number
+/// above Number.
 bool hasLaterFrame(std::string_view Bytes, std::uint64_t Number);
 
 } // namespace tulipweir::replication
--- a/src/replication/GroupBootstrap.cpp
+++ b/src/replication/GroupBootstrap.cpp
@@ -44,7 +44,7 @@
 BootstrapOutputs GroupBootstrap::receive(const Message &From,
                                          const LocalState &Local) {
   BootstrapOutputs Out;
-  // An answer to an earlier incarnation of ours promises nothing to this one.
+  // A reply to an earlier incarnation of this member is no promise to this one.
   bool IsForSelf = From.To_.Name_ == Owner_.Self_.Name_ &&
                    (From.To_.Incarnation_ == 0 ||
                     From.To_.Incarnation_ == Owner_.Self_.Incarnation_);
@@ -64,7 +64,7 @@
 void GroupBootstrap::answerProbe(const Message &From, const LocalState &Local,
                                  BootstrapOutputs &Out) {
   const MemberId &Asker = From.From_;
-  // The latest to ask: whoever still waits asks again.
+  // Only the incarnation that asked last is kept; a live one asks again.
   JoinRequests_[Asker.Name_] = Asker.Incarnation_;
   const std::vector<Member> &First = Local.InitialMembers_;
   bool IsFirst = std::find(First.begin(), First.end(),
@@ -110,9 +110,9 @@
   if (Members.size() != InitialVoters_.size())
     return;
   std::sort(Members.begin(), Members.end());
-  for (const Member &Each : Members)
-    if (Each.Id_ != Owner_.Self_)
-      Out.Messages_.push_back(make(Each.Id_, BootstrapGroup{Members}));
+  for (const Member &M : Members)
+    if (M.Id_ != Owner_.Self_)
+      Out.Messages_.push_back(make(M.Id_, BootstrapGroup{Members}));
   Out.BootstrapMembers_ = std::move(Members);
 }
 
--- a/src/replication/GroupBootstrap.h
+++ b/src/replication/GroupBootstrap.h
@@ -1,16 +1,16 @@
-//===- GroupBootstrap.h - The first start of a group ------------*- C++ -*-===//
+//===- GroupBootstrap.h - Bootstrap of a group -----------------*- C++ -*-===//
 //
-// Tells a group's first start from a member that lost its disk. Pure, like the
-// core.
+// Distinguishes the first start of a group from a member that lost its disk.
+// Free of side effects, like the core.
 //
-// Every member with nothing on its disk takes a fresh incarnation. The first
-// voter by name, the founder, asks all others what they hold. Only if every one
-// of them answers "nothing" does it found the group, of exactly the
-// incarnations that answered. With that answer a member promises to follow no
-// earlier incarnation of the founder, so two foundings cannot both find
-// followers. Whoever holds anything answers so, and then the group exists
-// already: a member with nothing waits, as an outsider without a vote, until
-// the leader adds it as a learner by a committed change.
+// Each member with an empty disk takes a new incarnation. The initial voter
+// whose name sorts first, the coordinator, probes all others. It bootstraps
+// the group only if all of them reply that they are empty too, and the group
+// then consists of exactly the incarnations that replied. By this reply a
+// member promises to follow no earlier incarnation of the coordinator, so that
+// two bootstraps cannot both find followers. If any member holds a log, the
+// group exists already: an empty member then stays outside, without a vote,
+// until the leader adds it as a learner by a committed change.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,10 +26,10 @@
 
 namespace tulipweir::replication {
 
-/// What this member holds at the moment.
+/// What this member has stored.
 struct LocalState {
   bool IsEmpty_ = true; ///< No log and no term.
-  /// The founding entry's members, while the log still has it.
+  /// The members in the first log entry, while the log still holds it.
   std::vector<Member> InitialMembers_;
 };
 
@@ -37,33 +37,36 @@
 struct BootstrapOutputs {
   std::vector<Message> Messages_;
   std::optional<Identity> Promise_;
-  std::vector<Member>
-      BootstrapMembers_; ///< Not empty: the group has these members.
+  std::vector<Member> BootstrapMembers_; ///< The members of the group; empty
+                                         ///< until it is bootstrapped.
 };
 
 /// Not thread-safe.
 class GroupBootstrap {
 public:
-  /// MayBootstrap is false where the group was founded before, whoever is
-  /// asked.
+  /// If MayBootstrap is false, the group exists already and is never
+  /// bootstrapped again, whatever the other members reply.
   GroupBootstrap(Identity Owner, std::vector<std::string> InitialVoters,
                  bool MayBootstrap = true);
 
-  /// Called while this member holds nothing, every now and then.
+  /// Probes the other initial voters. Called periodically while this member is
+  /// empty.
   BootstrapOutputs ask(const LocalState &Local);
 
-  /// Asks to be taken in again, for a member that holds a log but hears no
-  /// leader: it may have been removed while it was away.
+  /// Asks to join again on behalf of a member that holds a log but hears no
+  /// leader, as it may have been removed from the group while it was down.
   BootstrapOutputs requestJoin() const;
 
-  /// The member is being taken in; if that comes to nothing, it asks again.
+  /// Drops the join request of a member that is being added. If that fails, the
+  /// member asks again.
   void removeJoinRequest(const std::string &Name) { JoinRequests_.erase(Name); }
 
-  /// Takes JoinProbe, JoinReply and BootstrapGroup; others do nothing.
+  /// Handles JoinProbe, JoinReply and BootstrapGroup and ignores other
+  /// messages.
   BootstrapOutputs receive(const Message &From, const LocalState &Local);
 
-  /// Members without a log that have asked, by name the incarnation that asked
-  /// last.
+  /// Members without a log that asked to join: the name and the incarnation
+  /// that asked last.
   const std::map<std::string, std::uint64_t> &getJoinRequests() const {
     return JoinRequests_;
   }
@@ -82,7 +85,8 @@
   const bool MayBootstrap_;
   Identity Owner_;
   std::set<std::string> InitialVoters_;
-  std::map<std::string, MemberId> Empty_; ///< Who answered "nothing".
+  std::map<std::string, MemberId>
+      Empty_; ///< Members that replied that they are empty.
   std::map<std::string, std::uint64_t> JoinRequests_;
 };
 
--- a/src/replication/LeaderWatch.h
+++ b/src/replication/LeaderWatch.h
@@ -1,7 +1,8 @@
-//===- LeaderWatch.h - Beginning and end of a leadership -------*- C++ -*-===//
+//===- LeaderWatch.h - Start and end of leadership --------------*- C++ -*-===//
 //
-// Polls a replica and tells its owner when this process begins to lead, once
-// everything committed before was applied here, and when it has ceased to.
+// Polls a replica and notifies its owner when this process becomes leader,
+// once all previously committed entries are applied here, and when it stops
+// leading.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +19,7 @@
 
 namespace tulipweir::replication {
 
-/// Lives on one executor: poll is called there and the callbacks run there.
+/// Bound to one executor: poll() and the callbacks run there.
 class LeaderWatch {
 public:
   struct Callbacks {
@@ -28,7 +29,7 @@
 
   LeaderWatch(Replica &Group, Executor &Strand, Callbacks Owner);
 
-  /// Looks at the replica; a few comparisons when nothing changed.
+  /// Checks the replica's status; cheap if nothing has changed.
   void poll();
 
   bool isLeading() const { return Leading_; }
@@ -42,7 +43,7 @@
   const Callbacks Owner_;
   /// Guards callbacks that outlive this object.
   std::shared_ptr<bool> Alive_ = std::make_shared<bool>(true);
-  std::uint64_t Term_ = 0; ///< Of the leadership that is or is being begun.
+  std::uint64_t Term_ = 0; ///< The term that is led or being confirmed.
   bool Confirming_ = false;
   bool Leading_ = false;
 };
--- a/src/replication/LogMessages.h
+++ b/src/replication/LogMessages.h
@@ -1,7 +1,7 @@
-//===- LogMessages.h - What members of a group tell each other -*- C++ -*-===//
+//===- LogMessages.h - Messages between the members of a group --*- C++ -*-===//
 //
-// Typed messages of the log. Each names its sender and its receiver with their
-// incarnations, so that nothing meant for a lost disk reaches its successor.
+// Each message names its sender and its receiver with their incarnations, so
+// that a message for a member that lost its disk does not reach its successor.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,11 +14,11 @@
 
 namespace tulipweir::replication {
 
-/// Asks for a vote. With PreVote_ it only asks whether a vote would be given,
-/// for the term after the sender's, and changes nothing at the receiver.
+/// Asks for a vote. With PreVote_ it only asks whether a vote would be granted
+/// in the term after the sender's, and does not change the receiver's state.
 struct VoteRequest {
   bool PreVote_ = false;
-  bool Transfer_ = false; ///< The leader itself asked for this election.
+  bool Transfer_ = false; ///< The leader itself requested this election.
   std::uint64_t LastIndex_ = 0;
   std::uint64_t LastTerm_ = 0;
   bool operator==(const VoteRequest &) const = default;
@@ -30,8 +30,8 @@
   bool operator==(const VoteReply &) const = default;
 };
 
-/// Entries that follow (PrevIndex_, PrevTerm_); none for a heartbeat. Round_
-/// counts the leader's broadcasts and is echoed.
+/// Entries that follow (PrevIndex_, PrevTerm_), or none for a heartbeat. Round_
+/// counts the leader's broadcasts; the reply echoes it.
 struct AppendRequest {
   std::uint64_t Round_ = 0;
   std::uint64_t PrevIndex_ = 0;
@@ -41,8 +41,8 @@
   bool operator==(const AppendRequest &) const = default;
 };
 
-/// Accepted: the log matches through Index_. Otherwise nothing matched at
-/// PrevIndex_ = Index_, and the leader should go on after Hint_.
+/// If Accepted_, the log matches through Index_. Otherwise there is no match at
+/// PrevIndex_ = Index_, and the leader should continue after Hint_.
 struct AppendReply {
   std::uint64_t Round_ = 0;
   bool Accepted_ = false;
@@ -51,14 +51,15 @@
   bool operator==(const AppendReply &) const = default;
 };
 
-/// The sender has heard the leader's broadcast Round_; vouches for nothing in
-/// the log, and so waits for no disk. A member that does not know it drops it.
+/// Acknowledges that the sender has received the leader's broadcast Round_. It
+/// says nothing about the log and therefore does not wait for the disk. Members
+/// of versions without this message drop it.
 struct RoundAck {
   std::uint64_t Round_ = 0;
   bool operator==(const RoundAck &) const = default;
 };
 
-/// A piece of a snapshot's state, from Offset_.
+/// A part of a snapshot's state, starting at Offset_.
 struct SnapshotChunk {
   std::uint64_t Round_ = 0;
   std::uint64_t Index_ = 0;
@@ -71,7 +72,8 @@
   bool operator==(const SnapshotChunk &) const = default;
 };
 
-/// How much of the snapshot at Index_ has arrived; Installed_ once it stands.
+/// The number of bytes received of the snapshot at Index_; Installed_ once the
+/// snapshot has replaced the state.
 struct SnapshotReply {
   std::uint64_t Round_ = 0;
   std::uint64_t Index_ = 0;
@@ -80,30 +82,30 @@
   bool operator==(const SnapshotReply &) const = default;
 };
 
-/// The leader asks its receiver to start an election now.
+/// The leader asks the receiver to start an election immediately.
 struct TimeoutNow {
   bool operator==(const TimeoutNow &) const = default;
 };
 
-/// A member without a log asks what the receiver has.
+/// A member without a log asks whether the receiver has one.
 struct JoinProbe {
   bool operator==(const JoinProbe &) const = default;
 };
 
-/// Empty_: the sender holds nothing either and will follow no founder of an
-/// earlier incarnation than the one it answers.
+/// If Empty_, the sender has no log either and promises to follow no earlier
+/// incarnation of the coordinator than the one it replies to.
 struct JoinReply {
   bool Empty_ = false;
   bool operator==(const JoinReply &) const = default;
 };
 
-/// The founder tells the first voters which incarnations form the group.
+/// The coordinator tells the initial voters which incarnations form the group.
 struct BootstrapGroup {
   std::vector<Member> Members_;
   bool operator==(const BootstrapGroup &) const = default;
 };
 
-/// Incarnation 0 in To_ means whichever one runs; only joining uses it.
+/// Incarnation 0 in To_ addresses any incarnation; only join messages use it.
 struct Message {
   MemberId From_;
   MemberId To_;
--- a/src/replication/LogStorage.h
+++ b/src/replication/LogStorage.h
@@ -1,7 +1,7 @@
-//===- LogStorage.h - Where a member's log survives ------------*- C++ -*-===//
+//===- LogStorage.h - Interface of the persistent log ----------*- C++ -*-===//
 //
-// What the driver of the core writes to. After the first error nothing more may
-// be written, and nothing that was not confirmed may be acknowledged.
+// The driver of the core writes to it. After the first error nothing more may
+// be written, and unconfirmed writes must not be acknowledged.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,38 +12,39 @@
 
 namespace tulipweir::replication {
 
-/// What is written with one sync. Each entry cuts the log from its index on.
+/// The unit of one synced write. Each entry truncates the log from its index on
+/// before it is appended.
 struct LogBatch {
   HardState Hard_;
   std::vector<LogEntry> Entries_;
   bool operator==(const LogBatch &) const = default;
 };
 
-/// Who owns the stored log.
+/// The owner of a stored log.
 struct Identity {
   std::string Group_;
   MemberId Self_;
-  /// The highest incarnation of the group's founder that this member has
-  /// answered while it held nothing; it follows no earlier one.
+  /// The highest incarnation of the bootstrap coordinator to which this member
+  /// replied while it was empty; it follows no earlier one.
   std::uint64_t CoordinatorPromise_ = 0;
   bool operator==(const Identity &) const = default;
 };
 
-/// One thread writes; the counters may be read by others.
+/// Written by one thread. The counters may be read by other threads.
 class LogStorage {
 public:
   virtual ~LogStorage() = default;
   virtual Outcome<void> saveIdentity(const Identity &Owner) = 0;
-  /// On return the batch is durable.
+  /// Returns once the batch is durable.
   virtual Outcome<void> append(const LogBatch &Batch) = 0;
-  /// Replaces all that was stored, atomically.
+  /// Replaces everything that is stored, atomically.
   virtual Outcome<void> replace(const Checkpoint &All) = 0;
-  /// Bytes in the live segment.
+  /// Returns the number of bytes in the live segment.
   virtual std::uint64_t countBytes() const = 0;
   virtual std::uint64_t countSyncs() const = 0;
 };
 
-/// Keeps nothing: for members without a disk.
+/// Stores nothing; for members without a disk.
 class NoStorage final : public LogStorage {
 public:
   Outcome<void> saveIdentity(const Identity &) override { return succeed(); }
--- a/src/replication/LogTypes.h
+++ b/src/replication/LogTypes.h
@@ -1,4 +1,4 @@
-//===- LogTypes.h - What a replicated log consists of ----------*- C++ -*-===//
+//===- LogTypes.h - Data types of a replicated log -------------*- C++ -*-===//
 //
 // Entries, the state that must survive a restart, and snapshots.
 //
@@ -23,20 +23,21 @@
   std::uint64_t Term_ = 0;
   std::uint64_t Index_ = 0;
   EntryKind Kind_ = EntryKind::NoOp;
-  std::string Command_;         ///< For Command.
-  std::vector<Member> Members_; ///< For Membership: all members from here on.
+  std::string Command_; ///< For Command.
+  std::vector<Member>
+      Members_; ///< For Membership: all members as of this entry.
   bool operator==(const LogEntry &) const = default;
 };
 
-/// What a member must remember besides its log: the highest term it has seen
-/// and whom it voted for in that term (an empty name: nobody).
+/// The state that a member persists in addition to its log: the highest term it
+/// has seen and its vote in that term (an empty name if it has not voted).
 struct HardState {
   std::uint64_t Term_ = 0;
   MemberId Vote_;
   bool operator==(const HardState &) const = default;
 };
 
-/// The state machine's state after entry Index_, and the members at that point.
+/// The state machine's state after entry Index_, and the members at that index.
 struct Snapshot {
   std::uint64_t Index_ = 0;
   std::uint64_t Term_ = 0;
@@ -47,9 +48,9 @@
 
 using SnapshotRef = std::shared_ptr<const Snapshot>;
 
-/// Replaces everything stored: a snapshot, and the entries kept beside it.
+/// Replaces everything stored: a snapshot and the entries retained with it.
 struct Checkpoint {
-  SnapshotRef Snapshot_; ///< Null before the first one.
+  SnapshotRef Snapshot_; ///< Null before the first snapshot.
   HardState Hard_;
   std::vector<LogEntry> Entries_;
 };
--- a/src/replication/LogWriter.cpp
+++ b/src/replication/LogWriter.cpp
@@ -14,8 +14,8 @@
             std::make_move_iterator(From.end()));
 }
 
-/// Joins neighbouring jobs, so that each has at most MaxBatch entries but for
-/// those that came so in one job; write() splits these.
+/// Merges adjacent jobs into batches of at most MaxBatch entries. A single job
+/// with more entries is kept; append() splits it.
 static std::vector<WriteJob> merge(std::vector<WriteJob> Jobs,
                                    std::uint64_t MaxBatch) {
   std::vector<WriteJob> Merged;
@@ -62,7 +62,7 @@
     Thread_.join();
 }
 
-/// Waits for work; returns nothing once the writer is to end.
+/// Waits for jobs; returns none once the writer is stopping.
 std::vector<WriteJob> LogWriter::waitForJobs() {
   std::unique_lock Guard(Lock_);
   Wake_.wait(Guard, [this] { return IsStopping_ || !Queue_.empty(); });
@@ -107,7 +107,7 @@
     for (WriteJob &Job : merge(std::move(Jobs), MaxBatch_)) {
       Outcome<void> Written = write(Job);
       if (!Written) {
-        // What the disk holds is unknown from here on.
+        // The contents of the disk are unknown after a failed write.
         Calls_.Failed_(Written.error());
         return;
       }
--- a/src/replication/LogWriter.h
+++ b/src/replication/LogWriter.h
@@ -1,7 +1,8 @@
-//===- LogWriter.h - One sync for many entries -----------------*- C++ -*-===//
+//===- LogWriter.h - Writer thread with group commit -----------*- C++ -*-===//
 //
-// A thread that writes what the core put out and sends, after the sync, the
-// messages that promise it. While one sync runs, the next batch collects.
+// A thread that writes the core's outputs and sends the messages that depend
+// on them after the sync. While one sync runs, further jobs are collected into
+// the next batch.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +21,7 @@
 
 namespace tulipweir::replication {
 
-/// Written in this order: Batch_, Checkpoint_; then Messages_ are sent.
+/// The writer writes Batch_, then Checkpoint_, and then sends Messages_.
 struct WriteJob {
   bool HasBatch_ = false;
   LogBatch Batch_;
@@ -28,13 +29,13 @@
   std::vector<Message> Messages_;
 };
 
-/// submit() is thread-safe; the callbacks run on the writer's thread.
+/// submit() is thread-safe. The callbacks run on the writer's thread.
 class LogWriter {
 public:
   struct Callbacks {
     std::function<void(const std::vector<Message> &)> Send_;
     std::function<void(const Synced &)> Synced_;
-    /// Called once; nothing is written or sent after it.
+    /// Called once; afterwards nothing is written or sent.
     std::function<void(const Error &)> Failed_;
   };
 
@@ -42,7 +43,7 @@
   ~LogWriter();
 
   void submit(WriteJob Job);
-  /// Writes what was submitted and ends the thread.
+  /// Writes all submitted jobs and ends the thread.
   void stop();
 
 private:
--- a/src/replication/MessageCodec.cpp
+++ b/src/replication/MessageCodec.cpp
@@ -5,12 +5,12 @@
 using namespace tulipweir;
 using namespace tulipweir::replication;
 
-/// Raised with every change to a message's fields.
+/// Must be incremented with every change of a message's fields.
 constexpr char MessageVersion = 1;
 
 namespace tulipweir::replication::layout {
 
-/// A message and the group that it belongs to.
+/// A message with the name of its group.
 struct Envelope {
   std::string Group_;
   Message Message_;
@@ -34,13 +34,14 @@
   if (Bytes.front() != MessageVersion)
     return fail(ErrorCode::VersionMismatch,
                 "a log message of version " + std::to_string(Bytes.front()) +
-                    "; this process speaks " + std::to_string(MessageVersion));
+                    "; this process supports version " +
+                    std::to_string(MessageVersion));
   auto Decoded = packing::unpack<Envelope>(Bytes.substr(1), "a log message");
   if (!Decoded)
     return Decoded.as_failure();
   if (Decoded.value().Group_ != Group)
     return fail(ErrorCode::InvalidArgument,
                 "a log message of group '" + Decoded.value().Group_ +
-                    "' came to group '" + Group + "'");
+                    "' was received by group '" + Group + "'");
   return std::move(Decoded.value().Message_);
 }
--- a/src/replication/MessageCodec.h
+++ b/src/replication/MessageCodec.h
@@ -1,6 +1,6 @@
-//===- MessageCodec.h - Log messages as bytes ------------------*- C++ -*-===//
+//===- MessageCodec.h - Encoding of log messages ---------------*- C++ -*-===//
 //
-// What Transport carries: a version, the group's name and one message.
+// Transport carries a version, the group's name and one message.
 //
 //===----------------------------------------------------------------------===//
 
@@ -15,8 +15,8 @@
 
 std::string encodeMessage(const std::string &Group, const Message &From);
 
-/// Fails with VersionMismatch, with InvalidArgument for another group's
-/// message, or with Malformed.
+/// Fails with VersionMismatch, with InvalidArgument for a message of another
+/// group, or with Malformed.
 Outcome<Message> decodeMessage(const std::string &Group,
                                std::string_view Bytes);
 
--- a/src/replication/Packing.h
+++ b/src/replication/Packing.h
@@ -1,7 +1,7 @@
-//===- Packing.h - Strict msgpack for this module's types ------*- C++ -*-===//
+//===- Packing.h - Strict msgpack for the types of this module --*- C++ -*-===//
 //
-// The fields of what members exchange and store, over core/Packing.h. Included
-// by .cpp files only.
+// Lists the fields of the types that members exchange and store, for
+// core/Packing.h. Included by .cpp files only.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/replication/PendingCalls.cpp
+++ b/src/replication/PendingCalls.cpp
@@ -48,8 +48,8 @@
   if (Node.mapped().Term_ == Entry.Term_)
     Node.mapped().Done_(Applied{Entry.Term_, Entry.Index_, std::move(Result)});
   else
-    Node.mapped().Done_(
-        fail(ErrorCode::NotLeader, "another leader's entry took its place"));
+    Node.mapped().Done_(fail(ErrorCode::NotLeader,
+                             "another leader's entry replaced the proposal"));
 }
 
 void PendingCalls::completeReads(std::uint64_t Index) {
@@ -60,8 +60,8 @@
 }
 
 void PendingCalls::failAppended(const Error &Why) {
-  for (auto &[Index, Each] : std::exchange(Placed_, {}))
-    Each.Done_(failWith(Why));
+  for (auto &[Index, Call] : std::exchange(Placed_, {}))
+    Call.Done_(failWith(Why));
 }
 
 void PendingCalls::failAll(const Error &Why) {
--- a/src/replication/PendingCalls.h
+++ b/src/replication/PendingCalls.h
@@ -1,6 +1,7 @@
-//===- PendingCalls.h - Who waits for what ---------------------*- C++ -*-===//
+//===- PendingCalls.h - Callbacks of requests in progress ------*- C++ -*-===//
 //
-// The callbacks of proposals, reads and changes until each got its one answer.
+// Holds the callbacks of proposals, reads and membership changes until each
+// has been called exactly once.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,16 +21,16 @@
   using AppliedCallback = Replica::AppliedCallback;
   using DoneCallback = std::function<void(Outcome<void>)>;
 
-  /// Each returns the id under which the core knows it.
+  /// Each returns the id by which the core refers to the request.
   std::uint64_t addProposal(AppliedCallback Done);
   std::uint64_t addOther(DoneCallback Done);
 
   void accept(const Accepted &Place);
   void finish(const Finished &End, std::uint64_t AppliedIndex);
   void apply(const LogEntry &Entry, std::string Result);
-  /// Answers the reads that waited for Index.
+  /// Completes the reads that waited until Index was applied.
   void completeReads(std::uint64_t Index);
-  /// Fails the proposals that took a place in the log.
+  /// Fails the proposals that have been appended to the log.
   void failAppended(const Error &Why);
   void failAll(const Error &Why);
 
--- a/src/replication/PosixFileSystem.cpp
+++ b/src/replication/PosixFileSystem.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// Closes its descriptor in the end.
+/// Closes the descriptor on destruction.
 class Descriptor {
 public:
   explicit Descriptor(int Number) : Number_(Number) {}
@@ -77,7 +77,7 @@
   std::filesystem::create_directories(Path, Why);
   if (Why)
     return fail(ErrorCode::StorageFailed,
-                "cannot make folder " + Path + ": " + Why.message());
+                "cannot create folder " + Path + ": " + Why.message());
   std::filesystem::path Parent =
       std::filesystem::absolute(Path).lexically_normal().parent_path();
   return syncFolder(Parent.string());
@@ -87,10 +87,9 @@
 PosixFileSystem::list(const std::string &Folder) {
   std::error_code Why;
   std::vector<std::string> Names;
-  std::filesystem::directory_iterator Each(Folder, Why);
-  for (; !Why && Each != std::filesystem::directory_iterator();
-       Each.increment(Why))
-    Names.push_back(Each->path().filename().string());
+  std::filesystem::directory_iterator It(Folder, Why);
+  for (; !Why && It != std::filesystem::directory_iterator(); It.increment(Why))
+    Names.push_back(It->path().filename().string());
   if (Why)
     return fail(ErrorCode::StorageFailed,
                 "cannot list " + Folder + ": " + Why.message());
@@ -132,7 +131,7 @@
   if (!File.isOpen())
     return failAt("cannot open", Path);
   if (::ftruncate(File.get(), static_cast<off_t>(Size)) != 0)
-    return failAt("cannot cut", Path);
+    return failAt("cannot truncate", Path);
   if (::fsync(File.get()) != 0)
     return failAt("cannot sync", Path);
   return succeed();
--- a/src/replication/PosixFileSystem.h
+++ b/src/replication/PosixFileSystem.h
@@ -1,6 +1,6 @@
-//===- PosixFileSystem.h - The operating system's files --------*- C++ -*-===//
+//===- PosixFileSystem.h - FileSystem on POSIX calls -----------*- C++ -*-===//
 //
-// FileSystem by POSIX calls.
+// Implements FileSystem with POSIX calls.
 //
 //===----------------------------------------------------------------------===//
 
--- a/src/replication/RaftCore.cpp
+++ b/src/replication/RaftCore.cpp
@@ -16,7 +16,8 @@
   Commit_ = Log_.getBaseIndex();
   Synced_ = Log_.getLastIndex();
   resetElectionTimer();
-  // Nobody else can lead, so there is nobody to wait for.
+  // The only voter need not wait for an election timeout, as no other member
+  // can lead.
   bool IsAlone = countVoters() == 1 && isVoter(Settings_.Self_);
   if (IsAlone)
     ElectionDeadline_ = Start;
@@ -60,13 +61,14 @@
 
 void RaftCore::handle(const Proposed &In) {
   bool IsTaking = Role_ == Role::Leader && !Transfer_;
-  for (const Proposal &Each : In.Proposals_) {
+  for (const Proposal &NewProposal : In.Proposals_) {
     if (!IsTaking) {
-      finish(Each.Id_, makeNotLeader());
+      finish(NewProposal.Id_, makeNotLeader());
       continue;
     }
-    appendOwn(EntryKind::Command, Each.Command_, {});
-    Out_.Accepted_.push_back({Each.Id_, Hard_.Term_, Log_.getLastIndex()});
+    appendNewEntry(EntryKind::Command, NewProposal.Command_, {});
+    Out_.Accepted_.push_back(
+        {NewProposal.Id_, Hard_.Term_, Log_.getLastIndex()});
   }
   if (IsTaking)
     sendAppends();
@@ -93,7 +95,7 @@
 }
 
 void RaftCore::handle(const SnapshotTaken &In) {
-  assert(In.Index_ <= Commit_ && "a snapshot of what is not committed");
+  assert(In.Index_ <= Commit_ && "the snapshot is not committed");
   if (In.Index_ <= Log_.getBaseIndex())
     return;
   auto Taken = std::make_shared<Snapshot>();
@@ -107,8 +109,8 @@
                                 Log_.copyFrom(First, SIZE_MAX, SIZE_MAX)};
 }
 
-/// Keeps what live followers still need, so that none is overtaken by one
-/// snapshot after the other.
+/// Retains the entries that live followers still need, so that a slow follower
+/// does not need one snapshot after the other.
 std::uint64_t RaftCore::limitCompaction(std::uint64_t KeepAfter) const {
   std::uint64_t Limited = KeepAfter;
   for (const auto &[Id, Peer] : Peers_) {
@@ -148,7 +150,7 @@
 }
 
 void RaftCore::setHard(HardState Hard) {
-  assert(Hard.Term_ >= Hard_.Term_ && "terms never fall");
+  assert(Hard.Term_ >= Hard_.Term_ && "terms never decrease");
   if (Hard == Hard_)
     return;
   Hard_ = std::move(Hard);
@@ -179,21 +181,21 @@
 std::size_t RaftCore::countVoters() const {
   const std::vector<Member> &All = Log_.getMembers();
   return static_cast<std::size_t>(
-      std::count_if(All.begin(), All.end(), [](const Member &Each) {
-        return Each.Role_ == MemberRole::Voter;
+      std::count_if(All.begin(), All.end(), [](const Member &M) {
+        return M.Role_ == MemberRole::Voter;
       }));
 }
 
 std::uint64_t RaftCore::findQuorumValue(std::uint64_t Progress::*Field,
                                         std::uint64_t Own) const {
   std::vector<std::uint64_t> Values;
-  for (const Member &Each : Log_.getMembers()) {
-    if (Each.Role_ != MemberRole::Voter)
+  for (const Member &M : Log_.getMembers()) {
+    if (M.Role_ != MemberRole::Voter)
       continue;
-    bool IsSelf = Each.Id_ == Settings_.Self_;
-    Values.push_back(IsSelf ? Own : Peers_.at(Each.Id_).*Field);
+    bool IsSelf = M.Id_ == Settings_.Self_;
+    Values.push_back(IsSelf ? Own : Peers_.at(M.Id_).*Field);
   }
-  assert(!Values.empty() && "a group without voters");
+  assert(!Values.empty() && "the group has no voters");
   std::sort(Values.begin(), Values.end(), std::greater<>());
   return Values[Values.size() / 2];
 }
--- a/src/replication/RaftCore.h
+++ b/src/replication/RaftCore.h
@@ -1,24 +1,26 @@
-//===- RaftCore.h - Raft's rules as a pure state machine -------*- C++ -*-===//
+//===- RaftCore.h - Raft as a deterministic state machine ------*- C++ -*-===//
 //
-// One member of a group: step(Input) -> Outputs. There is no clock, socket,
-// file or thread in here; the time comes in with each input, and what is to be
-// written, sent and applied goes out. A test can therefore drive any schedule
-// of faults, message by message.
+// Implements one member of a group as step(Input) -> Outputs. The core uses no
+// clock, socket, file or thread: each input carries the time, and the outputs
+// list what to write, send and apply. Tests can therefore run any schedule of
+// faults, message by message.
 //
 // The rules are those of Ongaro's dissertation: pre-vote and check-quorum
-// (section 9.6), single-step membership changes after an entry of the own term
-// (section 4.1), reads confirmed by a round (section 6.4), and a leader lease.
+// (section 9.6), single-step membership changes after an entry of the leader's
+// own term (section 4.1), reads that are confirmed by a round (section 6.4),
+// and a leader lease.
 //
-// Why leader leases cannot overlap. A follower refuses any vote, and any term
-// that comes with a vote request, until ElectionTimeout after it last heard a
-// leader, or after its own start. A leader's lease runs from the moment at
-// which it SENT the newest round that a quorum has answered, for 7/8 of
-// ElectionTimeout. Each member of that quorum heard it later than that. A new
-// leader needs a vote of one of them, which it gets ElectionTimeout after that
-// at the earliest. So the leases cannot overlap unless the voter's clock runs
-// more than 8/7 as fast as the leader's: the drift margin is 14%. The one
-// exception, an election that the leader asks for to hand leadership on, comes
-// after the leader has given up its lease for the rest of its term.
+// Leader leases cannot overlap. A follower refuses any vote, and any term that
+// comes with a vote request, until ElectionTimeout after it last heard a
+// leader, or after its own start. A leader's lease begins when it SENT the
+// newest round that a quorum has answered, and lasts 7/8 of ElectionTimeout.
+// Each member of that quorum received the round later than that. A new leader
+// needs the vote of at least one of them, which is granted ElectionTimeout
+// after that at the earliest. So the leases cannot overlap unless the voter's
+// clock runs more than 8/7 as fast as the leader's: the drift margin is 14%.
+// The one exception, an election that the leader requests in order to transfer
+// leadership, happens only after the leader has given up its lease for the
+// rest of its term.
 //
 //===----------------------------------------------------------------------===//
 
@@ -45,18 +47,19 @@
   std::size_t MaxBytesPerMessage_ = 1U << 19;
   std::size_t MaxMessagesInFlight_ = 64;
   std::size_t SnapshotChunkBytes_ = 1U << 18;
-  /// At most so many entries are kept for followers that are behind but alive.
+  /// The maximum number of entries that are retained for live followers that
+  /// lag.
   std::uint64_t MaxEntriesKept_ = 20'000;
 };
 
-/// Time passed. Comes several times in each heartbeat interval.
+/// Advances the time. Arrives several times in each heartbeat interval.
 struct Tick {};
 
 struct Received {
   Message Message_;
 };
 
-/// A command to append; Id_ names it in the outputs.
+/// A command to append. Id_ identifies it in the outputs.
 struct Proposal {
   std::uint64_t Id_ = 0;
   std::string Command_;
@@ -66,8 +69,9 @@
   std::vector<Proposal> Proposals_;
 };
 
-/// The entries through Index_ are on disk, where the entry at Index_ is of
-/// Term_. Until then the leader does not count itself.
+/// The entries through Index_ are on disk, and the entry at Index_ has Term_.
+/// The leader counts itself towards a quorum only for entries that it has
+/// synced.
 struct Synced {
   std::uint64_t Term_ = 0;
   std::uint64_t Index_ = 0;
@@ -88,17 +92,19 @@
 
 struct TransferRequested {
   std::uint64_t Id_ = 0;
-  std::string To_ = {}; ///< A voter's name; empty: the best one.
+  std::string To_ =
+      {}; ///< A voter's name; empty selects the most up-to-date voter.
 };
 
 /// The driver took a snapshot after applying entry Index_.
 struct SnapshotTaken {
   std::uint64_t Index_ = 0;
   std::string State_;
-  std::uint64_t KeepAfter_ = 0; ///< Later entries stay for slow followers.
+  std::uint64_t KeepAfter_ =
+      0; ///< Later entries are retained for slow followers.
 };
 
-/// The group was founded with these members; only for an empty log.
+/// The group was bootstrapped with these members; valid only for an empty log.
 struct GroupBootstrapped {
   std::vector<Member> Members_;
 };
@@ -110,15 +116,15 @@
       Event_;
 };
 
-/// A proposal took this place in the log.
+/// A proposal was appended at this position of the log.
 struct Accepted {
   std::uint64_t Id_ = 0;
   std::uint64_t Term_ = 0;
   std::uint64_t Index_ = 0;
 };
 
-/// Something asked for by Id_ has ended. A read may be answered once
-/// ReadIndex_ has been applied.
+/// The request Id_ has ended. A read may be answered once ReadIndex_ has been
+/// applied.
 struct Finished {
   std::uint64_t Id_ = 0;
   std::optional<Error> Error_;
@@ -126,12 +132,13 @@
 };
 
 /// The driver writes Hard_, Appended_ and Checkpoint_ in this order, syncs, and
-/// only then sends MessagesAfterSync_. MessagesBeforeSync_ may go at once.
-/// Restore_ comes before Committed_. None of it may be dropped unless the
-/// member stops.
+/// only then sends MessagesAfterSync_. MessagesBeforeSync_ may be sent at once.
+/// Restore_ is applied before Committed_. The driver may drop none of the
+/// outputs unless the member stops.
 struct Outputs {
   std::optional<HardState> Hard_;
-  std::vector<LogEntry> Appended_; ///< Each cuts the log from its index on.
+  std::vector<LogEntry> Appended_; ///< Each entry truncates the log from its
+                                   ///< index on before it is appended.
   std::optional<Checkpoint> Checkpoint_;
   std::vector<Message> MessagesBeforeSync_;
   std::vector<Message> MessagesAfterSync_;
@@ -146,7 +153,8 @@
 /// Not thread-safe.
 class RaftCore {
 public:
-  /// Goes on from what was stored. Start counts as having heard a leader.
+  /// Continues from the stored state. Start counts as a time at which a leader
+  /// was heard.
   RaftCore(const CoreSettings &Settings, TimePoint Start, Checkpoint Stored);
 
   Outputs step(const Input &In);
@@ -156,29 +164,33 @@
   std::uint64_t getCommit() const { return Commit_; }
   const std::optional<MemberId> &getLeader() const { return Leader_; }
   const RaftLog &getLog() const { return Log_; }
-  /// The change of members that was asked for and has not ended.
+  /// The membership change that was requested and has not ended.
   const std::optional<ChangeRequested> &getChange() const { return Change_; }
   /// When this member last became leader.
   TimePoint getLeaderSince() const { return LeaderSince_; }
-  /// For how long this leader has heard nothing of the member; zero of itself.
+  /// Returns the time since this leader last received a message from the
+  /// member; zero for itself.
   Duration getTimeSinceHeard(const MemberId &Id, TimePoint Now) const;
-  /// For how long it has had no answer that the member's disk stands behind:
-  /// one whose disk hangs is heard, and stores nothing.
+  /// Returns the time since this leader last received a reply that the member
+  /// sent after a sync. A member whose disk hangs is still heard but stores
+  /// nothing.
   Duration getTimeSinceStored(const MemberId &Id, TimePoint Now) const;
-  /// Until when no other leader can exist; the lowest time without a lease.
+  /// Returns the time until which no other leader can exist; the lowest time
+  /// without a lease.
   TimePoint getLeaseEnd() const;
 
 private:
-  /// What the leader knows of another member.
+  /// The leader's view of another member.
   struct Progress {
     std::uint64_t Match_ = 0;
     std::uint64_t Next_ = 1;
-    bool Probing_ = true;    ///< One message at a time until one matches.
-    bool ProbeSent_ = false; ///< Until an answer or the next heartbeat.
-    std::deque<std::uint64_t> InFlight_; ///< Last index of each message.
+    bool Probing_ = true;    ///< Sends one message at a time until one matches.
+    bool ProbeSent_ = false; ///< Set until a reply or the next heartbeat.
+    std::deque<std::uint64_t> InFlight_; ///< The last index of each message.
     std::uint64_t AckedRound_ = 0;
     TimePoint LastHeard_{};
-    TimePoint LastStored_{}; ///< When it last answered behind its disk.
+    TimePoint
+        LastStored_{}; ///< When the member last sent a reply after a sync.
     SnapshotRef Sending_;
     std::uint64_t Offset_ = 0;
     TimePoint ChunkSentAt_{};
@@ -210,7 +222,7 @@
   void handle(const SnapshotTaken &In);
   void handle(const GroupBootstrapped &In);
 
-  // Terms and elections, in RaftElection.cpp.
+  // Follower, in RaftFollower.cpp.
   void startPreVote();
   void startElection(bool IsTransfer);
   void requestVotes(bool IsPreVote, bool IsTransfer);
@@ -228,7 +240,7 @@
   void onMessage(const Message &From, const VoteReply &Body);
   void onMessage(const Message &From, const TimeoutNow &Body);
 
-  // The follower's side, in RaftFollower.cpp.
+  // Leader, in RaftLeader.cpp.
   void onMessage(const Message &From, const AppendRequest &Body);
   void onMessage(const Message &From, const SnapshotChunk &Body);
   void followLeader(const MemberId &Leader);
@@ -237,25 +249,25 @@
   void storeEntries(const std::vector<LogEntry> &Entries);
   void installSnapshot(const SnapshotChunk &Last);
 
-  // The leader's side, in RaftLeader.cpp.
+  // Membership changes and leadership transfer, in RaftMembership.cpp.
   void onMessage(const Message &From, const AppendReply &Body);
   void onMessage(const Message &From, const RoundAck &Body);
   void onMessage(const Message &From, const SnapshotReply &Body);
   void recordReply(Progress &Peer, std::uint64_t Round);
-  void appendOwn(EntryKind Kind, std::string Command,
-                 std::vector<Member> Members);
+  void appendNewEntry(EntryKind Kind, std::string Command,
+                      std::vector<Member> Members);
   void broadcastRound();
   void sendAppends();
   void sendAppend(const MemberId &To, Progress &Peer, bool IsHeartbeat);
   void sendChunk(const MemberId &To, Progress &Peer);
-  void sendOneAppend(const MemberId &To, Progress &Peer, std::uint64_t Prev,
-                     bool WithEntries);
+  void sendAppendRequest(const MemberId &To, Progress &Peer, std::uint64_t Prev,
+                         bool WithEntries);
   void advanceCommit();
   void advanceRounds();
   void checkQuorum();
   void updatePeerSet();
 
-  // Membership and transfer, in RaftMembership.cpp.
+  // GroupBootstrap handles the join messages; the core ignores them.
   void tryChange();
   bool hasCaughtUp(const Progress &Learner);
   std::optional<Error> validateChange(const ChangeRequested &Change) const;
@@ -277,8 +289,8 @@
   Error makeNotLeader() const;
   bool isVoter(const MemberId &Id) const;
   std::size_t countVoters() const;
-  /// The highest value of Field that a quorum of voters reaches, where this
-  /// member itself is at Own.
+  /// Returns the highest value of Field that a quorum of voters has reached,
+  /// where this member's own value is Own.
   std::uint64_t findQuorumValue(std::uint64_t Progress::*Field,
                                 std::uint64_t Own) const;
   bool hasCommittedInTerm() const;
@@ -297,16 +309,17 @@
   Role Role_ = Role::Follower;
   std::optional<MemberId> Leader_;
   TimePoint LastHeard_;
-  /// The last round acknowledged: its leader's term, its number.
+  /// The last acknowledged round: its leader's term and its number.
   std::pair<std::uint64_t, std::uint64_t> LastRound_{};
   TimePoint ElectionDeadline_;
-  unsigned FailedElections_ = 0; ///< Begun since a leader was last heard.
+  unsigned FailedElections_ =
+      0; ///< Elections started since a leader was last heard.
   std::map<MemberId, bool> Votes_;
 
-  /// The chunks of a snapshot that is arriving.
+  /// The chunks received so far of an incoming snapshot.
   SnapshotChunk IncomingSnapshot_;
 
-  // Only while leading.
+  // Valid only while leading.
   std::map<MemberId, Progress> Peers_;
   TimePoint LeaderSince_{};
   std::uint64_t FirstIndexOfTerm_ = 0;
@@ -315,10 +328,10 @@
   TimePoint LeaseStart_ = TimePoint::min();
   TimePoint NextHeartbeat_{};
   std::vector<PendingRead> Reads_;
-  std::optional<ChangeRequested> Change_; ///< Waiting or appended.
-  std::uint64_t ChangeIndex_ = 0;         ///< 0 while waiting.
-  std::uint64_t CatchUpIndex_ = 0;        ///< What a learner must reach,
-  TimePoint CatchUpStart_{}; ///< within an election timeout of this.
+  std::optional<ChangeRequested> Change_; ///< Requested or appended.
+  std::uint64_t ChangeIndex_ = 0;         ///< 0 until it is appended.
+  std::uint64_t CatchUpIndex_ = 0; ///< The index that a learner must reach
+  TimePoint CatchUpStart_{};       ///< within an election timeout of this time.
   std::optional<Transfer> Transfer_;
 };
 
--- a/src/replication/RaftElection.cpp
+++ b/src/replication/RaftElection.cpp
@@ -1,5 +1,4 @@
-//===- RaftElection.cpp - RaftCore: terms and elections
-//--------------------===//
+//===- RaftElection.cpp - RaftCore: terms and elections -------------------===//
 
 #include "replication/RaftCore.h"
 
@@ -9,14 +8,15 @@
 using namespace tulipweir;
 using namespace tulipweir::replication;
 
-/// Of the time that an election may take: four election timeouts at the most.
+/// Bounds the timeout of an election at four election timeouts.
 static constexpr unsigned MaxTimeoutDoublings = 3;
 
 void RaftCore::resetElectionTimer() {
   setElectionTimer(Settings_.ElectionTimeout_ * 5 / 4);
 }
 
-/// Sets the deadline between AtLeast and half an election timeout more.
+/// Sets the deadline to a random time from AtLeast to half an election timeout
+/// later.
 void RaftCore::setElectionTimer(Duration AtLeast) {
   std::uniform_int_distribution<Duration::rep> Spread(
       0, Settings_.ElectionTimeout_.count() / 2);
@@ -27,8 +27,8 @@
   Role_ = Role::PreCandidate;
   Leader_.reset();
   Votes_ = {{Settings_.Self_, true}};
-  // Another try comes sooner than the first: this one may be refused only
-  // because a voter heard the leader a little later.
+  // The retry comes sooner than the first attempt, which may have been refused
+  // only because a voter heard the leader slightly later.
   setElectionTimer(Settings_.ElectionTimeout_ / 4);
   requestVotes(true, false);
   countVotes();
@@ -39,9 +39,9 @@
   Leader_.reset();
   setHard({Hard_.Term_ + 1, Settings_.Self_});
   Votes_ = {{Settings_.Self_, true}};
-  // Long enough for two syncs and a round trip; but split votes must not take
-  // the whole time again. Where several came to nothing, the disks may take
-  // longer than that.
+  // The timeout covers two syncs and a round trip, but is shorter than the full
+  // election timeout so that split votes are resolved quickly. It doubles after
+  // each failed election, as the disks may be slower than that.
   setElectionTimer(Settings_.ElectionTimeout_ / 2 *
                    (1 << std::min(FailedElections_, MaxTimeoutDoublings)));
   ++FailedElections_;
@@ -56,11 +56,10 @@
   Request.LastIndex_ = Log_.getLastIndex();
   Request.LastTerm_ = Log_.getLastTerm();
   std::uint64_t Term = IsPreVote ? Hard_.Term_ + 1 : Hard_.Term_;
-  for (const Member &Each : Log_.getMembers()) {
-    bool IsAsked =
-        Each.Role_ == MemberRole::Voter && Each.Id_ != Settings_.Self_;
+  for (const Member &M : Log_.getMembers()) {
+    bool IsAsked = M.Role_ == MemberRole::Voter && M.Id_ != Settings_.Self_;
     if (IsAsked)
-      send(Out_.MessagesAfterSync_, Each.Id_, Term, Request);
+      send(Out_.MessagesAfterSync_, M.Id_, Term, Request);
   }
 }
 
@@ -96,9 +95,9 @@
   Rounds_.clear();
   Peers_.clear();
   FirstIndexOfTerm_ = Log_.getLastIndex() + 1;
-  // An entry of the own term: only with it may older ones be counted as
-  // committed.
-  appendOwn(EntryKind::NoOp, "", {});
+  // A leader may count earlier entries as committed only after an entry of its
+  // own term.
+  appendNewEntry(EntryKind::NoOp, "", {});
   broadcastRound();
 }
 
@@ -113,8 +112,8 @@
   Reads_.clear();
   if (Change_)
     finish(Change_->Id_, Error::make(ErrorCode::Unavailable,
-                                     "leadership was lost; look at the members "
-                                     "before asking again"));
+                                     "leadership was lost; check the members "
+                                     "before retrying"));
   Change_.reset();
   ChangeIndex_ = 0;
   if (Transfer_)
@@ -139,12 +138,14 @@
   return Request.LastIndex_ >= Log_.getLastIndex();
 }
 
-/// Returns whether the message is to be handled, after following a higher term.
+/// Follows a higher term if there is one, and returns whether to handle the
+/// message.
 bool RaftCore::checkTerm(const Message &From) {
   const auto *Request = std::get_if<VoteRequest>(&From.Body_);
   if (Request && Request->PreVote_)
     return true;
-  // Also its term is ignored: this is what leases and check-quorum rest on.
+  // The request's term is ignored as well: leases and check-quorum depend on
+  // this.
   if (Request && !Request->Transfer_ && hasRecentLeader())
     return false;
   const auto *Reply = std::get_if<VoteReply>(&From.Body_);
@@ -159,14 +160,15 @@
   }
   if (From.Term_ == Hard_.Term_)
     return true;
-  // A leader of an old term learns from this that it leads no longer.
+  // The reply tells a leader of an old term that it no longer leads.
   if (IsLeaders)
     send(Out_.MessagesAfterSync_, From.From_, Hard_.Term_, AppendReply{});
   return false;
 }
 
-/// Two that try at once would split the votes: lets the other one go first, and
-/// of two that have both asked already, the one with the higher id.
+/// Lets another candidate go first, as two simultaneous candidates would split
+/// the votes. Of two that have both sent requests, the one with the higher id
+/// proceeds.
 void RaftCore::deferElection(const MemberId &Other) {
   ElectionDeadline_ =
       std::max(ElectionDeadline_, Now_ + Settings_.ElectionTimeout_ / 4);
--- a/src/replication/RaftFollower.cpp
+++ b/src/replication/RaftFollower.cpp
@@ -1,5 +1,4 @@
-//===- RaftFollower.cpp - RaftCore: following a leader
-//---------------------===//
+//===- RaftFollower.cpp - RaftCore: following a leader --------------------===//
 
 #include "replication/RaftCore.h"
 
@@ -19,11 +18,11 @@
   resetElectionTimer();
 }
 
-/// Says at once that the leader is heard, without a word about the log: a disk
-/// that syncs for longer than an election timeout must not make the leader step
-/// down. Safe before anything is stored, since a member that starts again
-/// counts as having heard a leader (see the constructor) and votes for nobody
-/// before the lease that rests on this answer is over.
+/// Acknowledges a round at once, without confirming anything about the log, so
+/// that a disk whose syncs outlast an election timeout does not make the leader
+/// step down. This is safe before anything is stored: a member that restarts
+/// counts as having heard a leader (see the constructor) and grants no vote
+/// before the lease that relies on this acknowledgement has ended.
 void RaftCore::acknowledgeRound(const MemberId &Leader, std::uint64_t Round) {
   const std::pair Place(Hard_.Term_, Round);
   if (Place <= LastRound_)
@@ -32,8 +31,8 @@
   send(Out_.MessagesBeforeSync_, Leader, Hard_.Term_, RoundAck{Round});
 }
 
-/// Returns the last index at which the leader's log may match: entries of
-/// terms above the one it compared with cannot.
+/// Returns the last index at which the leader's log may match. Entries with
+/// terms above the compared one cannot match.
 std::uint64_t RaftCore::findHint(const AppendRequest &Request) const {
   std::uint64_t Hint = std::min(Log_.getLastIndex(), Request.PrevIndex_ - 1);
   while (Hint > Commit_ && Log_.findTerm(Hint) > Request.PrevTerm_)
@@ -46,7 +45,7 @@
   acknowledgeRound(From.From_, Body.Round_);
   AppendReply Reply;
   Reply.Round_ = Body.Round_;
-  // What is committed here is the same at the leader.
+  // Entries that are committed here are identical on the leader.
   bool IsMatch = Body.PrevIndex_ <= Commit_ ||
                  Log_.findTerm(Body.PrevIndex_) == Body.PrevTerm_;
   if (!IsMatch) {
@@ -119,7 +118,7 @@
   Log_.install(Arrived);
   Commit_ = Arrived->Index_;
   Synced_ = std::max(Commit_, std::min(Synced_, Log_.getLastIndex()));
-  // A snapshot overtakes what this step was about to apply.
+  // The snapshot includes the entries that this step was about to apply.
   Out_.Committed_.clear();
   Out_.Restore_ = Arrived;
   Out_.Checkpoint_ = Checkpoint{
--- a/src/replication/RaftLeader.cpp
+++ b/src/replication/RaftLeader.cpp
@@ -1,5 +1,4 @@
-//===- RaftLeader.cpp - RaftCore: leading
-//----------------------------------===//
+//===- RaftLeader.cpp - RaftCore: leading ---------------------------------===//
 
 #include "replication/RaftCore.h"
 
@@ -10,12 +9,12 @@
 using namespace tulipweir;
 using namespace tulipweir::replication;
 
-/// Leaders give up after this many heartbeats without a sign that a chunk of a
-/// snapshot arrived, and send it again.
+/// The leader resends a snapshot chunk after this many heartbeats without a
+/// reply.
 constexpr int ChunkRetryHeartbeats = 4;
 
-void RaftCore::appendOwn(EntryKind Kind, std::string Command,
-                         std::vector<Member> Members) {
+void RaftCore::appendNewEntry(EntryKind Kind, std::string Command,
+                              std::vector<Member> Members) {
   LogEntry Entry;
   Entry.Term_ = Hard_.Term_;
   Entry.Index_ = Log_.getLastIndex() + 1;
@@ -27,20 +26,20 @@
   updatePeerSet();
 }
 
-/// Keeps one Progress for each other member.
+/// Maintains one Progress per other member.
 void RaftCore::updatePeerSet() {
   if (Log_.getMembersIndex() != Log_.getLastIndex() && !Peers_.empty())
     return;
   std::map<MemberId, Progress> Kept;
-  for (const Member &Each : Log_.getMembers()) {
-    if (Each.Id_ == Settings_.Self_)
+  for (const Member &M : Log_.getMembers()) {
+    if (M.Id_ == Settings_.Self_)
       continue;
-    auto Known = Peers_.find(Each.Id_);
+    auto Known = Peers_.find(M.Id_);
     if (Known != Peers_.end()) {
       Kept.insert(Peers_.extract(Known));
       continue;
     }
-    Progress &Fresh = Kept[Each.Id_];
+    Progress &Fresh = Kept[M.Id_];
     Fresh.Next_ = Log_.getLastIndex();
     Fresh.LastHeard_ = Now_;
     Fresh.LastStored_ = Now_;
@@ -67,15 +66,16 @@
 void RaftCore::sendAppend(const MemberId &To, Progress &Peer,
                           bool IsHeartbeat) {
   if (Peer.Sending_ || Peer.Next_ <= Log_.getBaseIndex()) {
-    // Matches everywhere, so it only tells that the leader is alive.
+    // Index 0 matches any log, so this message only shows that the leader is
+    // alive.
     if (IsHeartbeat)
-      sendOneAppend(To, Peer, 0, false);
+      sendAppendRequest(To, Peer, 0, false);
     sendChunk(To, Peer);
     return;
   }
   if (Peer.Probing_) {
     if (!Peer.ProbeSent_ || IsHeartbeat)
-      sendOneAppend(To, Peer, Peer.Next_ - 1, true);
+      sendAppendRequest(To, Peer, Peer.Next_ - 1, true);
     Peer.ProbeSent_ = true;
     return;
   }
@@ -84,15 +84,15 @@
     bool IsFull = Peer.InFlight_.size() >= Settings_.MaxMessagesInFlight_;
     if (IsFull && !IsFirst)
       return;
-    sendOneAppend(To, Peer, Peer.Next_ - 1, !IsFull);
+    sendAppendRequest(To, Peer, Peer.Next_ - 1, !IsFull);
     IsFirst = false;
     if (IsFull)
       return;
   }
 }
 
-void RaftCore::sendOneAppend(const MemberId &To, Progress &Peer,
-                             std::uint64_t Prev, bool WithEntries) {
+void RaftCore::sendAppendRequest(const MemberId &To, Progress &Peer,
+                                 std::uint64_t Prev, bool WithEntries) {
   AppendRequest Request;
   Request.Round_ = Round_;
   Request.PrevIndex_ = Prev;
@@ -215,7 +215,8 @@
 
 void RaftCore::advanceCommit() {
   std::uint64_t Index = findQuorumValue(&Progress::Match_, Synced_);
-  // Entries of earlier terms are committed by one of the own term after them.
+  // Entries of earlier terms are committed only by a later entry of the
+  // leader's own term.
   bool IsOwn = Index > Commit_ && Log_.findTerm(Index) == Hard_.Term_;
   if (!IsOwn)
     return;
@@ -224,8 +225,8 @@
   finishChange();
 }
 
-/// Takes the newest round that a quorum has answered as the lease's start, and
-/// answers the reads that it confirms.
+/// Starts the lease at the newest round that a quorum has answered, and
+/// completes the reads that the round confirms.
 void RaftCore::advanceRounds() {
   std::uint64_t Confirmed = findQuorumValue(&Progress::AckedRound_, Round_);
   while (!Rounds_.empty() && Rounds_.front().Number_ <= Confirmed) {
@@ -250,16 +251,16 @@
   return Known == Peers_.end() ? Duration(0) : Now - Known->second.LastStored_;
 }
 
-/// Steps down when no quorum has answered within an election timeout: others
-/// may have a leader by then, and callers are better told so.
+/// Steps down if no quorum has answered within an election timeout: the others
+/// may have elected a leader by then, and callers should be sent there.
 void RaftCore::checkQuorum() {
   std::size_t Alive = 0;
-  for (const Member &Each : Log_.getMembers()) {
-    if (Each.Role_ != MemberRole::Voter)
+  for (const Member &M : Log_.getMembers()) {
+    if (M.Role_ != MemberRole::Voter)
       continue;
     bool IsAlive =
-        Each.Id_ == Settings_.Self_ ||
-        Now_ - Peers_.at(Each.Id_).LastHeard_ < Settings_.ElectionTimeout_;
+        M.Id_ == Settings_.Self_ ||
+        Now_ - Peers_.at(M.Id_).LastHeard_ < Settings_.ElectionTimeout_;
     Alive += IsAlive ? 1 : 0;
   }
   if (Alive <= countVoters() / 2)
--- a/src/replication/Rejoin.cpp
+++ b/src/replication/Rejoin.cpp
@@ -5,25 +5,26 @@
 using namespace tulipweir;
 using namespace tulipweir::replication;
 
-static bool isNamed(const MemberHealth &Each, const std::string &Name) {
-  return Each.Member_.Id_.Name_ == Name;
+static bool isNamed(const MemberHealth &Health, const std::string &Name) {
+  return Health.Member_.Id_.Name_ == Name;
 }
 
-static bool isUnresponsiveIncarnation(const MemberHealth &Each,
+static bool isUnresponsiveIncarnation(const MemberHealth &Health,
                                       const MemberId &Of) {
-  return isNamed(Each, Of.Name_) && Each.Member_.Id_ != Of && !Each.IsAlive_;
+  return isNamed(Health, Of.Name_) && Health.Member_.Id_ != Of &&
+         !Health.IsAlive_;
 }
 
-/// Whether the member that asks runs in the place of one that no longer does. A
-/// name is that of one VM: while one of its incarnations answers, a question
-/// from another is an old one that was held up.
+/// Returns whether Asker replaces an incarnation that no longer runs. A name
+/// belongs to one VM: while one of its incarnations answers, a request from
+/// another incarnation is a delayed one.
 static bool isSuccessor(const std::vector<MemberHealth> &Members,
                         const MemberId &Asker) {
   bool IsKnown = false;
-  for (const MemberHealth &Each : Members) {
-    if (!isNamed(Each, Asker.Name_))
+  for (const MemberHealth &Health : Members) {
+    if (!isNamed(Health, Asker.Name_))
       continue;
-    if (Each.Member_.Id_ == Asker || Each.IsAlive_)
+    if (Health.Member_.Id_ == Asker || Health.IsAlive_)
       return false;
     IsKnown = true;
   }
@@ -32,14 +33,15 @@
 
 std::optional<ChangeRequested>
 replication::planRejoin(const std::vector<MemberHealth> &Members,
-                        const std::vector<MemberId> &Waiting) {
-  // First, for a disk may be lost again before its member was promoted.
-  for (const MemberId &Each : Waiting)
-    if (isSuccessor(Members, Each))
-      return ChangeRequested{0, ChangeKind::AddLearner, Each};
-  for (const MemberHealth &Each : Members) {
-    const MemberId &Id = Each.Member_.Id_;
-    if (!Each.IsAlive_)
+                        const std::vector<MemberId> &JoinRequests) {
+  // Waiting members are handled first, as a disk may be lost again before its
+  // member was promoted.
+  for (const MemberId &Id : JoinRequests)
+    if (isSuccessor(Members, Id))
+      return ChangeRequested{0, ChangeKind::AddLearner, Id};
+  for (const MemberHealth &Health : Members) {
+    const MemberId &Id = Health.Member_.Id_;
+    if (!Health.IsAlive_)
       continue;
     const MemberHealth *Before = nullptr;
     bool HasVoter = false;
@@ -49,7 +51,7 @@
       Before = &Other;
       HasVoter = HasVoter || Other.Member_.Role_ == MemberRole::Voter;
     }
-    if (HasVoter && Each.Member_.Role_ == MemberRole::Learner)
+    if (HasVoter && Health.Member_.Role_ == MemberRole::Learner)
       return ChangeRequested{0, ChangeKind::Promote, Id};
     if (Before)
       return ChangeRequested{0, ChangeKind::Remove, Before->Member_.Id_};
@@ -57,31 +59,31 @@
   return std::nullopt;
 }
 
-/// Bounds what strangers can cost the leader.
+/// Bounds the load that unknown members can put on the leader.
 static constexpr std::size_t MaxMembers = 32;
 
 std::optional<ChangeRequested>
 replication::planMembers(const std::vector<MemberHealth> &Members,
-                         const std::vector<MemberId> &Waiting,
+                         const std::vector<MemberId> &JoinRequests,
                          std::uint64_t TargetVoters) {
-  for (const MemberId &Each : Waiting) {
+  for (const MemberId &Id : JoinRequests) {
     const bool IsStranger = std::none_of(
         Members.begin(), Members.end(), [&](const MemberHealth &Known) {
-          return Known.Member_.Id_.Name_ == Each.Name_;
+          return Known.Member_.Id_.Name_ == Id.Name_;
         });
     if (IsStranger && Members.size() < MaxMembers)
-      return ChangeRequested{0, ChangeKind::AddLearner, Each};
+      return ChangeRequested{0, ChangeKind::AddLearner, Id};
   }
   std::uint64_t Voters = 0;
   const MemberHealth *Gone = nullptr;
   const MemberHealth *Spare = nullptr;
-  for (const MemberHealth &Each : Members) {
-    const bool IsVoter = Each.Member_.Role_ == MemberRole::Voter;
+  for (const MemberHealth &Health : Members) {
+    const bool IsVoter = Health.Member_.Role_ == MemberRole::Voter;
     Voters += IsVoter ? 1 : 0;
-    if (IsVoter && Each.IsUnresponsive_ && !Gone)
-      Gone = &Each;
-    if (!IsVoter && Each.IsAlive_ && !Spare)
-      Spare = &Each;
+    if (IsVoter && Health.IsUnresponsive_ && !Gone)
+      Gone = &Health;
+    if (!IsVoter && Health.IsAlive_ && !Spare)
+      Spare = &Health;
   }
   const bool IsShort =
       Voters < TargetVoters || (Gone && Voters == TargetVoters);
--- a/src/replication/Rejoin.h
+++ b/src/replication/Rejoin.h
@@ -1,11 +1,11 @@
-//===- Rejoin.h - Which change of members comes next -----------*- C++ -*-===//
+//===- Rejoin.h - Planning of membership changes ---------------*- C++ -*-===//
 //
-// Two plans, each a step at a time and by committed changes only. planRejoin
-// replaces an earlier incarnation by the one that runs now, under the same name
-// and in the same role: the new one is added as a learner, promoted once it has
-// caught up, and then the old one is removed. planMembers keeps a number of
-// voters: it takes in strangers, and puts one that is there in the place of a
-// voter that is gone.
+// Both plans propose one committed change at a time. planRejoin replaces an
+// earlier incarnation with the one that runs now, under the same name and in
+// the same role: the new incarnation is added as a learner and promoted once
+// it has caught up, and then the old one is removed. planMembers maintains a
+// number of voters: it adds members with unknown names, and replaces an
+// unresponsive voter with a live learner.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,26 +18,31 @@
 
 namespace tulipweir::replication {
 
-/// A member as the leader sees it.
+/// The leader's view of a member's health.
 struct MemberHealth {
   Member Member_;
-  bool IsAlive_ = false; ///< Its disk answered within an election timeout.
-  bool IsUnresponsive_ = false; ///< It has not for so long that it is given up.
+  bool IsAlive_ =
+      false; ///< The member's disk answered within an election timeout.
+  bool IsUnresponsive_ = false; ///< It has not answered for UnresponsiveAfter_,
+                                ///< and its vote may be replaced.
 };
 
-/// Waiting are members without a log that have asked to join. Strangers among
-/// them are left to the operator. Which of two incarnations is the later one is
-/// told by which of them answers, not by their numbers: those come from a clock
-/// that may have been set back between them.
+/// Plans the replacement of lost incarnations. JoinRequests lists the members
+/// without a log that have asked to join; those with unknown names are ignored.
+/// The later of two incarnations is the one that answers, not the one with the
+/// higher number: the numbers come from a clock that may have been set back
+/// between them.
 std::optional<ChangeRequested>
 planRejoin(const std::vector<MemberHealth> &Members,
-           const std::vector<MemberId> &Waiting);
+           const std::vector<MemberId> &JoinRequests);
 
-/// A gone voter is removed only while there is one voter more than wanted, so
-/// the number of voters that answer never falls by it.
+/// Plans changes towards TargetVoters. An unresponsive voter is removed only
+/// while there is one voter more than the target, so that its removal never
+/// reduces the number of voters that answer.
 std::optional<ChangeRequested>
 planMembers(const std::vector<MemberHealth> &Members,
-            const std::vector<MemberId> &Waiting, std::uint64_t TargetVoters);
+            const std::vector<MemberId> &JoinRequests,
+            std::uint64_t TargetVoters);
 
 } // namespace tulipweir::replication
 
--- a/src/replication/Replica.cpp
+++ b/src/replication/Replica.cpp
@@ -12,8 +12,8 @@
 
 constexpr int RandomBits = 20;
 
-/// Never the same twice. Rises as long as the wall clock does, which only the
-/// very first start of a group relies on (GroupBootstrap).
+/// Returns a unique incarnation. Incarnations increase with the wall clock,
+/// which only the bootstrap of a group relies on (see GroupBootstrap).
 static std::uint64_t makeIncarnation(const Clock &Time) {
   std::random_device Random;
   std::uint64_t Low = Random() & ((1U << RandomBits) - 1);
@@ -34,8 +34,8 @@
   return std::nullopt;
 }
 
-/// Opens the folder; one that is damaged is set aside, and the member starts
-/// with nothing and a new incarnation, as if its disk were lost.
+/// Opens the folder. A damaged folder is quarantined, and the member starts
+/// empty with a new incarnation, as if its disk were lost.
 static Outcome<void> openFolder(ReplicaStart &Start) {
   static PosixFileSystem Files;
   const std::string &Folder = Start.Settings_.Folder_;
--- a/src/replication/ReplicaDriver.cpp
+++ b/src/replication/ReplicaDriver.cpp
@@ -9,7 +9,7 @@
 using namespace tulipweir;
 using namespace tulipweir::replication;
 
-/// A snapshot is taken at the latest after so many times SnapshotEvery_.
+/// A snapshot is taken after this many times SnapshotEvery_ at the latest.
 constexpr std::uint64_t MaxSnapshotDelay = 8;
 
 static CoreSettings makeCoreSettings(const ReplicaSettings &From,
@@ -28,8 +28,8 @@
                   Settings.ElectionTimeout_ / 10);
 }
 
-/// Members take their snapshots at different entries, so that they don't stall
-/// all at once.
+/// The members take their snapshots at different entries, so that they do not
+/// all stall at the same time.
 static std::uint64_t planFirstSnapshot(const ReplicaSettings &Settings,
                                        std::uint64_t Applied) {
   std::uint64_t Spread = Settings.SnapshotEvery_ / 2 + 1;
@@ -77,8 +77,8 @@
 
 template <class Function> void ReplicaDriver::post(Function Edit) {
   std::lock_guard Guard(InboxLock_);
-  // Where something waited already, the thread knows, unless it lets proposals
-  // gather.
+  // If the inbox is not empty, the thread has been notified already, unless it
+  // is delaying proposals for batching.
   const bool WasWaiting = !Inbox_.isEmpty();
   Edit(Inbox_);
   if (!WasWaiting || Inbox_.isUrgent())
@@ -166,7 +166,7 @@
   bool IsStopping = Inbox_.IsStopping_;
   Inbox Taken = std::exchange(Inbox_, Inbox{});
   Inbox_.IsStopping_ = IsStopping;
-  // Something else was urgent; proposals gather on.
+  // Other input was urgent; the proposals stay until the end of their interval.
   if (!IsStopping && Time_.now() < NextProposalTime_)
     std::swap(Taken.Calls_, Inbox_.Calls_);
   return Taken;
@@ -175,7 +175,8 @@
 void ReplicaDriver::run() {
   for (;;) {
     Inbox In = takeInbox();
-    // First of all, so that a process that was frozen learns how late it is.
+    // The tick comes before all other input, so that a process that was frozen
+    // first learns how much time has passed.
     if (Time_.now() >= NextTick_)
       tick();
     handleInbox(In);
@@ -202,12 +203,12 @@
     Reads.Ids_.push_back(Pending_.addOther(std::move(Done)));
   if (!Reads.Ids_.empty())
     step(std::move(Reads));
-  for (Change &Each : In.Changes_)
-    step(ChangeRequested{Pending_.addOther(std::move(Each.Done_)), Each.Kind_,
-                         std::move(Each.Member_)});
-  for (TransferCall &Each : In.Transfers_)
-    step(TransferRequested{Pending_.addOther(std::move(Each.Done_)),
-                           std::move(Each.To_)});
+  for (Change &Request : In.Changes_)
+    step(ChangeRequested{Pending_.addOther(std::move(Request.Done_)),
+                         Request.Kind_, std::move(Request.Member_)});
+  for (TransferCall &Request : In.Transfers_)
+    step(TransferRequested{Pending_.addOther(std::move(Request.Done_)),
+                           std::move(Request.To_)});
 }
 
 void ReplicaDriver::tick() {
@@ -219,7 +220,7 @@
   NextJoinProbe_ = Time_.now() + Settings_.ElectionTimeout_ / 2;
   if (Core_.getLog().isEmpty())
     return processOutputs(Bootstrap_.ask(getLocalState()));
-  // Nobody tells a member that was removed while it was away.
+  // No message tells a member that it was removed while it was down.
   if (Settings_.TargetVoters_ > 0 && !Core_.getLeader())
     processOutputs(Bootstrap_.requestJoin());
 }
@@ -232,7 +233,8 @@
     return;
   NextMembershipCheck_ = Time_.now() + Settings_.HeartbeatInterval_;
   const std::optional<ChangeRequested> &Current = Core_.getChange();
-  // An operator's change goes first; one of ours may have become pointless.
+  // An operator's change takes precedence. An automatic change may be replaced,
+  // as it may no longer be needed.
   if (Current && Current->Id_ != 0)
     return;
   const std::vector<MemberHealth> Health = listMemberHealth();
@@ -259,7 +261,8 @@
       std::holds_alternative<JoinProbe>(Decoded.value().Body_) && Leader &&
       Core_.getRole() != Role::Leader &&
       Decoded.value().From_.Name_ != Leader->Name_;
-  // Whoever asks to join knows some members, but not who leads.
+  // A member that asks to join knows some members but not the leader, so the
+  // request is forwarded.
   if (IsForLeader && Decoded.value().To_.Name_ == Settings_.Name_) {
     Message Passed = Decoded.value();
     Passed.To_ = MemberId{Leader->Name_, 0};
@@ -273,9 +276,9 @@
 
 void ReplicaDriver::proposeAll(std::vector<Call> &Calls) {
   Proposed Batch;
-  for (Call &Each : Calls) {
-    std::uint64_t Id = Pending_.addProposal(std::move(Each.Done_));
-    Batch.Proposals_.push_back({Id, std::move(Each.Command_)});
+  for (Call &PendingCall : Calls) {
+    std::uint64_t Id = Pending_.addProposal(std::move(PendingCall.Done_));
+    Batch.Proposals_.push_back({Id, std::move(PendingCall.Command_)});
   }
   if (Batch.Proposals_.empty())
     return;
@@ -293,7 +296,8 @@
 }
 
 void ReplicaDriver::processOutputs(Outputs Out) {
-  // Before anything leaves: handing over leadership rests on it.
+  // The lease is updated before any message is sent: leadership transfer
+  // depends on it.
   setLease({Core_.getLeaseEnd(), Core_.getTerm()});
   sendAll(Out.MessagesBeforeSync_);
   write(Out);
@@ -306,9 +310,9 @@
     Pending_.finish(End, Applied_);
   bool IsLeader = Core_.getRole() == Role::Leader;
   if (std::exchange(WasLeader_, IsLeader) && !IsLeader)
-    Pending_.failAppended(
-        Error::make(ErrorCode::Unavailable,
-                    "leadership was lost; it may or may not take effect"));
+    Pending_.failAppended(Error::make(
+        ErrorCode::Unavailable,
+        "leadership was lost; the proposal may or may not take effect"));
   if (!Out.Committed_.empty())
     takeSnapshotIfDue();
 }
@@ -355,8 +359,9 @@
   Pending_.completeReads(Applied_);
 }
 
-/// Snapshots cost no more bytes than the log itself, and are never put off for
-/// more than a few times the usual distance.
+/// Returns whether a snapshot is due. Snapshots write no more bytes than the
+/// log itself, but are delayed by at most MaxSnapshotDelay times the configured
+/// number of entries.
 bool ReplicaDriver::isSnapshotDue() const {
   bool IsWanted = Settings_.SnapshotEvery_ != 0 && !HasFailed_;
   if (!IsWanted || Applied_ < NextSnapshot_)
@@ -397,7 +402,7 @@
   }
   if (!Out.BootstrapMembers_.empty())
     step(GroupBootstrapped{std::move(Out.BootstrapMembers_)});
-  // Behind the founding entry in the writer's queue.
+  // The messages follow the first log entry in the writer's queue.
   WriteJob Job;
   Job.Messages_ = std::move(Out.Messages_);
   if (!Job.Messages_.empty())
@@ -433,28 +438,28 @@
 
 std::vector<MemberHealth> ReplicaDriver::listMemberHealth() const {
   std::vector<MemberHealth> Health;
-  for (const Member &Each : Core_.getLog().getMembers()) {
-    const Duration Stall = Core_.getTimeSinceStored(Each.Id_, Time_.now());
-    Health.push_back({Each, Stall < Settings_.ElectionTimeout_,
+  for (const Member &M : Core_.getLog().getMembers()) {
+    const Duration Stall = Core_.getTimeSinceStored(M.Id_, Time_.now());
+    Health.push_back({M, Stall < Settings_.ElectionTimeout_,
                       Stall >= Settings_.UnresponsiveAfter_});
   }
   return Health;
 }
 
-/// Guarded by the caller.
+/// The caller holds StatusLock_.
 void ReplicaDriver::publishMemberHealth() {
   Status_.Responsive_.clear();
   Status_.Unresponsive_.clear();
   if (!Status_.IsLeader_)
     return;
-  for (const MemberHealth &Each : listMemberHealth()) {
-    const std::string &Name = Each.Member_.Id_.Name_;
+  for (const MemberHealth &Health : listMemberHealth()) {
+    const std::string &Name = Health.Member_.Id_.Name_;
     if (Name == Settings_.Name_)
       continue;
-    if (Each.IsAlive_)
+    if (Health.IsAlive_)
       Status_.Responsive_.push_back(Name);
-    // One whose disk hangs still passes on what it hears.
-    if (Core_.getTimeSinceHeard(Each.Member_.Id_, Time_.now()) >=
+    // A member whose disk hangs can still relay messages.
+    if (Core_.getTimeSinceHeard(Health.Member_.Id_, Time_.now()) >=
         Settings_.UnresponsiveAfter_)
       Status_.Unresponsive_.push_back(Name);
   }
@@ -465,9 +470,8 @@
   std::vector<MemberId> JoinRequests;
   for (const auto &[Name, Incarnation] : Bootstrap_.getJoinRequests()) {
     MemberId Id{Name, Incarnation};
-    bool IsMember =
-        std::any_of(Members.begin(), Members.end(),
-                    [&](const Member &Each) { return Each.Id_ == Id; });
+    bool IsMember = std::any_of(Members.begin(), Members.end(),
+                                [&](const Member &M) { return M.Id_ == Id; });
     if (!IsMember)
       JoinRequests.push_back(std::move(Id));
   }
@@ -475,6 +479,6 @@
 }
 
 void ReplicaDriver::sendAll(const std::vector<Message> &Messages) {
-  for (const Message &Each : Messages)
-    Out_.send(Each.To_.Name_, encodeMessage(Settings_.Group_, Each));
+  for (const Message &Msg : Messages)
+    Out_.send(Msg.To_.Name_, encodeMessage(Settings_.Group_, Msg));
 }
--- a/src/replication/ReplicaDriver.h
+++ b/src/replication/ReplicaDriver.h
@@ -1,7 +1,7 @@
-//===- ReplicaDriver.h - Runs one member -----------------------*- C++ -*-===//
+//===- ReplicaDriver.h - Replica implementation ----------------*- C++ -*-===//
 //
-// The Replica behind Replica::open: one thread that steps the core, applies
-// and calls back, and the LogWriter's thread that writes and syncs.
+// The Replica that Replica::open returns: one thread steps the core, applies
+// entries and calls back, and the LogWriter's thread writes and syncs.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,11 +23,11 @@
 
 namespace tulipweir::replication {
 
-/// What a member starts from.
+/// The state from which a member starts.
 struct ReplicaStart {
   ReplicaSettings Settings_;
   Identity Owner_;
-  Checkpoint Stored_; ///< Its snapshot is in the state machine already.
+  Checkpoint Stored_; ///< The state machine has already restored its snapshot.
   std::unique_ptr<LogStorage> Storage_;
   std::string LostDisk_;
 };
@@ -57,7 +57,8 @@
     std::string Command_;
     AppliedCallback Done_;
   };
-  /// Until when no other leader than this one, of this term, can exist.
+  /// The time until which no leader other than this one, of this term, can
+  /// exist.
   struct LeaderLease {
     TimePoint End_ = TimePoint::min();
     std::uint64_t Term_ = 0;
@@ -68,10 +69,10 @@
     DoneCallback Done_;
   };
   struct TransferCall {
-    std::string To_; ///< Empty: to the best other voter.
+    std::string To_; ///< Empty selects the most up-to-date other voter.
     DoneCallback Done_;
   };
-  /// What other threads handed in since the last turn.
+  /// Input from other threads since the last iteration of the driver's thread.
   struct Inbox {
     std::vector<Synced> Synced_;
     std::vector<std::string> Messages_;
@@ -82,15 +83,16 @@
     std::optional<Error> Failure_;
     bool IsStopping_ = false;
     bool isEmpty() const { return Calls_.empty() && !isUrgent(); }
-    /// Holds more than proposals, which may gather for a moment.
+    /// Returns whether the inbox holds anything other than proposals, which may
+    /// be delayed in order to be batched.
     bool isUrgent() const;
   };
 
-  /// Hands something in; Edit runs under the lock.
+  /// Adds to the inbox; Edit runs under the lock.
   template <class Function> void post(Function Edit);
   void requestChange(ChangeKind Kind, MemberId Id, DoneCallback Done);
 
-  // All below runs on the driver's thread.
+  // The functions below run on the driver's thread.
   void run();
   Inbox takeInbox();
   void handleInbox(Inbox &In);
@@ -127,12 +129,12 @@
   HardState Hard_;
   std::uint64_t Applied_ = 0;
   std::uint64_t NextSnapshot_ = 0;
-  std::uint64_t SnapshotBytes_ = 0;      ///< Size of the last one.
-  std::uint64_t BytesSinceSnapshot_ = 0; ///< Of commands applied.
+  std::uint64_t SnapshotBytes_ = 0;      ///< Size of the last snapshot.
+  std::uint64_t BytesSinceSnapshot_ = 0; ///< Bytes of applied commands.
   bool WasLeader_ = false;
   bool HasFailed_ = false;
   TimePoint NextTick_;
-  TimePoint NextProposalTime_{}; ///< Until then they gather.
+  TimePoint NextProposalTime_{}; ///< Proposals are batched until this time.
   TimePoint NextJoinProbe_;
   TimePoint NextMembershipCheck_;
 
--- a/tests/replication/CoreCluster.h
+++ b/tests/replication/CoreCluster.h
@@ -1,7 +1,8 @@
-//===- CoreCluster.h - Cores with a fake network and fake disks -*- C++ -*-===//
+//===- CoreCluster.h - Simulated cluster of RaftCores ----------*- C++ -*-===//
 //
-// Runs a group of RaftCores from one seed: delays, clock rates, syncs and
-// faults all come from it. After each event it checks what must always hold.
+// Runs a group of RaftCores on a simulated network and simulated disks. One
+// seed determines all delays, clock rates, syncs and faults. The invariants
+// are checked after each event.
 //
 //===----------------------------------------------------------------------===//
 
@@ -48,7 +49,7 @@
   Count
 };
 
-/// Strikes the member that does Step_ for the Skip_-th time.
+/// Occurs at the member that performs Step_ after Skip_ earlier occurrences.
 struct PlannedFault {
   LogStep Step_;
   Fault Fault_;
@@ -61,13 +62,13 @@
   using Millis = std::int64_t;
   static constexpr Millis ElectionMs = 100;
 
-  /// Odd seeds have rough weather: besides the plan, messages get lost and
-  /// members crash, freeze and lose each other all day.
+  /// With an odd seed, messages are lost and members crash, freeze and become
+  /// partitioned at random, in addition to the plan.
   CoreCluster(std::uint64_t Seed, std::vector<PlannedFault> Plan);
 
-  /// The usual day: proposals, a member down for long, hand-overs, a new
-  /// member; then all is healed and must agree. Returns the first thing that
-  /// did not hold, or an empty text.
+  /// Runs the scenario: proposals, a long outage of a member, leadership
+  /// transfers and a new member. Then heals all faults and waits until the
+  /// members agree. Returns the first violated invariant, or an empty string.
   std::string run();
 
   bool haveAllFaultsOccurred() const;
@@ -84,20 +85,23 @@
   };
   struct Node {
     MemberId Id_;
-    std::unique_ptr<RaftCore> Core_; ///< Null while down.
+    std::unique_ptr<RaftCore> Core_; ///< Null while the node is down.
     Checkpoint Disk_;
     HardState Hard_;
     std::deque<Write> Writes_;
     std::uint64_t Applied_ = 0;
-    std::uint64_t HistoryHash_ = 0; ///< Hash of all that was applied.
-    double Rate_ = 1;               ///< Of its clock.
+    std::uint64_t HistoryHash_ = 0; ///< Hash of all applied entries.
+    double Rate_ = 1;               ///< Rate of the node's clock.
     Millis RestartAt_ = 0;
     Millis FrozenUntil_ = 0;
     Millis NextTick_ = 0;
     Millis LastWriteAt_ = 0;
-    std::map<Fault, Millis> Until_; ///< Faults of the network around it.
-    std::string CutFrom_;           ///< From this one only; empty: from all.
-    std::map<std::uint64_t, std::uint64_t> Reads_; ///< Id to least index.
+    std::map<Fault, Millis>
+        Until_; ///< When each network fault of the node ends.
+    std::string
+        CutFrom_; ///< The only peer that is cut off; empty for all peers.
+    std::map<std::uint64_t, std::uint64_t>
+        Reads_; ///< Request id to the least valid read index.
     bool IsWanted_ = true;
   };
   struct InFlight {
@@ -107,32 +111,32 @@
 
   void tickAll();
   void runScenario();
-  void runNode(Node &Which);
-  void propose(Node &Which);
+  void runNode(Node &Target);
+  void propose(Node &Target);
   void reconcileMembers(Node &Leader);
-  void deliver(Node &Which);
-  void completeWrites(Node &Which);
-  void step(Node &Which, decltype(Input::Event_) Event);
-  void processOutputs(Node &Which, Outputs Out);
-  void apply(Node &Which, const LogEntry &Entry);
-  void takeSnapshotIfDue(Node &Which);
-  void store(Node &Which, const Write &Job);
-  void send(Node &Which, const Message &Each);
-  void crash(Node &Which, bool LosesDisk);
-  void start(Node &Which);
-  bool injectFaultBefore(Node &Which, const std::set<LogStep> &Steps);
-  void injectFaultAfter(Node &Which, const std::set<LogStep> &Steps);
-  void injectFault(Node &Which, Fault What);
+  void deliver(Node &Target);
+  void completeWrites(Node &Target);
+  void step(Node &Target, decltype(Input::Event_) Event);
+  void processOutputs(Node &Target, Outputs Out);
+  void apply(Node &Target, const LogEntry &Entry);
+  void takeSnapshotIfDue(Node &Target);
+  void store(Node &Target, const Write &Job);
+  void send(Node &Target, const Message &Msg);
+  void crash(Node &Target, bool LosesDisk);
+  void start(Node &Target);
+  bool injectFaultBefore(Node &Target, const std::set<LogStep> &Steps);
+  void injectFaultAfter(Node &Target, const std::set<LogStep> &Steps);
+  void injectFault(Node &Target, Fault What);
   bool isHealthy() const;
   bool hasConverged() const;
-  bool hasFault(const Node &Which, Fault What) const;
+  bool hasFault(const Node &Target, Fault What) const;
   bool isCut(const Node &From, const Node &To) const;
   void injectRandomFaults();
-  void check(const Node &Which);
+  void check(const Node &Target);
   void checkLeases();
   void expect(bool Holds, const std::string &What);
   Node *findLeader();
-  TimePoint localNow(const Node &Which) const;
+  TimePoint localNow(const Node &Target) const;
   Millis pick(Millis Low, Millis High);
 
   std::mt19937_64 Random_;
@@ -146,9 +150,10 @@
   std::uint64_t NextId_ = 0;
   std::uint64_t NextIncarnation_ = 10;
   std::string Violation_;
-  std::map<std::uint64_t, MemberId> LeaderOf_;           ///< By term.
-  std::map<std::uint64_t, std::uint64_t> HistoryHashAt_; ///< By index.
-  std::map<std::uint64_t, std::uint64_t> Proposed_; ///< Index to term, open.
+  std::map<std::uint64_t, MemberId> LeaderOf_;           ///< Keyed by term.
+  std::map<std::uint64_t, std::uint64_t> HistoryHashAt_; ///< Keyed by index.
+  std::map<std::uint64_t, std::uint64_t>
+      Proposed_; ///< Index to term of the open proposals.
   std::map<std::uint64_t, std::uint64_t> Acknowledged_;
 };
 
--- a/tests/replication/CoreClusterFaults.cpp
+++ b/tests/replication/CoreClusterFaults.cpp
@@ -1,5 +1,4 @@
-//===- CoreClusterFaults.cpp - What goes wrong in a CoreCluster
-//------------===//
+//===- CoreClusterFaults.cpp - Faults of a CoreCluster --------------------===//
 
 #include "CoreCluster.h"
 
@@ -13,96 +12,97 @@
                              Fault::Frozen,      Fault::CutOutgoing,
                              Fault::CutIncoming, Fault::CutBothWays,
                              Fault::Reordered,   Fault::Duplicated};
-  Node &Which = std::next(Nodes_.begin(), pick(0, 3))->second;
+  Node &Target = std::next(Nodes_.begin(), pick(0, 3))->second;
   auto Kind = static_cast<std::size_t>(pick(0, std::size(Kinds) - 1));
-  if (Which.Core_)
-    injectFault(Which, Kinds[Kind]);
+  if (Target.Core_)
+    injectFault(Target, Kinds[Kind]);
 }
 
-void CoreCluster::crash(Node &Which, bool LosesDisk) {
-  Which.Core_.reset();
-  Which.Writes_.clear();
-  Which.Reads_.clear();
-  Which.FrozenUntil_ = 0;
-  Which.RestartAt_ = Now_ + pick(0, 4 * ElectionMs);
+void CoreCluster::crash(Node &Target, bool LosesDisk) {
+  Target.Core_.reset();
+  Target.Writes_.clear();
+  Target.Reads_.clear();
+  Target.FrozenUntil_ = 0;
+  Target.RestartAt_ = Now_ + pick(0, 4 * ElectionMs);
   if (!LosesDisk)
     return;
-  Which.Disk_ = {};
-  Which.Id_.Incarnation_ = ++NextIncarnation_;
+  Target.Disk_ = {};
+  Target.Id_.Incarnation_ = ++NextIncarnation_;
 }
 
-bool CoreCluster::injectFaultBefore(Node &Which,
+bool CoreCluster::injectFaultBefore(Node &Target,
                                     const std::set<LogStep> &Steps) {
-  for (PlannedFault &Each : Plan_) {
-    bool IsDue = !Each.Done_ && !IsHealing_ && Steps.count(Each.Step_) != 0 &&
-                 Now_ > 150;
-    if (!IsDue || Each.Skip_-- > 0)
+  for (PlannedFault &Planned : Plan_) {
+    bool IsDue = !Planned.Done_ && !IsHealing_ &&
+                 Steps.count(Planned.Step_) != 0 && Now_ > 150;
+    if (!IsDue || Planned.Skip_-- > 0)
       continue;
-    // Losing two disks at once is more than any quorum of three stands.
-    if (Each.Fault_ == Fault::LostDisk && !isHealthy())
+    // A quorum of three does not survive the loss of two disks at once.
+    if (Planned.Fault_ == Fault::LostDisk && !isHealthy())
       continue;
-    bool IsBefore =
-        Each.Fault_ == Fault::CrashBefore || Each.Fault_ == Fault::LostDisk;
+    bool IsBefore = Planned.Fault_ == Fault::CrashBefore ||
+                    Planned.Fault_ == Fault::LostDisk;
     if (!IsBefore)
       continue;
-    Each.Done_ = true;
-    crash(Which, Each.Fault_ == Fault::LostDisk);
+    Planned.Done_ = true;
+    crash(Target, Planned.Fault_ == Fault::LostDisk);
     return true;
   }
   return false;
 }
 
-void CoreCluster::injectFaultAfter(Node &Which,
+void CoreCluster::injectFaultAfter(Node &Target,
                                    const std::set<LogStep> &Steps) {
-  for (PlannedFault &Each : Plan_) {
-    bool IsDue = !Each.Done_ && !IsHealing_ && Steps.count(Each.Step_) != 0 &&
-                 Each.Skip_ < 0 && Each.Fault_ != Fault::LostDisk &&
-                 Each.Fault_ != Fault::CrashBefore;
-    if (!IsDue || !Which.Core_)
+  for (PlannedFault &Planned : Plan_) {
+    bool IsDue = !Planned.Done_ && !IsHealing_ &&
+                 Steps.count(Planned.Step_) != 0 && Planned.Skip_ < 0 &&
+                 Planned.Fault_ != Fault::LostDisk &&
+                 Planned.Fault_ != Fault::CrashBefore;
+    if (!IsDue || !Target.Core_)
       continue;
-    Each.Done_ = true;
-    injectFault(Which, Each.Fault_);
+    Planned.Done_ = true;
+    injectFault(Target, Planned.Fault_);
   }
 }
 
-void CoreCluster::injectFault(Node &Which, Fault What) {
+void CoreCluster::injectFault(Node &Target, Fault What) {
   if (What == Fault::CrashAfter || What == Fault::TornWrite) {
-    // After: all that was begun gets to the disk, and out. Torn: some of it
-    // does, and nothing is said about it.
-    auto Kept = static_cast<Millis>(Which.Writes_.size());
+    // CrashAfter completes all pending writes and sends their messages.
+    // TornWrite completes some of the writes and sends nothing.
+    auto Kept = static_cast<Millis>(Target.Writes_.size());
     if (What == Fault::TornWrite)
       Kept = pick(0, Kept);
-    for (Millis Each = 0; Each < Kept; ++Each) {
-      store(Which, Which.Writes_[static_cast<std::size_t>(Each)]);
+    for (Millis I = 0; I < Kept; ++I) {
+      store(Target, Target.Writes_[static_cast<std::size_t>(I)]);
       if (What == Fault::CrashAfter)
         for (const Message &Late :
-             Which.Writes_[static_cast<std::size_t>(Each)].MessagesAfterSync_)
-          send(Which, Late);
+             Target.Writes_[static_cast<std::size_t>(I)].MessagesAfterSync_)
+          send(Target, Late);
     }
-    crash(Which, false);
+    crash(Target, false);
     return;
   }
   if (What == Fault::Frozen) {
-    Which.FrozenUntil_ = Now_ + pick(1, 6) * ElectionMs;
+    Target.FrozenUntil_ = Now_ + pick(1, 6) * ElectionMs;
     return;
   }
-  Which.Until_[What] = Now_ + pick(1, 5) * ElectionMs;
+  Target.Until_[What] = Now_ + pick(1, 5) * ElectionMs;
   Node &Other = std::next(Nodes_.begin(), pick(0, 3))->second;
-  Which.CutFrom_ = pick(0, 1) == 0 ? "" : Other.Id_.Name_;
+  Target.CutFrom_ = pick(0, 1) == 0 ? "" : Other.Id_.Name_;
   if (What != Fault::DelayedPastElection)
     return;
-  for (InFlight &Each : Network_)
-    if (Each.Message_.From_ == Which.Id_)
-      Each.DueAt_ += 5 * ElectionMs;
+  for (InFlight &Packet : Network_)
+    if (Packet.Message_.From_ == Target.Id_)
+      Packet.DueAt_ += 5 * ElectionMs;
 }
 
-void CoreCluster::send(Node &Which, const Message &Each) {
-  const Node &To = Nodes_.at(Each.To_.Name_);
+void CoreCluster::send(Node &Target, const Message &Msg) {
+  const Node &To = Nodes_.at(Msg.To_.Name_);
   bool IsLost = InjectsRandomFaults_ && !IsHealing_ && pick(0, 19) == 0;
-  if (IsLost || isCut(Which, To))
+  if (IsLost || isCut(Target, To))
     return;
   auto AffectsLink = [&](Fault What) {
-    return hasFault(Which, What) || hasFault(To, What);
+    return hasFault(Target, What) || hasFault(To, What);
   };
   Millis Delay = pick(0, MaxDelay_);
   if (AffectsLink(Fault::Reordered))
@@ -110,28 +110,30 @@
   if (AffectsLink(Fault::DelayedPastElection))
     Delay += 5 * ElectionMs;
   Millis DueAt = Now_ + Delay;
-  // Healed links are those of the programs: they keep the order.
+  // Links preserve the message order after the faults are healed, as the real
+  // transport does.
   if (IsHealing_)
     for (const InFlight &Other : Network_)
-      if (Other.Message_.From_ == Each.From_ && Other.Message_.To_ == Each.To_)
+      if (Other.Message_.From_ == Msg.From_ && Other.Message_.To_ == Msg.To_)
         DueAt = std::max(DueAt, Other.DueAt_);
-  Network_.push_back({Each, DueAt});
+  Network_.push_back({Msg, DueAt});
   if (AffectsLink(Fault::Duplicated))
-    Network_.push_back({Each, Now_ + pick(0, 6 * ElectionMs)});
+    Network_.push_back({Msg, Now_ + pick(0, 6 * ElectionMs)});
 }
 
 bool CoreCluster::isCut(const Node &From, const Node &To) const {
-  auto CutsOff = [&](const Node &Which, const Node &Other, Fault OneWay) {
-    bool IsOn = hasFault(Which, OneWay) || hasFault(Which, Fault::CutBothWays);
+  auto CutsOff = [&](const Node &Target, const Node &Other, Fault OneWay) {
+    bool IsOn =
+        hasFault(Target, OneWay) || hasFault(Target, Fault::CutBothWays);
     bool IsTargeted =
-        Which.CutFrom_.empty() || Which.CutFrom_ == Other.Id_.Name_;
+        Target.CutFrom_.empty() || Target.CutFrom_ == Other.Id_.Name_;
     return IsOn && IsTargeted;
   };
   return CutsOff(From, To, Fault::CutOutgoing) ||
          CutsOff(To, From, Fault::CutIncoming);
 }
 
-bool CoreCluster::hasFault(const Node &Which, Fault What) const {
-  auto Found = Which.Until_.find(What);
-  return Found != Which.Until_.end() && Now_ < Found->second;
+bool CoreCluster::hasFault(const Node &Target, Fault What) const {
+  auto Found = Target.Until_.find(What);
+  return Found != Target.Until_.end() && Now_ < Found->second;
 }
--- a/tests/replication/FaultyFiles.h
+++ b/tests/replication/FaultyFiles.h
@@ -1,8 +1,8 @@
-//===- FaultyFiles.h - Files in memory that lose power ---------*- C++ -*-===//
+//===- FaultyFiles.h - In-memory file system with power loss ---*- C++ -*-===//
 //
-// Keeps what was synced apart from what was only written. From the operation
-// CrashAt_ on everything fails; losePower() then drops what was not synced, but
-// for a random part of it.
+// Distinguishes synced data from written data. From operation CrashAt_ on
+// every operation fails. losePower() then drops the unsynced data except for a
+// random part of it.
 //
 //===----------------------------------------------------------------------===//
 
@@ -93,7 +93,7 @@
       std::string Tail =
           IsLonger ? File->Written_.substr(Kept.size()) : std::string();
       Tail.resize(Random_() % (Tail.size() + 1));
-      // Blocks of one write reach the disk in any order.
+      // The blocks of one write reach the disk in any order.
       bool HasHole = Tail.size() > 8 && Random_() % 2 == 0;
       if (HasHole)
         Tail.replace(Random_() % (Tail.size() - 4), 4, 4, '\0');
@@ -108,7 +108,7 @@
   std::uint64_t countWork() const { return Work_; }
   bool hasCrashed() const { return CrashAt_ != 0 && Work_ >= CrashAt_; }
 
-  std::uint64_t CrashAt_ = 0; ///< 0: never.
+  std::uint64_t CrashAt_ = 0; ///< 0 disables the crash.
 
 private:
   struct Bytes {
--- a/tests/replication/FolderStorageTest.cpp
+++ b/tests/replication/FolderStorageTest.cpp
@@ -22,7 +22,7 @@
 
 std::string pathOf(const std::string &Name) { return Folder + "/" + Name; }
 
-/// What the storage should hold, kept the naive way.
+/// A simple model of the contents that the storage should have.
 struct Copy {
   Checkpoint All_;
 
@@ -44,12 +44,13 @@
   }
 };
 
-/// Makes the next random write, and does it to the copy and to the storage.
+/// Generates the next random write and applies it to the model and to the
+/// storage.
 class Writer {
 public:
   explicit Writer(std::uint64_t Seed) : Random_(Seed) {}
 
-  /// Returns whether the storage confirmed it.
+  /// Returns whether the storage confirmed the write.
   bool writeNext(FolderStorage &To, Copy &Naive) {
     if (!Naive.All_.Entries_.empty() && Random_() % 5 == 0)
       return replace(To, Naive);
@@ -89,8 +90,8 @@
   std::uint64_t Term_ = 0;
 };
 
-/// Writes Count times with a crash at operation CrashAt, and on after it.
-/// Tells through Crashed whether it came to that.
+/// Writes Count times with a crash at operation CrashAt, and continues after
+/// it. Sets Crashed if the crash occurred.
 void runWithCrash(std::uint64_t Seed, std::uint64_t CrashAt, bool &Crashed) {
   FaultyFiles Files(Seed + CrashAt);
   Files.CrashAt_ = CrashAt;
@@ -100,7 +101,7 @@
   auto Opened = FolderStorage::open(Files, Folder, Owner);
   bool IsCreated = Opened.has_value();
   bool IsConfirmed = IsCreated;
-  for (int Each = 0; Each < 25 && IsConfirmed; ++Each) {
+  for (int I = 0; I < 25 && IsConfirmed; ++I) {
     Before = Naive;
     IsConfirmed = Next.writeNext(*Opened.value().Storage_, Naive);
   }
@@ -113,7 +114,7 @@
   Newer.Self_.Incarnation_ = 6;
   Opened = FolderStorage::open(Files, Folder, Newer);
   if (!IsCreated && !Opened) {
-    // Nothing was said under the first incarnation, so a new one will do.
+    // No message was sent under the first incarnation, so a new one is valid.
     EXPECT_EQ(Opened.error().Code_, ErrorCode::Corrupt);
     EXPECT_TRUE(FolderStorage::quarantine(Files, Folder, "6"));
     Opened = FolderStorage::open(Files, Folder, Newer);
@@ -126,13 +127,13 @@
   EXPECT_TRUE(Naive.equals(Read) || Before.equals(Read))
       << "seed " << Seed << " crash at " << CrashAt;
   Naive.All_ = Read;
-  for (int Each = 0; Each < 5; ++Each)
+  for (int I = 0; I < 5; ++I)
     EXPECT_TRUE(Next.writeNext(*Opened.value().Storage_, Naive));
   Opened = FolderStorage::open(Files, Folder, Owner);
   EXPECT_TRUE(Opened && Naive.equals(Opened.value().Stored_));
 }
 
-TEST(FolderStorageTest, HoldsWhatWasConfirmedAfterACrashAtEveryWrite) {
+TEST(FolderStorageTest, KeepsConfirmedWritesAfterACrashAtEveryWrite) {
   for (std::uint64_t Seed = 1; Seed <= 40; ++Seed) {
     bool Crashed = true;
     for (std::uint64_t CrashAt = 1; Crashed; ++CrashAt)
@@ -140,15 +141,15 @@
   }
 }
 
-/// Each byte in turn is damaged: that is noticed, or was in the last frame,
-/// which cannot be told from a write that was cut off.
-TEST(FolderStorageTest, DamageIsNeverTakenForData) {
+/// Corrupts each byte in turn. The corruption must be detected unless it is in
+/// the last frame, which cannot be distinguished from an interrupted write.
+TEST(FolderStorageTest, CorruptionIsNeverReadAsData) {
   FaultyFiles Files(1);
   Copy Naive;
   Copy Before;
   auto Opened = FolderStorage::open(Files, Folder, Owner);
   Writer Next(3);
-  for (int Each = 0; Each < 12; ++Each) {
+  for (int I = 0; I < 12; ++I) {
     Before = Naive;
     ASSERT_TRUE(Next.writeNext(*Opened.value().Storage_, Naive));
   }
@@ -184,7 +185,7 @@
   EXPECT_EQ(Opened.error().Code_, ErrorCode::VersionMismatch);
 }
 
-TEST(FolderStorageTest, DamagedFolderIsSetAsideAndServesAgain) {
+TEST(FolderStorageTest, DamagedFolderIsQuarantinedAndReopened) {
   FaultyFiles Files(1);
   ASSERT_TRUE(FolderStorage::open(Files, Folder, Owner));
   ASSERT_TRUE(Files.remove(pathOf("log-1")));
@@ -206,10 +207,10 @@
   std::filesystem::remove_all(Path);
 }
 
-TEST(LogWriterTest, NothingIsPromisedAfterAFailedSync) {
+TEST(LogWriterTest, NothingIsAcknowledgedAfterAFailedSync) {
   FaultyFiles Files(1);
   auto Opened = FolderStorage::open(Files, Folder, Owner);
-  // The next append works, its sync does not.
+  // The next append succeeds, but its sync fails.
   Files.CrashAt_ = Files.countWork() + 2;
   std::atomic<int> Sent = 0;
   std::atomic<int> Failed = 0;
@@ -218,10 +219,10 @@
   Calls.Synced_ = [&](const Synced &) { ++Sent; };
   Calls.Failed_ = [&](const Error &) { ++Failed; };
   LogWriter Writes(*Opened.value().Storage_, 10, Calls);
-  for (std::uint64_t Each = 1; Each <= 3; ++Each) {
+  for (std::uint64_t Index = 1; Index <= 3; ++Index) {
     WriteJob Job;
     Job.HasBatch_ = true;
-    Job.Batch_.Entries_.push_back({1, Each, EntryKind::NoOp, "", {}});
+    Job.Batch_.Entries_.push_back({1, Index, EntryKind::NoOp, "", {}});
     Writes.submit(std::move(Job));
   }
   Writes.stop();
--- a/tests/replication/GroupBootstrapTest.cpp
+++ b/tests/replication/GroupBootstrapTest.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Three members that start for the first time, with a network that delays,
-/// repeats and reorders, and perhaps one disk that is lost on the way.
+/// Three members that start for the first time on a network that delays,
+/// duplicates and reorders messages. One disk may be lost during the bootstrap.
 class BootstrapNetwork {
 public:
   explicit BootstrapNetwork(std::uint64_t Seed) : Random_(Seed) {
@@ -24,23 +24,24 @@
       if (Turn == LostAt)
         start(std::string(1, static_cast<char>('a' + Random_() % 3)));
       if (Turn % 10 == 0)
-        for (auto &[Name, Each] : Nodes_)
-          processOutputs(Each, Each.Bootstrap_->ask(Each.Local_));
+        for (auto &[Name, Peer] : Nodes_)
+          processOutputs(Peer, Peer.Bootstrap_->ask(Peer.Local_));
       if (!Network_.empty())
         deliver();
     }
   }
 
-  /// How many of the running members belong to a group; all to the same one.
+  /// Returns how many running members belong to a group, and checks that it is
+  /// the same group for all of them.
   int countBootstrapped() const {
     int Count = 0;
     const std::vector<Member> *Seen = nullptr;
-    for (const auto &[Name, Each] : Nodes_) {
-      if (Each.Local_.IsEmpty_)
+    for (const auto &[Name, Peer] : Nodes_) {
+      if (Peer.Local_.IsEmpty_)
         continue;
       ++Count;
-      EXPECT_TRUE(!Seen || *Seen == Each.Local_.InitialMembers_);
-      Seen = &Each.Local_.InitialMembers_;
+      EXPECT_TRUE(!Seen || *Seen == Peer.Local_.InitialMembers_);
+      Seen = &Peer.Local_.InitialMembers_;
     }
     return Count;
   }
@@ -57,19 +58,19 @@
                         Owner, std::vector<std::string>{"a", "b", "c"}),
                     {}};
   }
-  void processOutputs(Node &Which, BootstrapOutputs Out) {
+  void processOutputs(Node &Target, BootstrapOutputs Out) {
     if (!Out.BootstrapMembers_.empty())
-      Which.Local_ = {false, Out.BootstrapMembers_};
-    for (Message &Each : Out.Messages_)
-      Network_.push_back(std::move(Each));
+      Target.Local_ = {false, Out.BootstrapMembers_};
+    for (Message &Msg : Out.Messages_)
+      Network_.push_back(std::move(Msg));
   }
   void deliver() {
     std::size_t At = Random_() % Network_.size();
-    Message Each = Network_[At];
+    Message Msg = Network_[At];
     if (Random_() % 4 != 0)
       Network_.erase(Network_.begin() + static_cast<std::ptrdiff_t>(At));
-    Node &To = Nodes_.at(Each.To_.Name_);
-    processOutputs(To, To.Bootstrap_->receive(Each, To.Local_));
+    Node &To = Nodes_.at(Msg.To_.Name_);
+    processOutputs(To, To.Bootstrap_->receive(Msg, To.Local_));
   }
 
   std::mt19937_64 Random_;
@@ -78,7 +79,7 @@
   std::vector<Message> Network_;
 };
 
-TEST(GroupBootstrapTest, FirstVotersFoundOneGroup) {
+TEST(GroupBootstrapTest, InitialVotersBootstrapOneGroup) {
   for (std::uint64_t Seed = 1; Seed <= 200; ++Seed) {
     BootstrapNetwork Group(Seed);
     Group.run(false);
@@ -86,13 +87,13 @@
   }
 }
 
-TEST(GroupBootstrapTest, LostDiskMeanwhileNeverMakesASecondGroup) {
+TEST(GroupBootstrapTest, LostDiskDuringBootstrapNeverCreatesASecondGroup) {
   int Outside = 0;
   for (std::uint64_t Seed = 1; Seed <= 2000; ++Seed) {
     BootstrapNetwork Group(Seed);
     Group.run(true);
     int BootstrappedCount = Group.countBootstrapped();
-    // Whoever was left out votes, and gets the log from the leader.
+    // A member that was left out is a voter and gets the log from the leader.
     EXPECT_GE(BootstrappedCount, 1) << Seed;
     Outside += BootstrappedCount < 3 ? 1 : 0;
   }
--- a/tests/replication/MessageCodecTest.cpp
+++ b/tests/replication/MessageCodecTest.cpp
@@ -30,9 +30,9 @@
   return All;
 }
 
-TEST(MessageCodecTest, EachMessageComesBackAsItWas) {
-  for (const Message &Each : makeOneOfEach())
-    EXPECT_EQ(decodeMessage("g", encodeMessage("g", Each)).value(), Each);
+TEST(MessageCodecTest, EachMessageRoundTrips) {
+  for (const Message &Msg : makeOneOfEach())
+    EXPECT_EQ(decodeMessage("g", encodeMessage("g", Msg)).value(), Msg);
 }
 
 TEST(MessageCodecTest, OtherGroupsAndVersionsAreRefused) {
@@ -52,10 +52,10 @@
             ErrorCode::Malformed);
 }
 
-TEST(MessageCodecTest, BytesThatAreCutAddedOrChangedNeverPassForOthers) {
+TEST(MessageCodecTest, TruncatedExtendedOrAlteredBytesAreNeverMisread) {
   std::mt19937_64 Random(1);
-  for (const Message &Each : makeOneOfEach()) {
-    const std::string Bytes = encodeMessage("g", Each);
+  for (const Message &Msg : makeOneOfEach()) {
+    const std::string Bytes = encodeMessage("g", Msg);
     for (std::size_t Size = 0; Size < Bytes.size(); ++Size)
       EXPECT_FALSE(decodeMessage("g", Bytes.substr(0, Size)));
     EXPECT_FALSE(decodeMessage("g", Bytes + "x"));
--- a/tests/replication/RaftCoreTest.cpp
+++ b/tests/replication/RaftCoreTest.cpp
@@ -17,7 +17,7 @@
 const MemberId C{"c", 1};
 const MemberId D{"d", 7};
 
-/// One core, member a of a group of a, b and c, and all by hand.
+/// Drives one core by hand: member a of a group of a, b and c.
 class RaftCoreTest : public testing::Test {
 protected:
   RaftCoreTest() { restart({}); }
@@ -31,7 +31,8 @@
     }
     return Entry;
   }
-  /// Starts with entries of these terms, and as many as Voted says in terms.
+  /// Restarts a with stored entries of the given terms and the given hard
+  /// state.
   void restart(std::vector<std::uint64_t> Terms, HardState Hard = {1, {}}) {
     Checkpoint Stored;
     Stored.Hard_ = Hard;
@@ -55,23 +56,23 @@
     Now_ += For;
     return step(Tick{});
   }
-  /// Lets a win an election with b's votes; its first entry is at Last + 1.
-  void lead() {
+  /// Makes a win an election with b's vote. Its first entry is at Last + 1.
+  void becomeLeader() {
     wait(2 * Timeout);
     receive(B, Core_->getTerm() + 1, VoteReply{true, true});
     receive(B, Core_->getTerm(), VoteReply{false, true});
     ASSERT_EQ(Core_->getRole(), Role::Leader);
   }
-  Outputs answer(const MemberId &From, std::uint64_t Index,
-                 std::uint64_t Round = 1) {
+  Outputs acknowledge(const MemberId &From, std::uint64_t Index,
+                      std::uint64_t Round = 1) {
     return receive(From, Core_->getTerm(), AppendReply{Round, true, Index, 0});
   }
   std::uint64_t last() const { return Core_->getLog().getLastIndex(); }
   Outputs sync() { return step(Synced{Core_->getTerm(), last()}); }
   template <class Body>
   static const Body *find(const std::vector<Message> &In) {
-    for (const Message &Each : In)
-      if (const auto *Found = std::get_if<Body>(&Each.Body_))
+    for (const Message &Msg : In)
+      if (const auto *Found = std::get_if<Body>(&Msg.Body_))
         return Found;
     return nullptr;
   }
@@ -102,13 +103,13 @@
     std::uint64_t Index_, Term_;
     bool Granted_;
   };
-  for (const Case &Each :
+  for (const Case &TestCase :
        {Case{2, 2, false}, Case{9, 2, false}, Case{2, 3, false},
         Case{3, 3, true}, Case{1, 4, true}}) {
     restart({3, 3}, {3, {}});
     wait(Timeout);
-    VoteRequest Request{false, false, Each.Index_, Each.Term_};
-    EXPECT_EQ(isGranted(receive(B, 5, Request)), Each.Granted_);
+    VoteRequest Request{false, false, TestCase.Index_, TestCase.Term_};
+    EXPECT_EQ(isGranted(receive(B, 5, Request)), TestCase.Granted_);
   }
 }
 
@@ -132,34 +133,34 @@
 }
 
 TEST_F(RaftCoreTest, IsolatedMemberDoesNotRaiseItsTerm) {
-  for (int Each = 0; Each < 20; ++Each)
+  for (int I = 0; I < 20; ++I)
     wait(Timeout);
   EXPECT_EQ(Core_->getTerm(), 1U);
   EXPECT_EQ(Core_->getRole(), Role::PreCandidate);
 }
 
 TEST_F(RaftCoreTest, LeaseRunsFromTheSendingWithAMarginForDrift) {
-  lead();
+  becomeLeader();
   TimePoint Sent = Now_;
   Now_ += 30ms;
   sync();
-  answer(B, last());
+  acknowledge(B, last());
   EXPECT_EQ(Core_->getLeaseEnd(), Sent + Timeout * 7 / 8);
   wait(1ms);
-  answer(C, last(), 2);
+  acknowledge(C, last(), 2);
   EXPECT_EQ(Core_->getLeaseEnd(), Sent + 31ms + Timeout * 7 / 8);
 }
 
-TEST_F(RaftCoreTest, LeaseEndsForGoodWhenLeadershipIsHandedOver) {
-  lead();
+TEST_F(RaftCoreTest, LeaseEndsForTheTermWhenLeadershipIsTransferred) {
+  becomeLeader();
   sync();
-  answer(B, last());
+  acknowledge(B, last());
   ASSERT_GT(Core_->getLeaseEnd(), Now_);
   EXPECT_TRUE(find<TimeoutNow>(step(TransferRequested{5}).MessagesAfterSync_));
   EXPECT_LT(Core_->getLeaseEnd(), Now_);
-  // The other one does not take over: its late election must find no lease.
+  // The target does not take over; its late election must find no lease.
   wait(Timeout - 1ms);
-  answer(B, last(), 2);
+  acknowledge(B, last(), 2);
   EXPECT_LT(Core_->getLeaseEnd(), Now_);
   Outputs Out = wait(1ms);
   EXPECT_EQ(Out.Finished_.at(0).Error_->Code_, ErrorCode::Timeout);
@@ -167,7 +168,7 @@
 }
 
 TEST_F(RaftCoreTest, LeaderWithoutAQuorumStepsDown) {
-  lead();
+  becomeLeader();
   wait(Timeout - 1ms);
   EXPECT_EQ(Core_->getRole(), Role::Leader);
   wait(1ms);
@@ -176,32 +177,31 @@
 
 TEST_F(RaftCoreTest, OlderEntriesAreCommittedOnlyByOneOfTheOwnTerm) {
   restart({2, 2}, {2, {}});
-  lead();
+  becomeLeader();
   sync();
-  EXPECT_TRUE(answer(B, 3).Committed_.empty());
-  EXPECT_EQ(answer(B, 4).Committed_.size(), 4U);
+  EXPECT_TRUE(acknowledge(B, 3).Committed_.empty());
+  EXPECT_EQ(acknowledge(B, 4).Committed_.size(), 4U);
 }
 
 TEST_F(RaftCoreTest, LeaderCountsItselfOnlyOnceSynced) {
-  lead();
-  EXPECT_TRUE(answer(B, last()).Committed_.empty());
+  becomeLeader();
+  EXPECT_TRUE(acknowledge(B, last()).Committed_.empty());
   EXPECT_FALSE(sync().Committed_.empty());
 }
 
-TEST_F(RaftCoreTest, HandsOverToTheVoterThatIsNamedAndNoOther) {
-  lead();
+TEST_F(RaftCoreTest, TransfersLeadershipOnlyToTheNamedVoter) {
+  becomeLeader();
   sync();
-  answer(B, last());
+  acknowledge(B, last());
   Outputs Unknown = step(TransferRequested{5, "d"});
   ASSERT_EQ(Unknown.Finished_.size(), 1U);
   EXPECT_EQ(Unknown.Finished_[0].Error_->Code_, ErrorCode::Unavailable);
   step(TransferRequested{6, "c"});
-  EXPECT_FALSE(find<TimeoutNow>(answer(B, last()).MessagesAfterSync_));
-  Outputs Out = answer(C, last());
+  EXPECT_FALSE(find<TimeoutNow>(acknowledge(B, last()).MessagesAfterSync_));
+  Outputs Out = acknowledge(C, last());
   ASSERT_TRUE(find<TimeoutNow>(Out.MessagesAfterSync_));
-  for (const Message &Each : Out.MessagesAfterSync_)
-    EXPECT_TRUE(!std::holds_alternative<TimeoutNow>(Each.Body_) ||
-                Each.To_ == C);
+  for (const Message &Msg : Out.MessagesAfterSync_)
+    EXPECT_TRUE(!std::holds_alternative<TimeoutNow>(Msg.Body_) || Msg.To_ == C);
 }
 
 TEST_F(RaftCoreTest, FollowerAnswersOnlyAfterTheSync) {
@@ -213,7 +213,7 @@
   EXPECT_TRUE(find<AppendReply>(Out.MessagesAfterSync_)->Accepted_);
 }
 
-TEST_F(RaftCoreTest, FollowerSaysAtOnceOfEachRoundThatItIsHeard) {
+TEST_F(RaftCoreTest, FollowerAcknowledgesEachRoundBeforeTheSync) {
   AppendRequest Request{1, 1, 1, 0, {makeEntry(1, 2)}};
   Outputs Out = receive(B, 1, Request);
   ASSERT_TRUE(find<RoundAck>(Out.MessagesBeforeSync_));
@@ -221,13 +221,13 @@
   EXPECT_FALSE(find<RoundAck>(receive(B, 1, Request).MessagesBeforeSync_));
   Request.Round_ = 2;
   EXPECT_TRUE(find<RoundAck>(receive(B, 1, Request).MessagesBeforeSync_));
-  // The next leader counts from one again.
+  // The next leader's rounds start at one again.
   Request.Round_ = 1;
   EXPECT_TRUE(find<RoundAck>(receive(C, 2, Request).MessagesBeforeSync_));
 }
 
-TEST_F(RaftCoreTest, ARoundThatIsHeardKeepsTheLeaderAndCommitsNothing) {
-  lead();
+TEST_F(RaftCoreTest, RoundAcksKeepTheLeaderAndCommitNothing) {
+  becomeLeader();
   sync();
   const std::uint64_t Commit = Core_->getCommit();
   for (std::uint64_t Round = 1; Round < 20; ++Round) {
@@ -240,21 +240,21 @@
   EXPECT_EQ(Core_->getRole(), Role::Follower);
 }
 
-// A disk that hangs for good must not keep its member's place: found by
-// reading, as the word that a round is heard needs no disk.
-TEST_F(RaftCoreTest, AMemberWhoseDiskHangsIsHeardAndStalls) {
-  lead();
+// Guards against a member whose disk hangs forever counting as live: round
+// acknowledgements do not need the disk.
+TEST_F(RaftCoreTest, MemberWithAHangingDiskIsHeardButStoresNothing) {
+  becomeLeader();
   sync();
-  answer(B, last());
+  acknowledge(B, last());
   for (std::uint64_t Round = 1; Round <= 20; ++Round) {
     wait(Timeout / 4);
     receive(B, Core_->getTerm(), RoundAck{Round});
   }
   EXPECT_EQ(Core_->getTimeSinceHeard(B, Now_), Duration(0));
   EXPECT_EQ(Core_->getTimeSinceStored(B, Now_), 5 * Timeout);
-  answer(B, last());
+  acknowledge(B, last());
   EXPECT_EQ(Core_->getTimeSinceStored(B, Now_), Duration(0));
-  // Nor is leadership handed to it.
+  // Leadership is not transferred to such a member either.
   for (std::uint64_t Round = 21; Round <= 30; ++Round) {
     wait(Timeout / 4);
     receive(B, Core_->getTerm(), RoundAck{Round});
@@ -262,7 +262,7 @@
   EXPECT_EQ(step(TransferRequested{5}).Finished_.size(), 1U);
 }
 
-TEST_F(RaftCoreTest, FollowerCommitsOnlyWhatTheMessageVouchesFor) {
+TEST_F(RaftCoreTest, FollowerCommitsOnlyEntriesThatTheMessageCovers) {
   restart({2, 2}, {3, {}});
   receive(B, 3, AppendRequest{1, 1, 1, 3, {}});
   EXPECT_EQ(Core_->getCommit(), 1U);
@@ -279,59 +279,59 @@
 }
 
 TEST_F(RaftCoreTest, ReadIsConfirmedOnlyByARoundBegunAfterIt) {
-  lead();
+  becomeLeader();
   sync();
-  answer(B, last());
+  acknowledge(B, last());
   step(ReadRequested{{9}});
-  EXPECT_TRUE(answer(B, last(), 1).Finished_.empty());
-  Outputs Out = answer(C, last(), 2);
+  EXPECT_TRUE(acknowledge(B, last(), 1).Finished_.empty());
+  Outputs Out = acknowledge(C, last(), 2);
   ASSERT_EQ(Out.Finished_.size(), 1U);
   EXPECT_EQ(Out.Finished_[0].ReadIndex_, last());
 }
 
-TEST_F(RaftCoreTest, ChangesOfMembersComeOneAtATimeAndAfterAnOwnEntry) {
+TEST_F(RaftCoreTest, MembershipChangesAreSequentialAndFollowAnEntryOfTheTerm) {
   receive(B, 1, AppendRequest{1, 1, 1, 1, {}});
   ASSERT_EQ(Core_->getCommit(), 1U);
-  lead();
+  becomeLeader();
   step(ChangeRequested{1, ChangeKind::AddLearner, D});
   EXPECT_EQ(Core_->getLog().getMembers().size(), 3U);
   sync();
-  answer(B, last());
+  acknowledge(B, last());
   EXPECT_EQ(Core_->getLog().getMembers().size(), 4U);
   Outputs Second = step(ChangeRequested{2, ChangeKind::Remove, C});
   EXPECT_EQ(Second.Finished_.at(0).Error_->Code_, ErrorCode::Conflict);
   sync();
-  Outputs Out = answer(B, last());
+  Outputs Out = acknowledge(B, last());
   EXPECT_FALSE(Out.Finished_.at(0).Error_);
 }
 
 TEST_F(RaftCoreTest, LearnerIsPromotedOnlyOnceItHoldsTheLog) {
-  lead();
+  becomeLeader();
   sync();
-  answer(B, last());
+  acknowledge(B, last());
   step(ChangeRequested{1, ChangeKind::AddLearner, D});
   sync();
-  answer(B, last());
+  acknowledge(B, last());
   std::uint64_t Before = last();
   step(ChangeRequested{2, ChangeKind::Promote, D});
-  answer(D, Before - 1);
+  acknowledge(D, Before - 1);
   EXPECT_EQ(last(), Before);
-  answer(D, Before);
+  acknowledge(D, Before);
   EXPECT_EQ(last(), Before + 1);
 }
 
 TEST_F(RaftCoreTest, LeaderThatWasRemovedStepsDownOnceThatIsCommitted) {
-  lead();
+  becomeLeader();
   sync();
-  answer(B, last());
+  acknowledge(B, last());
   step(ChangeRequested{1, ChangeKind::Remove, A});
-  answer(B, last());
+  acknowledge(B, last());
   EXPECT_EQ(Core_->getRole(), Role::Leader);
-  answer(C, last());
+  acknowledge(C, last());
   EXPECT_NE(Core_->getRole(), Role::Leader);
 }
 
-TEST_F(RaftCoreTest, NothingMeantForAnotherIncarnationIsHeard) {
+TEST_F(RaftCoreTest, MessagesForAnotherIncarnationAreIgnored) {
   wait(Timeout);
   Outputs Out = receive(B, 2, VoteRequest{false, false, 1, 1}, {"a", 2});
   EXPECT_TRUE(Out.MessagesAfterSync_.empty());
--- a/tests/replication/RejoinTest.cpp
+++ b/tests/replication/RejoinTest.cpp
@@ -1,5 +1,4 @@
-//===- RejoinTest.cpp - Which change of members comes next
-//------------------===//
+//===- RejoinTest.cpp - Planning of membership changes --------------------===//
 
 #include "replication/Rejoin.h"
 
@@ -11,11 +10,11 @@
 namespace {
 
 constexpr bool Alive = true;
-constexpr bool Silent = false;
+constexpr bool Unresponsive = false;
 
 MemberHealth voter(const char *Name, bool IsAlive = Alive,
-                   bool IsGone = false) {
-  return {{{Name, 1}, MemberRole::Voter}, IsAlive, IsGone};
+                   bool IsUnresponsive = false) {
+  return {{{Name, 1}, MemberRole::Voter}, IsAlive, IsUnresponsive};
 }
 MemberHealth learner(const char *Name, bool IsAlive = Alive) {
   return {{{Name, 1}, MemberRole::Learner}, IsAlive, false};
@@ -26,7 +25,7 @@
 
 } // namespace
 
-TEST(PlanMembersTest, AStrangerIsTakenInAsALearner) {
+TEST(PlanMembersTest, AnUnknownMemberIsAddedAsALearner) {
   EXPECT_EQ(planMembers({voter("a")}, {{"b", 1}}, 3),
             change(ChangeKind::AddLearner, "b"));
 }
@@ -39,41 +38,43 @@
       std::nullopt);
 }
 
-TEST(PlanMembersTest, ASilentLearnerIsNotPromoted) {
-  EXPECT_EQ(planMembers({voter("a"), voter("b"), learner("c", Silent)}, {}, 3),
-            std::nullopt);
+TEST(PlanMembersTest, AnUnresponsiveLearnerIsNotPromoted) {
+  EXPECT_EQ(
+      planMembers({voter("a"), voter("b"), learner("c", Unresponsive)}, {}, 3),
+      std::nullopt);
 }
 
-TEST(PlanMembersTest, AGoneVoterIsReplacedBeforeItIsRemoved) {
-  const MemberHealth Gone = voter("c", Silent, true);
+TEST(PlanMembersTest, AnUnresponsiveVoterIsReplacedBeforeItIsRemoved) {
+  const MemberHealth Gone = voter("c", Unresponsive, true);
   EXPECT_EQ(planMembers({voter("a"), voter("b"), Gone, learner("d")}, {}, 3),
             change(ChangeKind::Promote, "d"));
   EXPECT_EQ(planMembers({voter("a"), voter("b"), Gone, voter("d")}, {}, 3),
             change(ChangeKind::Remove, "c"));
 }
 
-TEST(PlanMembersTest, WithoutAReplacementNobodyLosesItsVote) {
+TEST(PlanMembersTest, WithoutAReplacementNoVoterIsRemoved) {
   EXPECT_EQ(
-      planMembers({voter("a"), voter("b"), voter("c", Silent, true)}, {}, 3),
+      planMembers({voter("a"), voter("b"), voter("c", Unresponsive, true)}, {},
+                  3),
       std::nullopt);
 }
 
-TEST(PlanMembersTest, AVoterThatIsSilentForAMomentStays) {
-  EXPECT_EQ(
-      planMembers({voter("a"), voter("b"), voter("c", Silent), learner("d")},
-                  {}, 3),
-      std::nullopt);
+TEST(PlanMembersTest, ABrieflyUnresponsiveVoterStays) {
+  EXPECT_EQ(planMembers({voter("a"), voter("b"), voter("c", Unresponsive),
+                         learner("d")},
+                        {}, 3),
+            std::nullopt);
 }
 
-TEST(PlanMembersTest, AKnownNameIsLeftToTheOtherPlan) {
+TEST(PlanMembersTest, AKnownNameIsLeftToPlanRejoin) {
   EXPECT_EQ(planMembers({voter("a")}, {{"a", 2}}, 3), std::nullopt);
-  EXPECT_EQ(planRejoin({voter("a", Silent)}, {{"a", 2}}),
+  EXPECT_EQ(planRejoin({voter("a", Unresponsive)}, {{"a", 2}}),
             (ChangeRequested{0, ChangeKind::AddLearner, {"a", 2}}));
 }
 
-TEST(PlanRejoinTest, AClockThatWasSetBackKeepsNobodyOut) {
-  // Its number is below that of the incarnation that is no more.
-  const MemberHealth Before{{{"a", 9}, MemberRole::Voter}, Silent, false};
+TEST(PlanRejoinTest, AClockThatWasSetBackDoesNotPreventAReplacement) {
+  // The new incarnation's number is below that of the lost one.
+  const MemberHealth Before{{{"a", 9}, MemberRole::Voter}, Unresponsive, false};
   const MemberId Now{"a", 3};
   EXPECT_EQ(planRejoin({Before}, {Now}),
             (ChangeRequested{0, ChangeKind::AddLearner, Now}));
@@ -86,17 +87,17 @@
   EXPECT_EQ(planRejoin({Fresh}, {}), std::nullopt);
 }
 
-TEST(PlanRejoinTest, AQuestionThatWasHeldUpChangesNothing) {
+TEST(PlanRejoinTest, ADelayedJoinRequestChangesNothing) {
   EXPECT_EQ(planRejoin({voter("a")}, {{"a", 7}}), std::nullopt)
       << "the incarnation that is a member answers";
 }
 
-TEST(PlanRejoinTest, NobodyIsRemovedWhileNoIncarnationAnswers) {
-  const MemberHealth Other{{{"a", 2}, MemberRole::Voter}, Silent, false};
-  EXPECT_EQ(planRejoin({voter("a", Silent), Other}, {}), std::nullopt);
+TEST(PlanRejoinTest, NoMemberIsRemovedWhileNoIncarnationAnswers) {
+  const MemberHealth Other{{{"a", 2}, MemberRole::Voter}, Unresponsive, false};
+  EXPECT_EQ(planRejoin({voter("a", Unresponsive), Other}, {}), std::nullopt);
 }
 
-TEST(PlanMembersTest, StrangersCannotGrowTheGroupWithoutBound) {
-  const std::vector<MemberHealth> Many(32, learner("x", Silent));
+TEST(PlanMembersTest, UnknownMembersCannotGrowTheGroupWithoutBound) {
+  const std::vector<MemberHealth> Many(32, learner("x", Unresponsive));
   EXPECT_EQ(planMembers(Many, {{"b", 1}}, 3), std::nullopt);
 }
--- a/tests/replication/ReplicaTest.cpp
+++ b/tests/replication/ReplicaTest.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-/// Keeps all commands, and answers with their number. One that comes twice in
-/// a row is a repeated proposal and counts once.
-class Journal final : public StateMachine {
+/// Stores all commands and answers with their number. A command that is
+/// repeated immediately is a retried proposal and counts once.
+class CommandLog final : public StateMachine {
 public:
   std::string apply(const CommittedEntry &Entry) override {
     std::lock_guard Guard(Lock_);
@@ -49,7 +49,7 @@
   std::ptrdiff_t Count_ = 0;
 };
 
-/// Hands messages straight over, to whoever is there.
+/// Delivers messages directly to the registered replicas.
 class Wire final : public Transport {
 public:
   void send(const std::string &ToName, std::string Message) override {
@@ -70,11 +70,11 @@
   std::map<std::string, Replica *> Ends_;
 };
 
-/// A group of real replicas with folders of their own.
+/// A group of real replicas, each with its own folder.
 class ReplicaTest : public testing::Test {
 protected:
   struct Node {
-    std::unique_ptr<Journal> Machine_;
+    std::unique_ptr<CommandLog> Machine_;
     std::unique_ptr<Replica> Replica_;
   };
 
@@ -106,7 +106,7 @@
   }
   void start(const std::string &Name) {
     Node &Fresh = Nodes_[Name];
-    Fresh.Machine_ = std::make_unique<Journal>();
+    Fresh.Machine_ = std::make_unique<CommandLog>();
     auto Opened =
         Replica::open(makeSettings(Name), *Fresh.Machine_, Wire_, Time_);
     ASSERT_TRUE(Opened) << Opened.error().Message_;
@@ -121,7 +121,7 @@
   void loseDisk(const std::string &Name) {
     std::filesystem::remove_all(Root_ / Name);
   }
-  /// Waits, generously; tests that pass do not depend on how long it takes.
+  /// Waits with a generous limit; passing tests do not depend on the duration.
   template <class Condition> bool waitFor(Condition IsMet) {
     for (int Try = 0; Try < 3000; ++Try) {
       if (IsMet())
@@ -131,20 +131,21 @@
     return false;
   }
   Replica *findLeader() {
-    for (auto &[Name, Each] : Nodes_)
-      if (Each.Replica_->getStatus().IsLeader_)
-        return Each.Replica_.get();
+    for (auto &[Name, Peer] : Nodes_)
+      if (Peer.Replica_->getStatus().IsLeader_)
+        return Peer.Replica_.get();
     return nullptr;
   }
-  /// Whether a leader's members are just the incarnations that run, voting.
+  /// Returns whether some leader's members are exactly the running
+  /// incarnations, all as voters.
   bool isWhole() {
     Replica *Leader = findLeader();
     std::vector<Member> Running;
-    for (auto &[Name, Each] : Nodes_)
-      Running.push_back({Each.Replica_->getStatus().Self_, MemberRole::Voter});
+    for (auto &[Name, Peer] : Nodes_)
+      Running.push_back({Peer.Replica_->getStatus().Self_, MemberRole::Voter});
     return Leader && Leader->getStatus().Members_ == Running;
   }
-  /// Proposes until somebody takes it; only for commands that may repeat.
+  /// Proposes until a replica accepts; only for commands that may be repeated.
   Outcome<Applied> commit(const std::string &Command) {
     Outcome<Applied> Last = fail(ErrorCode::Unavailable, "no leader");
     waitFor([&] {
@@ -190,8 +191,8 @@
 TEST_F(ReplicaTest, ThreeVotersAgreeAndGoOnWithoutTheLeader) {
   for (const char *Name : {"a", "b", "c"})
     start(Name);
-  for (int Each = 0; Each < 120; ++Each)
-    ASSERT_TRUE(commit("x" + std::to_string(Each)));
+  for (int I = 0; I < 120; ++I)
+    ASSERT_TRUE(commit("x" + std::to_string(I)));
   std::string Leader = findLeader()->getStatus().Self_.Name_;
   stop(Leader);
   ASSERT_TRUE(commit("after"));
@@ -209,9 +210,9 @@
     start(Name);
   std::string Expected;
   for (const char *Lost : {"c", "b", "a", "c"}) {
-    for (int Each = 0; Each < 30; ++Each) {
-      Expected += std::string(Lost) + std::to_string(Each) + ";";
-      ASSERT_TRUE(commit(Lost + std::to_string(Each)));
+    for (int I = 0; I < 30; ++I) {
+      Expected += std::string(Lost) + std::to_string(I) + ";";
+      ASSERT_TRUE(commit(Lost + std::to_string(I)));
     }
     std::uint64_t Old = Nodes_[Lost].Replica_->getStatus().Self_.Incarnation_;
     stop(Lost);
@@ -221,13 +222,13 @@
     EXPECT_TRUE(waitFor([&] { return isWhole(); }));
   }
   EXPECT_TRUE(waitFor([&] {
-    return std::all_of(Nodes_.begin(), Nodes_.end(), [&](auto &Each) {
-      return Each.second.Machine_->getText() == Expected;
+    return std::all_of(Nodes_.begin(), Nodes_.end(), [&](auto &Entry) {
+      return Entry.second.Machine_->getText() == Expected;
     });
   }));
 }
 
-TEST_F(ReplicaTest, LostDiskWaitsOutsideUntilItIsAdded) {
+TEST_F(ReplicaTest, MemberWithALostDiskHasNoVoteUntilItIsAdded) {
   Rejoins_ = false;
   for (const char *Name : {"a", "b", "c"})
     start(Name);
@@ -274,7 +275,7 @@
       waitFor([&] { return Nodes_["a"].Machine_->getText() == "one;"; }));
 }
 
-TEST_F(ReplicaTest, HandsLeadershipOnAndRefusesWhatOnlyALeaderMayDo) {
+TEST_F(ReplicaTest, TransfersLeadershipAndThenRejectsLeaderOnlyCalls) {
   for (const char *Name : {"a", "b", "c"})
     start(Name);
   ASSERT_TRUE(commit("one"));
@@ -294,18 +295,18 @@
   EXPECT_NE(Next, Old->getStatus().Self_.Name_);
 }
 
-TEST_F(ReplicaTest, RefusesSettingsThatCannotWork) {
+TEST_F(ReplicaTest, RejectsInvalidSettings) {
   ReplicaSettings Settings = makeSettings("a");
   Settings.HeartbeatInterval_ = Settings.ElectionTimeout_;
-  Journal Machine;
+  CommandLog Machine;
   auto Opened = Replica::open(Settings, Machine, Wire_, Time_);
   EXPECT_EQ(Opened.error().Code_, ErrorCode::InvalidArgument);
 }
 
 } // namespace
 
-TEST_F(ReplicaTest, ProposalsThatGatherGoOutTogether) {
-  // Far above what it takes to hand them in.
+TEST_F(ReplicaTest, ProposalsWithinTheIntervalAreBatched) {
+  // The interval is far longer than it takes to submit the proposals.
   ProposalBatchInterval_ = 500ms;
   InitialVoters_ = {"a"};
   start("a");
@@ -319,10 +320,11 @@
     Leader->propose(std::to_string(I), [&Done, I](Outcome<Applied> Result) {
       Done[I].set_value(std::move(Result));
     });
-    // So that they don't meet by themselves.
+    // The delay keeps proposals from being batched just because they arrive
+    // together.
     std::this_thread::sleep_for(2ms);
   }
-  for (auto &Each : Done)
-    EXPECT_TRUE(Each.get_future().get());
+  for (auto &Promise : Done)
+    EXPECT_TRUE(Promise.get_future().get());
   EXPECT_LE(Leader->getStatus().Syncs_ - Before, 10U);
 }
--- a/tests/replication/SlowDiskTest.cpp
+++ b/tests/replication/SlowDiskTest.cpp
@@ -1,8 +1,8 @@
-//===- SlowDiskTest.cpp - Elections on disks that are slow ----------------===//
+//===- SlowDiskTest.cpp - Elections on slow disks ------------------------===//
 //
-// Three cores whose writes each take a set time, as with a disk that others
-// keep busy. What a write waits for, and what waits for a write, is as in
-// LogWriter: what queued up meanwhile goes in one.
+// Three cores whose writes each take a fixed time, as on a disk that other
+// processes keep busy. Writes are ordered as in LogWriter: jobs that are
+// queued during a write are written together afterwards.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,46 +24,47 @@
 public:
   explicit SlowDisks(Duration Sync) : Sync_(Sync) {
     Checkpoint Stored;
-    LogEntry Founding{1, 1, EntryKind::Membership, "", {}};
+    LogEntry Bootstrap{1, 1, EntryKind::Membership, "", {}};
     for (const char *Name : {"a", "b", "c"})
-      Founding.Members_.push_back({{Name, 1}, MemberRole::Voter});
+      Bootstrap.Members_.push_back({{Name, 1}, MemberRole::Voter});
     Stored.Hard_ = {1, {}};
-    Stored.Entries_ = {Founding};
-    for (const Member &Each : Founding.Members_) {
+    Stored.Entries_ = {Bootstrap};
+    for (const Member &M : Bootstrap.Members_) {
       CoreSettings Settings;
-      Settings.Self_ = Each.Id_;
+      Settings.Self_ = M.Id_;
       Settings.ElectionTimeout_ = ElectionTimeout;
       Settings.HeartbeatInterval_ = ElectionTimeout / 5;
-      Settings.Seed_ = static_cast<unsigned char>(Each.Id_.Name_[0]);
-      Nodes_[Each.Id_].Core_ =
-          std::make_unique<RaftCore>(Settings, Now_, Stored);
+      Settings.Seed_ = static_cast<unsigned char>(M.Id_.Name_[0]);
+      Nodes_[M.Id_].Core_ = std::make_unique<RaftCore>(Settings, Now_, Stored);
     }
   }
 
   void run(Duration For) {
     for (const TimePoint End = Now_ + For; Now_ < End; Now_ += 1ms) {
-      for (auto &[Id, Each] : Nodes_) {
-        completeWrite(Each);
-        step(Each, Tick{});
-        if (HasLoad_ && Each.Core_->getRole() == Role::Leader)
-          step(Each, Proposed{{{++LastProposal_, "a command"}}});
+      for (auto &[Id, Peer] : Nodes_) {
+        completeWrite(Peer);
+        step(Peer, Tick{});
+        if (HasLoad_ && Peer.Core_->getRole() == Role::Leader)
+          step(Peer, Proposed{{{++LastProposal_, "a command"}}});
       }
     }
   }
-  /// Commands come each millisecond, so that some write is always under way.
+  /// Proposes a command each millisecond, so that a write is always in
+  /// progress.
   void load() { HasLoad_ = true; }
-  /// What the acting leader has committed; 0 without one.
+  /// Returns the commit index of the acting leader; 0 without one.
   std::uint64_t findCommit() const {
-    for (const auto &[Id, Each] : Nodes_)
-      if (Each.Core_->getRole() == Role::Leader)
-        return Each.Core_->getCommit();
+    for (const auto &[Id, Peer] : Nodes_)
+      if (Peer.Core_->getRole() == Role::Leader)
+        return Peer.Core_->getCommit();
     return 0;
   }
-  /// The term in which some member has committed an entry of its own.
-  std::uint64_t findActingTerm() const {
-    for (const auto &[Id, Each] : Nodes_)
-      if (Each.Core_->getRole() == Role::Leader && Each.Core_->getCommit() > 1)
-        return Each.Core_->getTerm();
+  /// Returns the term of a leader that has committed an entry of its own; 0
+  /// without one.
+  std::uint64_t findLeaderTerm() const {
+    for (const auto &[Id, Peer] : Nodes_)
+      if (Peer.Core_->getRole() == Role::Leader && Peer.Core_->getCommit() > 1)
+        return Peer.Core_->getTerm();
     return 0;
   }
 
@@ -80,8 +81,8 @@
     TimePoint DoneAt_{};
   };
 
-  void step(Node &Which, decltype(Input::Event_) Event) {
-    Outputs Out = Which.Core_->step({Now_, std::move(Event)});
+  void step(Node &Target, decltype(Input::Event_) Event) {
+    Outputs Out = Target.Core_->step({Now_, std::move(Event)});
     Write Next;
     Next.Messages_ = std::move(Out.MessagesAfterSync_);
     Next.IsSlow_ = Out.Hard_ || !Out.Appended_.empty();
@@ -89,27 +90,27 @@
       Next.Mark_ =
           Synced{Out.Appended_.back().Term_, Out.Appended_.back().Index_};
     if (Next.IsSlow_ || !Next.Messages_.empty())
-      Which.Queued_.push_back(std::move(Next));
+      Target.Queued_.push_back(std::move(Next));
     deliver(Out.MessagesBeforeSync_);
   }
   void deliver(const std::vector<Message> &Messages) {
-    for (const Message &Each : Messages)
-      step(Nodes_.at(Each.To_), Received{Each});
+    for (const Message &Msg : Messages)
+      step(Nodes_.at(Msg.To_), Received{Msg});
   }
-  void completeWrite(Node &Which) {
-    if (!Which.Writing_.empty() && Now_ >= Which.DoneAt_)
-      for (Write &Each : std::exchange(Which.Writing_, {})) {
-        deliver(Each.Messages_);
-        if (Each.Mark_)
-          step(Which, *Each.Mark_);
+  void completeWrite(Node &Target) {
+    if (!Target.Writing_.empty() && Now_ >= Target.DoneAt_)
+      for (Write &Job : std::exchange(Target.Writing_, {})) {
+        deliver(Job.Messages_);
+        if (Job.Mark_)
+          step(Target, *Job.Mark_);
       }
-    if (!Which.Writing_.empty() || Which.Queued_.empty())
+    if (!Target.Writing_.empty() || Target.Queued_.empty())
       return;
-    Which.Writing_ = std::exchange(Which.Queued_, {});
+    Target.Writing_ = std::exchange(Target.Queued_, {});
     const bool IsSlow =
-        std::any_of(Which.Writing_.begin(), Which.Writing_.end(),
-                    [](const Write &Each) { return Each.IsSlow_; });
-    Which.DoneAt_ = Now_ + (IsSlow ? Sync_ : 0ms);
+        std::any_of(Target.Writing_.begin(), Target.Writing_.end(),
+                    [](const Write &Job) { return Job.IsSlow_; });
+    Target.DoneAt_ = Now_ + (IsSlow ? Sync_ : 0ms);
   }
 
   const Duration Sync_;
@@ -121,37 +122,37 @@
 
 } // namespace
 
-TEST(SlowDiskTest, AGroupWhoseDisksAreSlowFindsALeaderAndKeepsIt) {
+TEST(SlowDiskTest, AGroupWithSlowDisksElectsALeaderAndKeepsIt) {
   // An election takes two writes: the candidate's vote for itself, then a
-  // voter's. From half an election timeout on they outlast an unhurried one.
+  // voter's. Together they outlast the initial election deadline once each
+  // takes half an election timeout.
   for (const Duration Sync : {10ms, 40ms, 60ms, 75ms, 90ms}) {
     SlowDisks Group(Sync);
     Group.run(40 * ElectionTimeout);
-    const std::uint64_t Term = Group.findActingTerm();
+    const std::uint64_t Term = Group.findLeaderTerm();
     EXPECT_NE(Term, 0U) << Sync.count();
     EXPECT_LE(Term, 12U) << Sync.count();
     Group.run(20 * ElectionTimeout);
-    EXPECT_EQ(Group.findActingTerm(), Term) << Sync.count();
+    EXPECT_EQ(Group.findLeaderTerm(), Term) << Sync.count();
   }
 }
 
-// What happened: ControlFaults.TheLeaderIsFrozenForLongerThanEveryLease failed
-// once beside hunts and a build. Its data centre's leaders changed from term 4
-// to 28 within 90 s, one each 3.7 s, though no process was down any more. A
-// follower acknowledged that it hears its leader only after its disk had synced
-// what came before; a sync that outlasts the election timeout (500 ms there)
-// made every leader step down as one that nobody hears, and the next one after
-// it. A slow disk may make commits slow. It must not take the leader away.
-TEST(SlowDiskTest, ALeaderThatAllHearStaysWhileDisksAreSlow) {
+// Guards against slow disks deposing the leader. Followers once acknowledged
+// the leader only after their disks had synced everything before; a sync longer
+// than the election timeout (500 ms) then made each leader step down as
+// unheard. In ControlFaults.TheLeaderIsFrozenForLongerThanEveryLease the term
+// rose from 4 to 28 within 90 s, one leader each 3.7 s, with all processes
+// running. A slow disk may delay commits but must not depose the leader.
+TEST(SlowDiskTest, SlowDisksDoNotDeposeTheLeader) {
   for (const Duration Sync : {60ms, 90ms, 110ms, 150ms, 180ms}) {
     SlowDisks Group(Sync);
     Group.run(60 * ElectionTimeout);
-    const std::uint64_t Term = Group.findActingTerm();
+    const std::uint64_t Term = Group.findLeaderTerm();
     ASSERT_NE(Term, 0U) << Sync.count();
     const std::uint64_t Before = Group.findCommit();
     Group.load();
     Group.run(60 * ElectionTimeout);
-    EXPECT_EQ(Group.findActingTerm(), Term) << Sync.count();
+    EXPECT_EQ(Group.findLeaderTerm(), Term) << Sync.count();
     EXPECT_GT(Group.findCommit(), Before + 100) << Sync.count();
   }
 }
