--- a/src/replication/FileSystem.h
+++ b/src/replication/FileSystem.h
@@ -26,19 +26,19 @@
   virtual Outcome<void> sync() = 0;
 };
 
-/// Creates the folder and its parents if they do not exist, and syncs them.
+/// All errors are StorageFailed unless stated otherwise.
 class FileSystem {
 public:
   virtual ~FileSystem() = default;
-  /// Returns the names in the folder, sorted.
+  /// Creates the folder and its parents if they do not exist, and syncs them.
   virtual Outcome<void> makeFolder(const std::string &Path) = 0;
-  /// Opens the file for appending and creates it if it does not exist.
+  /// Returns the names in the folder, sorted.
   virtual Outcome<std::vector<std::string>> list(const std::string &Folder) = 0;
   virtual Outcome<std::string> read(const std::string &Path) = 0;
-  /// Truncates the file to Size and syncs it.
+  /// Opens the file for appending and creates it if it does not exist.
   virtual Outcome<std::unique_ptr<AppendFile>>
   openForAppend(const std::string &Path) = 0;
-  /// Cuts the file to Size and syncs it.
+  /// Truncates the file to Size and syncs it.
   virtual Outcome<void> truncate(const std::string &Path,
                                  std::uint64_t Size) = 0;
   /// Replaces To if it exists.
--- a/src/replication/RaftCore.h
+++ b/src/replication/RaftCore.h
@@ -222,7 +222,7 @@
   void handle(const SnapshotTaken &In);
   void handle(const GroupBootstrapped &In);
 
-  // Follower, in RaftFollower.cpp.
+  // Terms and elections, in RaftElection.cpp.
   void startPreVote();
   void startElection(bool IsTransfer);
   void requestVotes(bool IsPreVote, bool IsTransfer);
@@ -240,7 +240,7 @@
   void onMessage(const Message &From, const VoteReply &Body);
   void onMessage(const Message &From, const TimeoutNow &Body);
 
-  // Leader, in RaftLeader.cpp.
+  // Follower, in RaftFollower.cpp.
   void onMessage(const Message &From, const AppendRequest &Body);
   void onMessage(const Message &From, const SnapshotChunk &Body);
   void followLeader(const MemberId &Leader);
@@ -249,7 +249,7 @@
   void storeEntries(const std::vector<LogEntry> &Entries);
   void installSnapshot(const SnapshotChunk &Last);
 
-  // Membership changes and leadership transfer, in RaftMembership.cpp.
+  // Leader, in RaftLeader.cpp.
   void onMessage(const Message &From, const AppendReply &Body);
   void onMessage(const Message &From, const RoundAck &Body);
   void onMessage(const Message &From, const SnapshotReply &Body);
@@ -267,7 +267,7 @@
   void checkQuorum();
   void updatePeerSet();
 
-  // GroupBootstrap handles the join messages; the core ignores them.
+  // Membership changes and leadership transfer, in RaftMembership.cpp.
   void tryChange();
   bool hasCaughtUp(const Progress &Learner);
   std::optional<Error> validateChange(const ChangeRequested &Change) const;
@@ -275,7 +275,7 @@
   void tryTransfer();
   void checkTransferDeadline();
 
-  // Joining messages are the founder's business, not the core's.
+  // GroupBootstrap handles the join messages; the core ignores them.
   void onMessage(const Message &, const JoinProbe &) {}
   void onMessage(const Message &, const JoinReply &) {}
   void onMessage(const Message &, const BootstrapGroup &) {}
@@ -312,8 +312,7 @@
   /// The last acknowledged round: its leader's term and its number.
   std::pair<std::uint64_t, std::uint64_t> LastRound_{};
   TimePoint ElectionDeadline_;
-  unsigned FailedElections_ =
-      0; ///< Elections started since a leader was last heard.
+  unsigned FailedElections_ = 0; ///< Started since a leader was last heard.
   std::map<MemberId, bool> Votes_;
 
   /// The chunks received so far of an incoming snapshot.
--- a/src/replication/Rejoin.cpp
+++ b/src/replication/Rejoin.cpp
@@ -67,29 +67,29 @@
                          const std::vector<MemberId> &JoinRequests,
                          std::uint64_t TargetVoters) {
   for (const MemberId &Id : JoinRequests) {
-    const bool IsStranger = std::none_of(
+    const bool IsUnknown = std::none_of(
         Members.begin(), Members.end(), [&](const MemberHealth &Known) {
           return Known.Member_.Id_.Name_ == Id.Name_;
         });
-    if (IsStranger && Members.size() < MaxMembers)
+    if (IsUnknown && Members.size() < MaxMembers)
       return ChangeRequested{0, ChangeKind::AddLearner, Id};
   }
   std::uint64_t Voters = 0;
-  const MemberHealth *Gone = nullptr;
+  const MemberHealth *Unresponsive = nullptr;
   const MemberHealth *Spare = nullptr;
   for (const MemberHealth &Health : Members) {
     const bool IsVoter = Health.Member_.Role_ == MemberRole::Voter;
     Voters += IsVoter ? 1 : 0;
-    if (IsVoter && Health.IsUnresponsive_ && !Gone)
-      Gone = &Health;
+    if (IsVoter && Health.IsUnresponsive_ && !Unresponsive)
+      Unresponsive = &Health;
     if (!IsVoter && Health.IsAlive_ && !Spare)
       Spare = &Health;
   }
   const bool IsShort =
-      Voters < TargetVoters || (Gone && Voters == TargetVoters);
+      Voters < TargetVoters || (Unresponsive && Voters == TargetVoters);
   if (Spare && IsShort)
     return ChangeRequested{0, ChangeKind::Promote, Spare->Member_.Id_};
-  if (Gone && Voters > TargetVoters)
-    return ChangeRequested{0, ChangeKind::Remove, Gone->Member_.Id_};
+  if (Unresponsive && Voters > TargetVoters)
+    return ChangeRequested{0, ChangeKind::Remove, Unresponsive->Member_.Id_};
   return std::nullopt;
 }
--- a/src/replication/Rejoin.h
+++ b/src/replication/Rejoin.h
@@ -21,14 +21,14 @@
 /// The leader's view of a member's health.
 struct MemberHealth {
   Member Member_;
-  bool IsAlive_ =
-      false; ///< The member's disk answered within an election timeout.
+  bool IsAlive_ = false; ///< Its disk answered within an election timeout.
   bool IsUnresponsive_ = false; ///< It has not answered for UnresponsiveAfter_,
                                 ///< and its vote may be replaced.
 };
 
 /// Plans the replacement of lost incarnations. JoinRequests lists the members
-/// without a log that have asked to join; those with unknown names are ignored.
+/// without a log that have asked to join; those with unknown names are left to
+/// planMembers or the operator.
 /// The later of two incarnations is the one that answers, not the one with the
 /// higher number: the numbers come from a clock that may have been set back
 /// between them.
--- a/tests/replication/CoreCluster.cpp
+++ b/tests/replication/CoreCluster.cpp
@@ -90,8 +90,8 @@
     Nodes_["d"].IsWanted_ = true;
   if (Now_ == 2700)
     std::next(Nodes_.begin(), pick(0, 2))->second.IsWanted_ = false;
-  bool IsHandOver = Now_ == 1300 || Now_ == 2400 || Now_ == 3000;
-  Node *Leader = IsHandOver ? findLeader() : nullptr;
+  bool IsTransfer = Now_ == 1300 || Now_ == 2400 || Now_ == 3000;
+  Node *Leader = IsTransfer ? findLeader() : nullptr;
   if (Leader)
     step(*Leader, TransferRequested{++NextId_});
 }
--- a/tests/replication/RejoinTest.cpp
+++ b/tests/replication/RejoinTest.cpp
@@ -45,11 +45,13 @@
 }
 
 TEST(PlanMembersTest, AnUnresponsiveVoterIsReplacedBeforeItIsRemoved) {
-  const MemberHealth Gone = voter("c", Unresponsive, true);
-  EXPECT_EQ(planMembers({voter("a"), voter("b"), Gone, learner("d")}, {}, 3),
-            change(ChangeKind::Promote, "d"));
-  EXPECT_EQ(planMembers({voter("a"), voter("b"), Gone, voter("d")}, {}, 3),
-            change(ChangeKind::Remove, "c"));
+  const MemberHealth FailedVoter = voter("c", Unresponsive, true);
+  EXPECT_EQ(
+      planMembers({voter("a"), voter("b"), FailedVoter, learner("d")}, {}, 3),
+      change(ChangeKind::Promote, "d"));
+  EXPECT_EQ(
+      planMembers({voter("a"), voter("b"), FailedVoter, voter("d")}, {}, 3),
+      change(ChangeKind::Remove, "c"));
 }
 
 TEST(PlanMembersTest, WithoutAReplacementNoVoterIsRemoved) {
