--- a/include/tulipweir/replication/Replica.h
+++ b/include/tulipweir/replication/Replica.h
@@ -69,9 +69,8 @@
   /// that is larger than these entries is saved less often, after up to eight
   /// times this number.
   std::uint64_t SnapshotEvery_ = 5'000;
-  std::uint64_t Seed_ = 0; ///< For election jitter.
-  std::uint64_t MaxBatch_ =
-      1024; ///< Entries that share one sync; 1 disables batching.
+  std::uint64_t Seed_ = 0;        ///< For election jitter.
+  std::uint64_t MaxBatch_ = 1024; ///< Entries per sync; 1 disables batching.
   /// Entries that are proposed within this interval are sent together. The
   /// first one after an idle period is sent without delay.
   Duration ProposalBatchInterval_ = Duration(0);
--- a/src/replication/RaftCore.h
+++ b/src/replication/RaftCore.h
@@ -92,16 +92,14 @@
 
 struct TransferRequested {
   std::uint64_t Id_ = 0;
-  std::string To_ =
-      {}; ///< A voter's name; empty selects the most up-to-date voter.
+  std::string To_ = {}; ///< Empty selects the most up-to-date voter.
 };
 
 /// The driver took a snapshot after applying entry Index_.
 struct SnapshotTaken {
   std::uint64_t Index_ = 0;
   std::string State_;
-  std::uint64_t KeepAfter_ =
-      0; ///< Later entries are retained for slow followers.
+  std::uint64_t KeepAfter_ = 0; ///< Later entries are kept for slow followers.
 };
 
 /// The group was bootstrapped with these members; valid only for an empty log.
--- a/src/replication/Rejoin.h
+++ b/src/replication/Rejoin.h
@@ -28,10 +28,9 @@
 
 /// Plans the replacement of lost incarnations. JoinRequests lists the members
 /// without a log that have asked to join; those with unknown names are left to
-/// planMembers or the operator.
-/// The later of two incarnations is the one that answers, not the one with the
-/// higher number: the numbers come from a clock that may have been set back
-/// between them.
+/// planMembers or the operator. The later of two incarnations is the one that
+/// answers, not the one with the higher number: the numbers come from a clock
+/// that may have been set back between them.
 std::optional<ChangeRequested>
 planRejoin(const std::vector<MemberHealth> &Members,
            const std::vector<MemberId> &JoinRequests);
