--- a/bench/jobs/JobsBench.cpp
+++ b/bench/jobs/JobsBench.cpp
@@ -101,7 +101,7 @@
   Settings.Group_ = "bench";
   Settings.Name_ = "a";
   Settings.Folder_ = Directory.string();
-  Settings.FirstVoters_ = {"a"};
+  Settings.InitialVoters_ = {"a"};
   auto Replica = replication::Replica::open(Settings, Machine, Network, Clock);
   if (!Replica)
     return false;
--- a/src/jobservice/RelayFlush.cpp
+++ b/src/jobservice/RelayFlush.cpp
@@ -96,8 +96,9 @@
                       return Member.Id_.Name_ == Request.Member_;
                     });
     const bool IsGone =
-        !IsMember || std::find(Status.Gone_.begin(), Status.Gone_.end(),
-                               Request.Member_) != Status.Gone_.end();
+        !IsMember ||
+        std::find(Status.Unresponsive_.begin(), Status.Unresponsive_.end(),
+                  Request.Member_) != Status.Unresponsive_.end();
     if (!Status.IsLeader_ || IsGone ||
         Now - Request.Round_->StartedAt_ >= RoundTimeout)
       Expired.push_back(Id);
--- a/src/jobservice/ReportRouter.cpp
+++ b/src/jobservice/ReportRouter.cpp
@@ -45,7 +45,7 @@
 /// if the leader hears none of them; it then takes the reports itself.
 static std::string chooseRelayFor(const ReplicaInstance &Instance,
                                   const std::string &ServerId) {
-  return ReportRelay::chooseRelay(Instance.Replica_->getStatus().Heard_,
+  return ReportRelay::chooseRelay(Instance.Replica_->getStatus().Responsive_,
                                   ServerId);
 }
 
@@ -148,7 +148,7 @@
   const auto Collector = AnswerCollector::handleBatch(
       std::move(Batch), *Instance->Leader_, Flush_, Time_,
       [Instance, Reply](jobs::ReportBatchReply Answers) {
-        Answers.Relays_ = Instance->Replica_->getStatus().Heard_;
+        Answers.Relays_ = Instance->Replica_->getStatus().Responsive_;
         if (Instance->Leader_)
           Answers.AwaitingStop_ = Instance->Leader_->listAwaitingStop();
         Reply(std::move(Answers));
--- a/src/replication/RaftFollower.cpp
+++ b/src/replication/RaftFollower.cpp
@@ -1,5 +1,4 @@
-//===- RaftFollower.cpp - RaftCore: following a leader
-//---------------------===//
+//===- RaftFollower.cpp - RaftCore: following a leader --------------------===//
 
 #include "replication/RaftCore.h"
 
@@ -15,25 +14,25 @@
   Role_ = Role::Follower;
   Leader_ = Leader;
   LastHeard_ = Now_;
-  ElectionsInVain_ = 0;
+  FailedElections_ = 0;
   resetElectionTimer();
 }
 
-/// Says at once that the leader is heard, without a word about the log: a disk
-/// that syncs for longer than an election timeout must not make the leader step
-/// down. Safe before anything is stored, since a member that starts again
-/// counts as having heard a leader (see the constructor) and votes for nobody
-/// before the lease that rests on this answer is over.
+/// Acknowledges a round at once, without confirming anything about the log, so
+/// that a disk whose syncs outlast an election timeout does not make the leader
+/// step down. This is safe before anything is stored: a member that restarts
+/// counts as having heard a leader (see the constructor) and grants no vote
+/// before the lease that relies on this acknowledgement has ended.
 void RaftCore::acknowledgeRound(const MemberId &Leader, std::uint64_t Round) {
   const std::pair Place(Hard_.Term_, Round);
   if (Place <= LastRound_)
     return;
   LastRound_ = Place;
-  send(Out_.Early_, Leader, Hard_.Term_, RoundHeard{Round});
+  send(Out_.MessagesBeforeSync_, Leader, Hard_.Term_, RoundAck{Round});
 }
 
-/// Returns the last index at which the leader's log may match: entries of
-/// terms above the one it compared with cannot.
+/// Returns the last index at which the leader's log may match. Entries with
+/// terms above the compared one cannot match.
 std::uint64_t RaftCore::findHint(const AppendRequest &Request) const {
   std::uint64_t Hint = std::min(Log_.getLastIndex(), Request.PrevIndex_ - 1);
   while (Hint > Commit_ && Log_.findTerm(Hint) > Request.PrevTerm_)
@@ -46,13 +45,13 @@
   acknowledgeRound(From.From_, Body.Round_);
   AppendReply Reply;
   Reply.Round_ = Body.Round_;
-  // What is committed here is the same at the leader.
+  // Entries that are committed here are identical on the leader.
   bool IsMatch = Body.PrevIndex_ <= Commit_ ||
                  Log_.findTerm(Body.PrevIndex_) == Body.PrevTerm_;
   if (!IsMatch) {
     Reply.Index_ = Body.PrevIndex_;
     Reply.Hint_ = findHint(Body);
-    send(Out_.Late_, From.From_, Hard_.Term_, Reply);
+    send(Out_.MessagesAfterSync_, From.From_, Hard_.Term_, Reply);
     return;
   }
   storeEntries(Body.Entries_);
@@ -60,7 +59,7 @@
   Reply.Index_ = Body.PrevIndex_ + Body.Entries_.size();
   if (Body.Commit_ > Commit_ && Reply.Index_ > Commit_)
     setCommit(std::min(Body.Commit_, Reply.Index_));
-  send(Out_.Late_, From.From_, Hard_.Term_, Reply);
+  send(Out_.MessagesAfterSync_, From.From_, Hard_.Term_, Reply);
 }
 
 void RaftCore::storeEntries(const std::vector<LogEntry> &Entries) {
@@ -82,31 +81,31 @@
   Reply.Index_ = Body.Index_;
   if (Body.Index_ <= Commit_) {
     Reply.Installed_ = true;
-    send(Out_.Late_, From.From_, Hard_.Term_, Reply);
+    send(Out_.MessagesAfterSync_, From.From_, Hard_.Term_, Reply);
     return;
   }
-  bool IsSame = Arriving_.Index_ == Body.Index_ &&
-                Arriving_.LastTerm_ == Body.LastTerm_ &&
-                Arriving_.Digest_ == Body.Digest_ &&
-                Arriving_.Total_ == Body.Total_;
+  bool IsSame = IncomingSnapshot_.Index_ == Body.Index_ &&
+                IncomingSnapshot_.LastTerm_ == Body.LastTerm_ &&
+                IncomingSnapshot_.Digest_ == Body.Digest_ &&
+                IncomingSnapshot_.Total_ == Body.Total_;
   if (!IsSame) {
-    Arriving_ = Body;
-    Arriving_.Bytes_.clear();
+    IncomingSnapshot_ = Body;
+    IncomingSnapshot_.Bytes_.clear();
   }
-  if (Body.Offset_ == Arriving_.Bytes_.size())
-    Arriving_.Bytes_ += Body.Bytes_;
-  Reply.Received_ = Arriving_.Bytes_.size();
+  if (Body.Offset_ == IncomingSnapshot_.Bytes_.size())
+    IncomingSnapshot_.Bytes_ += Body.Bytes_;
+  Reply.Received_ = IncomingSnapshot_.Bytes_.size();
   if (Reply.Received_ >= Body.Total_) {
     installSnapshot(Body);
     Reply.Installed_ = Body.Index_ <= Commit_;
     Reply.Received_ = 0;
   }
-  send(Out_.Late_, From.From_, Hard_.Term_, Reply);
+  send(Out_.MessagesAfterSync_, From.From_, Hard_.Term_, Reply);
 }
 
 void RaftCore::installSnapshot(const SnapshotChunk &Last) {
-  std::string State = std::move(Arriving_.Bytes_);
-  Arriving_ = {};
+  std::string State = std::move(IncomingSnapshot_.Bytes_);
+  IncomingSnapshot_ = {};
   bool IsWhole = State.size() == Last.Total_ &&
                  XXH3_64bits(State.data(), State.size()) == Last.Digest_;
   if (!IsWhole)
@@ -119,7 +118,7 @@
   Log_.install(Arrived);
   Commit_ = Arrived->Index_;
   Synced_ = std::max(Commit_, std::min(Synced_, Log_.getLastIndex()));
-  // A snapshot overtakes what this step was about to apply.
+  // The snapshot includes the entries that this step was about to apply.
   Out_.Committed_.clear();
   Out_.Restore_ = Arrived;
   Out_.Checkpoint_ = Checkpoint{
--- a/src/replication/RaftLeader.cpp
+++ b/src/replication/RaftLeader.cpp
@@ -1,5 +1,4 @@
-//===- RaftLeader.cpp - RaftCore: leading
-//----------------------------------===//
+//===- RaftLeader.cpp - RaftCore: leading ---------------------------------===//
 
 #include "replication/RaftCore.h"
 
@@ -10,12 +9,12 @@
 using namespace tulipweir;
 using namespace tulipweir::replication;
 
-/// Leaders give up after this many heartbeats without a sign that a chunk of a
-/// snapshot arrived, and send it again.
-constexpr int ChunkPatience = 4;
+/// The leader resends a snapshot chunk after this many heartbeats without a
+/// reply.
+constexpr int ChunkRetryHeartbeats = 4;
 
-void RaftCore::appendOwn(EntryKind Kind, std::string Command,
-                         std::vector<Member> Members) {
+void RaftCore::appendNewEntry(EntryKind Kind, std::string Command,
+                              std::vector<Member> Members) {
   LogEntry Entry;
   Entry.Term_ = Hard_.Term_;
   Entry.Index_ = Log_.getLastIndex() + 1;
@@ -24,23 +23,23 @@
   Entry.Members_ = std::move(Members);
   Log_.append(Entry);
   Out_.Appended_.push_back(std::move(Entry));
-  syncProgress();
+  updatePeerSet();
 }
 
-/// Keeps one Progress for each other member.
-void RaftCore::syncProgress() {
+/// Maintains one Progress per other member.
+void RaftCore::updatePeerSet() {
   if (Log_.getMembersIndex() != Log_.getLastIndex() && !Peers_.empty())
     return;
   std::map<MemberId, Progress> Kept;
-  for (const Member &Each : Log_.getMembers()) {
-    if (Each.Id_ == Settings_.Self_)
+  for (const Member &M : Log_.getMembers()) {
+    if (M.Id_ == Settings_.Self_)
       continue;
-    auto Known = Peers_.find(Each.Id_);
+    auto Known = Peers_.find(M.Id_);
     if (Known != Peers_.end()) {
       Kept.insert(Peers_.extract(Known));
       continue;
     }
-    Progress &Fresh = Kept[Each.Id_];
+    Progress &Fresh = Kept[M.Id_];
     Fresh.Next_ = Log_.getLastIndex();
     Fresh.LastHeard_ = Now_;
     Fresh.LastStored_ = Now_;
@@ -67,15 +66,16 @@
 void RaftCore::sendAppend(const MemberId &To, Progress &Peer,
                           bool IsHeartbeat) {
   if (Peer.Sending_ || Peer.Next_ <= Log_.getBaseIndex()) {
-    // Matches everywhere, so it only tells that the leader is alive.
+    // Index 0 matches any log, so this message only shows that the leader is
+    // alive.
     if (IsHeartbeat)
-      sendOneAppend(To, Peer, 0, false);
+      sendAppendRequest(To, Peer, 0, false);
     sendChunk(To, Peer);
     return;
   }
   if (Peer.Probing_) {
     if (!Peer.ProbeSent_ || IsHeartbeat)
-      sendOneAppend(To, Peer, Peer.Next_ - 1, true);
+      sendAppendRequest(To, Peer, Peer.Next_ - 1, true);
     Peer.ProbeSent_ = true;
     return;
   }
@@ -84,15 +84,15 @@
     bool IsFull = Peer.InFlight_.size() >= Settings_.MaxMessagesInFlight_;
     if (IsFull && !IsFirst)
       return;
-    sendOneAppend(To, Peer, Peer.Next_ - 1, !IsFull);
+    sendAppendRequest(To, Peer, Peer.Next_ - 1, !IsFull);
     IsFirst = false;
     if (IsFull)
       return;
   }
 }
 
-void RaftCore::sendOneAppend(const MemberId &To, Progress &Peer,
-                             std::uint64_t Prev, bool WithEntries) {
+void RaftCore::sendAppendRequest(const MemberId &To, Progress &Peer,
+                                 std::uint64_t Prev, bool WithEntries) {
   AppendRequest Request;
   Request.Round_ = Round_;
   Request.PrevIndex_ = Prev;
@@ -105,12 +105,12 @@
     Peer.Next_ = Request.Entries_.back().Index_ + 1;
     Peer.InFlight_.push_back(Peer.Next_ - 1);
   }
-  send(Out_.Early_, To, Hard_.Term_, std::move(Request));
+  send(Out_.MessagesBeforeSync_, To, Hard_.Term_, std::move(Request));
 }
 
 void RaftCore::sendChunk(const MemberId &To, Progress &Peer) {
-  Duration Patience = Settings_.HeartbeatInterval_ * ChunkPatience;
-  bool IsUnderWay = Peer.Sending_ && Now_ - Peer.ChunkSentAt_ < Patience;
+  Duration RetryDelay = Settings_.HeartbeatInterval_ * ChunkRetryHeartbeats;
+  bool IsUnderWay = Peer.Sending_ && Now_ - Peer.ChunkSentAt_ < RetryDelay;
   if (IsUnderWay)
     return;
   if (!Peer.Sending_) {
@@ -128,10 +128,10 @@
   Chunk.Digest_ = XXH3_64bits(State.data(), State.size());
   Chunk.Bytes_ = State.substr(Peer.Offset_, Settings_.SnapshotChunkBytes_);
   Peer.ChunkSentAt_ = Now_;
-  send(Out_.Early_, To, Hard_.Term_, std::move(Chunk));
+  send(Out_.MessagesBeforeSync_, To, Hard_.Term_, std::move(Chunk));
 }
 
-void RaftCore::noteAnswer(Progress &Peer, std::uint64_t Round) {
+void RaftCore::recordReply(Progress &Peer, std::uint64_t Round) {
   Peer.LastHeard_ = Now_;
   Peer.AckedRound_ = std::max(Peer.AckedRound_, std::min(Round, Round_));
   advanceRounds();
@@ -143,7 +143,7 @@
     return;
   Progress &Peer = Known->second;
   Peer.LastStored_ = Now_;
-  noteAnswer(Peer, Body.Round_);
+  recordReply(Peer, Body.Round_);
   if (Body.Accepted_ && Body.Index_ > Log_.getLastIndex())
     return;
   if (!Body.Accepted_) {
@@ -177,10 +177,10 @@
     sendAppend(From.From_, Again->second, false);
 }
 
-void RaftCore::onMessage(const Message &From, const RoundHeard &Body) {
+void RaftCore::onMessage(const Message &From, const RoundAck &Body) {
   auto Known = Peers_.find(From.From_);
   if (Role_ == Role::Leader && Known != Peers_.end())
-    noteAnswer(Known->second, Body.Round_);
+    recordReply(Known->second, Body.Round_);
 }
 
 void RaftCore::onMessage(const Message &From, const SnapshotReply &Body) {
@@ -189,7 +189,7 @@
     return;
   Progress &Peer = Known->second;
   Peer.LastStored_ = Now_;
-  noteAnswer(Peer, Body.Round_);
+  recordReply(Peer, Body.Round_);
   if (!Peer.Sending_ || Peer.Sending_->Index_ != Body.Index_)
     return;
   if (Body.Installed_) {
@@ -215,7 +215,8 @@
 
 void RaftCore::advanceCommit() {
   std::uint64_t Index = findQuorumValue(&Progress::Match_, Synced_);
-  // Entries of earlier terms are committed by one of the own term after them.
+  // Entries of earlier terms are committed only by a later entry of the
+  // leader's own term.
   bool IsOwn = Index > Commit_ && Log_.findTerm(Index) == Hard_.Term_;
   if (!IsOwn)
     return;
@@ -224,12 +225,12 @@
   finishChange();
 }
 
-/// Takes the newest round that a quorum has answered as the lease's start, and
-/// answers the reads that it confirms.
+/// Starts the lease at the newest round that a quorum has answered, and
+/// completes the reads that the round confirms.
 void RaftCore::advanceRounds() {
   std::uint64_t Confirmed = findQuorumValue(&Progress::AckedRound_, Round_);
   while (!Rounds_.empty() && Rounds_.front().Number_ <= Confirmed) {
-    LeaseFrom_ = Rounds_.front().SentAt_;
+    LeaseStart_ = Rounds_.front().SentAt_;
     Rounds_.pop_front();
   }
   auto Rest = std::stable_partition(
@@ -240,26 +241,26 @@
   Reads_.erase(Reads_.begin(), Rest);
 }
 
-Duration RaftCore::getSilence(const MemberId &Id, TimePoint Now) const {
+Duration RaftCore::getTimeSinceHeard(const MemberId &Id, TimePoint Now) const {
   const auto Known = Peers_.find(Id);
   return Known == Peers_.end() ? Duration(0) : Now - Known->second.LastHeard_;
 }
 
-Duration RaftCore::getStall(const MemberId &Id, TimePoint Now) const {
+Duration RaftCore::getTimeSinceStored(const MemberId &Id, TimePoint Now) const {
   const auto Known = Peers_.find(Id);
   return Known == Peers_.end() ? Duration(0) : Now - Known->second.LastStored_;
 }
 
-/// Steps down when no quorum has answered within an election timeout: others
-/// may have a leader by then, and callers are better told so.
+/// Steps down if no quorum has answered within an election timeout: the others
+/// may have elected a leader by then, and callers should be sent there.
 void RaftCore::checkQuorum() {
   std::size_t Alive = 0;
-  for (const Member &Each : Log_.getMembers()) {
-    if (Each.Role_ != MemberRole::Voter)
+  for (const Member &M : Log_.getMembers()) {
+    if (M.Role_ != MemberRole::Voter)
       continue;
     bool IsAlive =
-        Each.Id_ == Settings_.Self_ ||
-        Now_ - Peers_.at(Each.Id_).LastHeard_ < Settings_.ElectionTimeout_;
+        M.Id_ == Settings_.Self_ ||
+        Now_ - Peers_.at(M.Id_).LastHeard_ < Settings_.ElectionTimeout_;
     Alive += IsAlive ? 1 : 0;
   }
   if (Alive <= countVoters() / 2)
--- a/src/replication/Rejoin.cpp
+++ b/src/replication/Rejoin.cpp
@@ -5,88 +5,91 @@
 using namespace tulipweir;
 using namespace tulipweir::replication;
 
-static bool isNamed(const MemberStanding &Each, const std::string &Name) {
-  return Each.Member_.Id_.Name_ == Name;
+static bool isNamed(const MemberHealth &Health, const std::string &Name) {
+  return Health.Member_.Id_.Name_ == Name;
 }
 
-static bool isSilentNamesake(const MemberStanding &Each, const MemberId &Of) {
-  return isNamed(Each, Of.Name_) && Each.Member_.Id_ != Of && !Each.IsAlive_;
+static bool isUnresponsiveIncarnation(const MemberHealth &Health,
+                                      const MemberId &Of) {
+  return isNamed(Health, Of.Name_) && Health.Member_.Id_ != Of &&
+         !Health.IsAlive_;
 }
 
-/// Whether the member that asks runs in the place of one that no longer does. A
-/// name is that of one VM: while one of its incarnations answers, a question
-/// from another is an old one that was held up.
-static bool isSuccessor(const std::vector<MemberStanding> &Members,
+/// Returns whether Asker replaces an incarnation that no longer runs. A name
+/// belongs to one VM: while one of its incarnations answers, a request from
+/// another incarnation is a delayed one.
+static bool isSuccessor(const std::vector<MemberHealth> &Members,
                         const MemberId &Asker) {
   bool IsKnown = false;
-  for (const MemberStanding &Each : Members) {
-    if (!isNamed(Each, Asker.Name_))
+  for (const MemberHealth &Health : Members) {
+    if (!isNamed(Health, Asker.Name_))
       continue;
-    if (Each.Member_.Id_ == Asker || Each.IsAlive_)
+    if (Health.Member_.Id_ == Asker || Health.IsAlive_)
       return false;
     IsKnown = true;
   }
   return IsKnown;
 }
 
-std::optional<ChangeAsked>
-replication::planRejoin(const std::vector<MemberStanding> &Members,
-                        const std::vector<MemberId> &Waiting) {
-  // First, for a disk may be lost again before its member was promoted.
-  for (const MemberId &Each : Waiting)
-    if (isSuccessor(Members, Each))
-      return ChangeAsked{0, ChangeKind::AddLearner, Each};
-  for (const MemberStanding &Each : Members) {
-    const MemberId &Id = Each.Member_.Id_;
-    if (!Each.IsAlive_)
+std::optional<ChangeRequested>
+replication::planRejoin(const std::vector<MemberHealth> &Members,
+                        const std::vector<MemberId> &JoinRequests) {
+  // Waiting members are handled first, as a disk may be lost again before its
+  // member was promoted.
+  for (const MemberId &Id : JoinRequests)
+    if (isSuccessor(Members, Id))
+      return ChangeRequested{0, ChangeKind::AddLearner, Id};
+  for (const MemberHealth &Health : Members) {
+    const MemberId &Id = Health.Member_.Id_;
+    if (!Health.IsAlive_)
       continue;
-    const MemberStanding *Before = nullptr;
+    const MemberHealth *Before = nullptr;
     bool HasVoter = false;
-    for (const MemberStanding &Other : Members) {
-      if (!isSilentNamesake(Other, Id))
+    for (const MemberHealth &Other : Members) {
+      if (!isUnresponsiveIncarnation(Other, Id))
         continue;
       Before = &Other;
       HasVoter = HasVoter || Other.Member_.Role_ == MemberRole::Voter;
     }
-    if (HasVoter && Each.Member_.Role_ == MemberRole::Learner)
-      return ChangeAsked{0, ChangeKind::Promote, Id};
+    if (HasVoter && Health.Member_.Role_ == MemberRole::Learner)
+      return ChangeRequested{0, ChangeKind::Promote, Id};
     if (Before)
-      return ChangeAsked{0, ChangeKind::Remove, Before->Member_.Id_};
+      return ChangeRequested{0, ChangeKind::Remove, Before->Member_.Id_};
   }
   return std::nullopt;
 }
 
-/// Bounds what strangers can cost the leader.
-static constexpr std::size_t MostMembers = 32;
+/// Bounds the load that unknown members can put on the leader.
+static constexpr std::size_t MaxMembers = 32;
 
-std::optional<ChangeAsked>
-replication::planMembers(const std::vector<MemberStanding> &Members,
-                         const std::vector<MemberId> &Waiting,
+std::optional<ChangeRequested>
+replication::planMembers(const std::vector<MemberHealth> &Members,
+                         const std::vector<MemberId> &JoinRequests,
                          std::uint64_t TargetVoters) {
-  for (const MemberId &Each : Waiting) {
-    const bool IsStranger = std::none_of(
-        Members.begin(), Members.end(), [&](const MemberStanding &Known) {
-          return Known.Member_.Id_.Name_ == Each.Name_;
+  for (const MemberId &Id : JoinRequests) {
+    const bool IsUnknown = std::none_of(
+        Members.begin(), Members.end(), [&](const MemberHealth &Known) {
+          return Known.Member_.Id_.Name_ == Id.Name_;
         });
-    if (IsStranger && Members.size() < MostMembers)
-      return ChangeAsked{0, ChangeKind::AddLearner, Each};
+    if (IsUnknown && Members.size() < MaxMembers)
+      return ChangeRequested{0, ChangeKind::AddLearner, Id};
   }
   std::uint64_t Voters = 0;
-  const MemberStanding *Gone = nullptr;
-  const MemberStanding *Spare = nullptr;
-  for (const MemberStanding &Each : Members) {
-    const bool IsVoter = Each.Member_.Role_ == MemberRole::Voter;
+  const MemberHealth *Unresponsive = nullptr;
+  const MemberHealth *Spare = nullptr;
+  for (const MemberHealth &Health : Members) {
+    const bool IsVoter = Health.Member_.Role_ == MemberRole::Voter;
     Voters += IsVoter ? 1 : 0;
-    if (IsVoter && Each.IsGone_ && !Gone)
-      Gone = &Each;
-    if (!IsVoter && Each.IsAlive_ && !Spare)
-      Spare = &Each;
+    if (IsVoter && Health.IsUnresponsive_ && !Unresponsive)
+      Unresponsive = &Health;
+    if (!IsVoter && Health.IsAlive_ && !Spare)
+      Spare = &Health;
   }
   const bool IsShort =
-      Voters < TargetVoters || (Gone && Voters == TargetVoters);
+      Voters < TargetVoters || (Unresponsive && Voters == TargetVoters);
   if (Spare && IsShort)
-    return ChangeAsked{0, ChangeKind::Promote, Spare->Member_.Id_};
-  if (Gone && Voters > TargetVoters)
-    return ChangeAsked{0, ChangeKind::Remove, Gone->Member_.Id_};
+    return ChangeRequested{0, ChangeKind::Promote, Spare->Member_.Id_};
+  if (Unresponsive && Voters > TargetVoters)
+    return ChangeRequested{0, ChangeKind::Remove, Unresponsive->Member_.Id_};
   return std::nullopt;
 }
--- a/tests/jobservice/RelayFlushTest.cpp
+++ b/tests/jobservice/RelayFlushTest.cpp
@@ -64,7 +64,7 @@
   Flush_.onBatch(Requests_[0].Request_.Id_, {"a"});
   Flush_.retryExpired();
   EXPECT_FALSE(Heard_) << "the member may only be slow";
-  Status_.Gone_ = {"y"};
+  Status_.Unresponsive_ = {"y"};
   Flush_.retryExpired();
   ASSERT_TRUE(Heard_);
   EXPECT_EQ(*Heard_, ReportRelays::Heard{"a"});
--- a/tests/replication/MessageCodecTest.cpp
+++ b/tests/replication/MessageCodecTest.cpp
@@ -20,19 +20,19 @@
   Add(VoteReply{true, true});
   Add(AppendRequest{1, 2, 3, 4, {Command, Change}});
   Add(AppendReply{1, true, 2, 3});
-  Add(RoundHeard{5});
+  Add(RoundAck{5});
   Add(SnapshotChunk{1, 2, 3, Members, 4, 5, 6, "state"});
   Add(SnapshotReply{1, 2, 3, true});
-  Add(TransferNow{});
+  Add(TimeoutNow{});
   Add(JoinProbe{});
   Add(JoinReply{true});
-  Add(FoundGroup{Members});
+  Add(BootstrapGroup{Members});
   return All;
 }
 
-TEST(MessageCodecTest, EachMessageComesBackAsItWas) {
-  for (const Message &Each : makeOneOfEach())
-    EXPECT_EQ(decodeMessage("g", encodeMessage("g", Each)).value(), Each);
+TEST(MessageCodecTest, EachMessageRoundTrips) {
+  for (const Message &Msg : makeOneOfEach())
+    EXPECT_EQ(decodeMessage("g", encodeMessage("g", Msg)).value(), Msg);
 }
 
 TEST(MessageCodecTest, OtherGroupsAndVersionsAreRefused) {
@@ -46,16 +46,16 @@
 
 TEST(MessageCodecTest, ValuesOutOfRangeAreRefused) {
   Message Odd = makeOneOfEach().back();
-  std::get<FoundGroup>(Odd.Body_).Members_[0].Role_ =
+  std::get<BootstrapGroup>(Odd.Body_).Members_[0].Role_ =
       static_cast<MemberRole>(2);
   EXPECT_EQ(decodeMessage("g", encodeMessage("g", Odd)).error().Code_,
             ErrorCode::Malformed);
 }
 
-TEST(MessageCodecTest, BytesThatAreCutAddedOrChangedNeverPassForOthers) {
+TEST(MessageCodecTest, TruncatedExtendedOrAlteredBytesAreNeverMisread) {
   std::mt19937_64 Random(1);
-  for (const Message &Each : makeOneOfEach()) {
-    const std::string Bytes = encodeMessage("g", Each);
+  for (const Message &Msg : makeOneOfEach()) {
+    const std::string Bytes = encodeMessage("g", Msg);
     for (std::size_t Size = 0; Size < Bytes.size(); ++Size)
       EXPECT_FALSE(decodeMessage("g", Bytes.substr(0, Size)));
     EXPECT_FALSE(decodeMessage("g", Bytes + "x"));
