--- a/bench/jobs/JobsBench.cpp
+++ b/bench/jobs/JobsBench.cpp
@@ -142,8 +142,8 @@
       Registry.apply(Command(AddServer{makeServer(I, 32'000)}));
     for (std::uint64_t I = 0; I < Waiting / TasksPerJob; ++I)
       Registry.apply(Command(makeJob(I, TasksPerJob)));
-    LiveServerTable Board;
-    Board.reset(Registry, now(), std::chrono::hours(1));
+    LiveServerTable LiveServers;
+    LiveServers.reset(Registry, now(), std::chrono::hours(1));
     InterferenceModel Effects;
     ServingLoads Loads;
     PaceController Paces;
@@ -151,11 +151,11 @@
     AdviceCache Advice;
     Dispatcher Planner(Effects, Loads, Paces, Health, Advice);
     // The leader surveys at every tick, too.
-    Planner.survey(Registry, Board, now());
+    Planner.survey(Registry, LiveServers, now());
     for (std::uint64_t I = 0; I < Servers; ++I) {
       const Instant Begin = now();
-      const auto Plan = Planner.plan(Registry, Board, makeServer(I, 0).Id_,
-                                     Begin, WallTime(1000));
+      const auto Plan = Planner.plan(
+          Registry, LiveServers, makeServer(I, 0).Id_, Begin, WallTime(1000));
       Total += microsSince(Begin);
       Starts += Plan.size();
       Registry.apply(Command(StartTasks{Plan}));
--- a/bench/platform/LeaderTarget.cpp
+++ b/bench/platform/LeaderTarget.cpp
@@ -73,8 +73,8 @@
 }
 
 bool LeaderTarget::isCompleted(const std::string &Path) {
-  return Machine_.read([&Path](const JobRegistry &Book) {
-    const JobRecord *Job = Book.findJob(Path.substr(Path.rfind('/') + 1));
+  return Machine_.read([&Path](const JobRegistry &Registry) {
+    const JobRecord *Job = Registry.findJob(Path.substr(Path.rfind('/') + 1));
     return Job && Job->State_ == JobState::Completed;
   });
 }
--- a/include/tulipweir/jobs/JobRegistry.h
+++ b/include/tulipweir/jobs/JobRegistry.h
@@ -166,7 +166,7 @@
   bool isOver(const std::string &ServerId) const {
     return Incarnations_.isOver(ServerId);
   }
-  const WaveBook &waves() const { return Waves_; }
+  const WaveRegistry &waves() const { return Waves_; }
   /// Returns the data centres in which no task may start.
   const std::set<std::string> &evacuated() const { return Evacuated_; }
   bool isEvacuated(const ServerFacts &Server) const {
@@ -254,7 +254,7 @@
   std::unordered_map<std::string, JobRecord> Jobs_;
   std::map<std::string, ServerRecord> Servers_;
   ServerIncarnations Incarnations_;
-  WaveBook Waves_;
+  WaveRegistry Waves_;
   std::set<std::string> Evacuated_; ///< Data centre names.
   std::uint64_t NextSequence_ = 1;
 
--- a/include/tulipweir/jobs/Waves.h
+++ b/include/tulipweir/jobs/Waves.h
@@ -2,8 +2,8 @@
 //
 // An operator orders a wave: every VM of a list is to be put into maintenance
 // by a deadline, with a limit on how many are down at once. The VMs whose
-// maintenance has begun are replicated as a part of JobBook's state, so that a
-// new leader continues where the last one stopped.
+// maintenance has begun are replicated as a part of JobRegistry's state, so
+// that a new leader continues where the last one stopped.
 //
 //===----------------------------------------------------------------------===//
 
@@ -36,7 +36,7 @@
 };
 
 /// Holds the waves of the data centre. Not thread-safe.
-class WaveBook {
+class WaveRegistry {
 public:
   // Commands. Each returns whether it changed anything.
 
@@ -51,7 +51,7 @@
   /// Returns whether any wave is not completed.
   bool hasOpenWave() const;
 
-  static WaveBook makeFrom(std::vector<WaveRecord> Records);
+  static WaveRegistry makeFrom(std::vector<WaveRecord> Records);
 
 private:
   std::map<std::uint64_t, WaveRecord> Waves_;
--- a/src/jobs/AdviceCache.cpp
+++ b/src/jobs/AdviceCache.cpp
@@ -45,9 +45,9 @@
   EligibleCount_ += double(Answer.EligibleServers_.size());
 }
 
-void AdviceCache::prune(const JobRegistry &Book) {
-  std::erase_if(Steps_, [&Book](const auto &Entry) {
-    const JobRecord *Job = Book.findJob(Entry.first.Job_);
+void AdviceCache::prune(const JobRegistry &Registry) {
+  std::erase_if(Steps_, [&Registry](const auto &Entry) {
+    const JobRecord *Job = Registry.findJob(Entry.first.Job_);
     return !Job || isEnded(Job->State_);
   });
 }
@@ -67,18 +67,19 @@
 /// Counts how many of the step's tasks fit on usable servers with a valid
 /// ticket.
 std::uint64_t AdviceCache::countStartable(
-    const JobRegistry &Book, const ReadyStep &Ready,
+    const JobRegistry &Registry, const ReadyStep &Ready,
     const std::function<bool(const std::string &ServerId)> &IsUsable,
     TimePoint Now) const {
   const auto Servers =
       Steps_.find({Ready.Job_, Ready.Occurrence_, Ready.Step_});
   if (Servers == Steps_.end())
     return 0;
-  const StepSpec &Step = Book.findJob(Ready.Job_)->Spec_.Steps_[Ready.Step_];
+  const StepSpec &Step =
+      Registry.findJob(Ready.Job_)->Spec_.Steps_[Ready.Step_];
   const Resources Need = Step.getReserved();
   std::uint64_t Count = 0;
   for (const auto &[Id, Cached] : Servers->second) {
-    const ServerRecord *Server = Book.findServer(Id);
+    const ServerRecord *Server = Registry.findServer(Id);
     if (!Server || !Cached.IsEligible_ || Cached.Until_ <= Now || !IsUsable(Id))
       continue;
     Resources Free = Server->Facts_.Capacity_ - Server->Used_;
@@ -102,17 +103,18 @@
 }
 
 std::optional<AdviceRequest> AdviceCache::findNextRequest(
-    const JobRegistry &Book,
+    const JobRegistry &Registry,
     const std::function<bool(const std::string &ServerId)> &IsUsable,
     TimePoint Now) const {
-  for (const ReadyStep &Ready : Book.readySteps()) {
-    const JobRecord &Job = *Book.findJob(Ready.Job_);
+  for (const ReadyStep &Ready : Registry.readySteps()) {
+    const JobRecord &Job = *Registry.findJob(Ready.Job_);
     if (!Job.Policy_.Advice_.IsRequired_)
       continue;
     const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
     const std::uint64_t Waiting =
         Job.findOccurrence(Ready.Occurrence_)->Steps_[Ready.Step_].Waiting_;
-    const std::uint64_t Startable = countStartable(Book, Ready, IsUsable, Now);
+    const std::uint64_t Startable =
+        countStartable(Registry, Ready, IsUsable, Now);
     if (Startable >= Waiting)
       continue;
     AdviceRequest Request;
@@ -122,7 +124,7 @@
     // Known eligible servers come first, then the rack of the step's data, then
     // the servers with the most free processors.
     std::vector<std::tuple<bool, bool, std::int64_t, std::string>> Candidates;
-    for (const auto &[Id, Server] : Book.servers()) {
+    for (const auto &[Id, Server] : Registry.servers()) {
       const Resources Free = Server.Facts_.Capacity_ - Server.Used_;
       const bool IsFit = Server.Facts_.Service_ == Job.Policy_.Service_ &&
                          Server.Facts_.hasLabel(Step.Label_) &&
--- a/src/jobs/AdviceCache.h
+++ b/src/jobs/AdviceCache.h
@@ -37,7 +37,7 @@
   void addAnswer(const AdviceRequest &Request, const Advice &Answer,
                  TimePoint Now);
   /// Removes the steps of jobs that have ended.
-  void prune(const JobRegistry &Book);
+  void prune(const JobRegistry &Registry);
 
   // Queries.
 
@@ -50,7 +50,7 @@
   /// startable places than waiting tasks, and the usable servers with the most
   /// free capacity. Returns nothing if no request is needed.
   std::optional<AdviceRequest> findNextRequest(
-      const JobRegistry &Book,
+      const JobRegistry &Registry,
       const std::function<bool(const std::string &ServerId)> &IsUsable,
       TimePoint Now) const;
 
@@ -63,7 +63,7 @@
   using ServerAdviceMap = std::map<std::string, ServerAdvice>;
 
   std::uint64_t countStartable(
-      const JobRegistry &Book, const ReadyStep &Ready,
+      const JobRegistry &Registry, const ReadyStep &Ready,
       const std::function<bool(const std::string &ServerId)> &IsUsable,
       TimePoint Now) const;
   std::size_t computeRequestSize(std::uint64_t Missing) const;
--- a/src/jobs/CapacitySurvey.cpp
+++ b/src/jobs/CapacitySurvey.cpp
@@ -18,31 +18,33 @@
 /// is reserved.
 static constexpr std::int64_t MaxSpareReservedPercent = 70;
 
-void CapacitySurvey::update(const JobRegistry &Book,
-                            const LiveServerTable &Board, ReadyTimes &Waits,
-                            TimePoint Now) {
-  const std::vector<UsableServer> Servers = surveyServers(Book, Board, Now);
-  reserveForLongRunning(Book, Servers, Waits, Now);
+void CapacitySurvey::update(const JobRegistry &Registry,
+                            const LiveServerTable &LiveServers,
+                            ReadyTimes &Waits, TimePoint Now) {
+  const std::vector<UsableServer> Servers =
+      surveyServers(Registry, LiveServers, Now);
+  reserveForLongRunning(Registry, Servers, Waits, Now);
   if (Now >= NextRelocationSurvey_) {
     NextRelocationSurvey_ = Now + RelocationInterval;
-    surveyRelocation(Book, Servers);
+    surveyRelocation(Registry, Servers);
   }
 }
 
 std::vector<CapacitySurvey::UsableServer>
-CapacitySurvey::surveyServers(const JobRegistry &Book,
-                              const LiveServerTable &Board, TimePoint Now) {
+CapacitySurvey::surveyServers(const JobRegistry &Registry,
+                              const LiveServerTable &LiveServers,
+                              TimePoint Now) {
   FreeBySoleImage_.clear();
   FreeWithoutServing_.clear();
   std::int64_t Capacity = 0;
   std::int64_t Reserved = 0;
   std::vector<UsableServer> Servers;
-  for (const auto &[Id, Server] : Book.servers()) {
-    if (!Board.acceptsStarts(Book, Server))
+  for (const auto &[Id, Server] : Registry.servers()) {
+    if (!LiveServers.acceptsStarts(Registry, Server))
       continue;
     Capacity += Server.Facts_.Capacity_.MilliCpus_;
     Reserved += Server.Used_.MilliCpus_;
-    const LiveServer *Live = Board.find(Id);
+    const LiveServer *Live = LiveServers.find(Id);
     const bool IsSound =
         Health_.getHealthState(Id, Now) == HealthState::Healthy;
     Servers.push_back({&Server, IsSound});
@@ -59,7 +61,7 @@
 }
 
 void CapacitySurvey::surveyRelocation(
-    const JobRegistry &Book, const std::vector<UsableServer> &Servers) {
+    const JobRegistry &Registry, const std::vector<UsableServer> &Servers) {
   InterferenceFreeCpus_.clear();
   if (RelocatingImages_.empty())
     return;
@@ -73,8 +75,8 @@
         InterferenceFreeCpus_[Image] += Need;
   }
   // Waiting tasks take precedence over relocations.
-  for (const ReadyStep &Ready : Book.readySteps()) {
-    const JobRecord &Job = *Book.findJob(Ready.Job_);
+  for (const ReadyStep &Ready : Registry.readySteps()) {
+    const JobRecord &Job = *Registry.findJob(Ready.Job_);
     const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
     if (!Step.Fills_ || RelocatingImages_.count(Step.Image_) == 0)
       continue;
@@ -89,19 +91,19 @@
 /// Reserves, for each long-running task that has waited too long, the server
 /// that is closest to having capacity for it; the server starts no task that
 /// would take this capacity.
-void CapacitySurvey::reserveForLongRunning(const JobRegistry &Book,
+void CapacitySurvey::reserveForLongRunning(const JobRegistry &Registry,
                                            std::vector<UsableServer> Servers,
                                            ReadyTimes &Waits, TimePoint Now) {
   Reservations_.clear();
   HasWaitingLongRunning_ = false;
   std::size_t RemainingReservations =
-      1 + Book.servers().size() / ServersPerReservation;
+      1 + Registry.servers().size() / ServersPerReservation;
   const auto GetFree = [](const UsableServer &Entry) {
     return Entry.Server_->Facts_.Capacity_ - Entry.Server_->Used_;
   };
   bool IsSorted = false;
-  for (const ReadyStep &Ready : Book.readySteps()) {
-    const JobRecord &Job = *Book.findJob(Ready.Job_);
+  for (const ReadyStep &Ready : Registry.readySteps()) {
+    const JobRecord &Job = *Registry.findJob(Ready.Job_);
     const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
     if (!Step.LongRunning_)
       continue;
--- a/src/jobs/CapacitySurvey.h
+++ b/src/jobs/CapacitySurvey.h
@@ -35,7 +35,7 @@
 
   // Commands.
 
-  void update(const JobRegistry &Book, const LiveServerTable &Board,
+  void update(const JobRegistry &Registry, const LiveServerTable &LiveServers,
               ReadyTimes &Waits, TimePoint Now);
   /// Claims idle processors on servers where the step's filling image lengthens
   /// no tail, if there are enough. An image is included in surveys once it was
@@ -64,12 +64,12 @@
     const ServerRecord *Server_;
     bool IsSound_;
   };
-  std::vector<UsableServer> surveyServers(const JobRegistry &Book,
-                                          const LiveServerTable &Board,
+  std::vector<UsableServer> surveyServers(const JobRegistry &Registry,
+                                          const LiveServerTable &LiveServers,
                                           TimePoint Now);
-  void surveyRelocation(const JobRegistry &Book,
+  void surveyRelocation(const JobRegistry &Registry,
                         const std::vector<UsableServer> &Servers);
-  void reserveForLongRunning(const JobRegistry &Book,
+  void reserveForLongRunning(const JobRegistry &Registry,
                              std::vector<UsableServer> Servers,
                              ReadyTimes &Waits, TimePoint Now);
 
--- a/src/jobs/CrashHistory.cpp
+++ b/src/jobs/CrashHistory.cpp
@@ -30,10 +30,10 @@
     LastHeardTimes_.pop_front();
 }
 
-bool CrashHistory::isCorrelated(const LiveServerTable &Board,
+bool CrashHistory::isCorrelated(const LiveServerTable &LiveServers,
                                 const std::string &Server,
                                 TimePoint Now) const {
-  const LiveServer *Target = Board.find(Server);
+  const LiveServer *Target = LiveServers.find(Server);
   if (!Target)
     return false;
   const auto IsSameEvent = [Target](TimePoint Time) {
@@ -41,10 +41,10 @@
   };
   auto Count = static_cast<std::size_t>(std::count_if(
       LastHeardTimes_.begin(), LastHeardTimes_.end(), IsSameEvent));
-  for (const auto &[Id, Live] : Board.servers())
+  for (const auto &[Id, Live] : LiveServers.servers())
     if (Id != Server && Now - Live.LastHeard_ >= SilenceThreshold &&
         IsSameEvent(Live.LastHeard_))
       ++Count;
-  return Count >= std::max(MinCorrelated, Board.servers().size() *
+  return Count >= std::max(MinCorrelated, LiveServers.servers().size() *
                                               MinCorrelatedPercent / Percent);
 }
--- a/src/jobs/CrashHistory.h
+++ b/src/jobs/CrashHistory.h
@@ -29,8 +29,8 @@
   // Queries.
 
   /// Returns whether the server fell silent at the same time as many others.
-  bool isCorrelated(const LiveServerTable &Board, const std::string &Server,
-                    TimePoint Now) const;
+  bool isCorrelated(const LiveServerTable &LiveServers,
+                    const std::string &Server, TimePoint Now) const;
 
 private:
   std::deque<TimePoint> LastHeardTimes_; ///< Per crashed server, oldest first.
--- a/src/jobs/Dispatcher.cpp
+++ b/src/jobs/Dispatcher.cpp
@@ -69,13 +69,13 @@
          Plan.Now_ - It->second.At_ < MaxOtherServerWait;
 }
 
-void Dispatcher::prune(const JobRegistry &Book) {
-  std::erase_if(LastFailures_, [&Book](const auto &Entry) {
-    const TaskRecord *Task = Book.findTask(Entry.first);
+void Dispatcher::prune(const JobRegistry &Registry) {
+  std::erase_if(LastFailures_, [&Registry](const auto &Entry) {
+    const TaskRecord *Task = Registry.findTask(Entry.first);
     return !Task || Task->State_ == TaskState::Done;
   });
-  Isolation_.prune(Book);
-  ReadyTimes_.prune(Book);
+  Isolation_.prune(Registry);
+  ReadyTimes_.prune(Registry);
 }
 
 /// Returns whether one of the step's tasks fits on the server. The server must
@@ -159,42 +159,43 @@
   return *Plan.Headroom_;
 }
 
-void Dispatcher::survey(const JobRegistry &Book, const LiveServerTable &Board,
-                        TimePoint Now) {
-  StragglerDetector_.survey(Book, Board, Now);
-  Survey_.update(Book, Board, ReadyTimes_, Now);
+void Dispatcher::survey(const JobRegistry &Registry,
+                        const LiveServerTable &LiveServers, TimePoint Now) {
+  StragglerDetector_.survey(Registry, LiveServers, Now);
+  Survey_.update(Registry, LiveServers, ReadyTimes_, Now);
 }
 
 /// Returns whether only long-running tasks run on the server.
-static bool hasOnlyLongRunning(const JobRegistry &Book,
+static bool hasOnlyLongRunning(const JobRegistry &Registry,
                                const ServerRecord &Server) {
   return std::all_of(Server.Placed_.begin(), Server.Placed_.end(),
-                     [&Book](const auto &Placed) {
-                       return Book.findJob(Placed.first.Job_)
+                     [&Registry](const auto &Placed) {
+                       return Registry.findJob(Placed.first.Job_)
                            ->Spec_.Steps_[Placed.first.Step_]
                            .LongRunning_;
                      });
 }
 
-std::vector<TaskStart> Dispatcher::plan(const JobRegistry &Book,
-                                        const LiveServerTable &Board,
+std::vector<TaskStart> Dispatcher::plan(const JobRegistry &Registry,
+                                        const LiveServerTable &LiveServers,
                                         const std::string &ServerId,
                                         TimePoint Now, WallTime Wall) {
-  const ServerRecord *Server = Book.findServer(ServerId);
-  const LiveServer *Live = Board.find(ServerId);
-  const bool MayStart = Server && Board.acceptsStarts(Book, *Server) &&
+  const ServerRecord *Server = Registry.findServer(ServerId);
+  const LiveServer *Live = LiveServers.find(ServerId);
+  const bool MayStart = Server &&
+                        LiveServers.acceptsStarts(Registry, *Server) &&
                         Live->NoStartsUntil_ <= Now;
   const HealthState Fit = Health_.getHealthState(ServerId, Now);
   if (!MayStart || Fit == HealthState::Quarantined)
     return {};
-  if (Fit == HealthState::Probation && !hasOnlyLongRunning(Book, *Server))
+  if (Fit == HealthState::Probation && !hasOnlyLongRunning(Registry, *Server))
     return {};
   if (Fit == HealthState::Healthy)
-    if (const auto Start = planIsolated(Book, Board, *Server, Now)) {
+    if (const auto Start = planIsolated(Registry, LiveServers, *Server, Now)) {
       Proposed_.insert(Start->Task_);
       return {*Start};
     }
-  if (Isolation_.isClosed(Book, Board, *Server, Now))
+  if (Isolation_.isClosed(Registry, LiveServers, *Server, Now))
     return {};
   ServerPlan Plan{*Server,
                   RemainingCapacity::compute(*Server, Loads_),
@@ -205,10 +206,10 @@
                   {},
                   {}};
   Plan.Remaining_.Free_ =
-      Plan.Remaining_.Free_ - Board.sumUnplacedUsage(Book, *Server);
+      Plan.Remaining_.Free_ - LiveServers.sumUnplacedUsage(Registry, *Server);
   if (Fit == HealthState::Probation)
     Plan.MaxStarts_ = 1;
-  Order_.update(Book, ReadyTimes_, Now, Wall);
+  Order_.update(Registry, ReadyTimes_, Now, Wall);
   const std::size_t Images = Order_.countFillingImages();
   Plan.RejectedCpusAvoidingInterference_.assign(Images, Unlimited);
   Plan.RejectedCpus_.assign(Images, Unlimited);
@@ -220,46 +221,47 @@
                          Survey_.hasSpareCapacity());
     // The step's tasks may all have been placed since the order was computed.
     if (MayFit && !isKnownRejected(Entry, Plan) &&
-        Book.readySteps().count(Entry.Step_) != 0)
-      planStep(Book, Entry, Plan);
+        Registry.readySteps().count(Entry.Step_) != 0)
+      planStep(Registry, Entry, Plan);
   }
   // A copy would take capacity that a long-running task waits for.
   if (!Survey_.hasWaitingLongRunning())
-    planCopies(Book, Plan);
+    planCopies(Registry, Plan);
   return std::move(Plan.Starts_);
 }
 
 /// Returns the suspected task that the server starts in isolation, if any.
-std::optional<TaskStart> Dispatcher::planIsolated(const JobRegistry &Book,
-                                                  const LiveServerTable &Board,
-                                                  const ServerRecord &Server,
-                                                  TimePoint Now) {
+std::optional<TaskStart>
+Dispatcher::planIsolated(const JobRegistry &Registry,
+                         const LiveServerTable &LiveServers,
+                         const ServerRecord &Server, TimePoint Now) {
   const Resources Free = Server.Facts_.Capacity_ - Server.Used_ -
-                         Board.sumUnplacedUsage(Book, Server);
+                         LiveServers.sumUnplacedUsage(Registry, Server);
   const auto MayRun = [&](const JobRecord &Job, const TaskKey &Task) {
     return Proposed_.count(Task) == 0 &&
            Job.Spec_.Steps_[Task.Step_].getReserved().fitsIn(Free) &&
            isAdvised(Job, Task, Server.Facts_.Id_, Now);
   };
-  return Isolation_.plan(Book, Board, Server, Now, MayRun);
+  return Isolation_.plan(Registry, LiveServers, Server, Now, MayRun);
 }
 
 /// Starts copies of stragglers. The state machine refuses a second copy, and a
 /// copy on the server of the first run.
-void Dispatcher::planCopies(const JobRegistry &Book, ServerPlan &Plan) {
+void Dispatcher::planCopies(const JobRegistry &Registry, ServerPlan &Plan) {
   for (const TaskKey &Task : StragglerDetector_.getLateTasks()) {
-    const TaskRecord *Record = Book.findTask(Task);
+    const TaskRecord *Record = Registry.findTask(Task);
     const bool IsOpen = Record && Record->State_ == TaskState::Placed &&
                         Proposed_.count(Task) == 0 &&
                         !hasJustFailedHere(Task, Plan);
     if (!IsOpen || Plan.Starts_.size() >= Plan.MaxStarts_)
       continue;
-    const StepSpec &Step = *Book.findStep(Task);
+    const StepSpec &Step = *Registry.findStep(Task);
     const TaskStart Start{Task, Record->LastRun_ + 1, Plan.Server_.Facts_.Id_};
     const bool FitsHere = Step.getReserved().fitsIn(Plan.Remaining_.Free_) &&
                           Step.Need_.MilliCpus_ <= Plan.Remaining_.Idle_;
-    if (!FitsHere || !Book.findRejectionReason(Start).empty() ||
-        !isAdvised(*Book.findJob(Task.Job_), Task, Start.Server_, Plan.Now_))
+    if (!FitsHere || !Registry.findRejectionReason(Start).empty() ||
+        !isAdvised(*Registry.findJob(Task.Job_), Task, Start.Server_,
+                   Plan.Now_))
       continue;
     Plan.Starts_.push_back(Start);
     Proposed_.insert(Task);
@@ -315,10 +317,10 @@
 }
 
 /// Adds starts of the step's tasks as long as they fit.
-void Dispatcher::planStep(const JobRegistry &Book, const Candidate &Entry,
+void Dispatcher::planStep(const JobRegistry &Registry, const Candidate &Entry,
                           ServerPlan &Plan) {
   const ReadyStep &Ready = Entry.Step_;
-  const JobRecord &Job = *Book.findJob(Ready.Job_);
+  const JobRecord &Job = *Registry.findJob(Ready.Job_);
   const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
   TaskKey Key{Ready.Job_, Ready.Occurrence_, Ready.Step_, 0};
   const std::string &ServerId = Plan.Server_.Facts_.Id_;
@@ -350,7 +352,7 @@
         !Step.LongRunning_ && hasJustFailedHere(Start.Task_, Plan);
     if (Proposed_.count(Start.Task_) != 0 || IsAvoided)
       continue;
-    if (!Book.findRejectionReason(Start).empty())
+    if (!Registry.findRejectionReason(Start).empty())
       return;
     Plan.Starts_.push_back(Start);
     Proposed_.insert(Start.Task_);
@@ -362,11 +364,11 @@
   }
 }
 
-std::vector<TaskStart> Dispatcher::planGang(const JobRegistry &Book,
-                                            const LiveServerTable &Board,
+std::vector<TaskStart> Dispatcher::planGang(const JobRegistry &Registry,
+                                            const LiveServerTable &LiveServers,
                                             TimePoint Now) {
-  for (const ReadyStep &Ready : Book.readySteps()) {
-    const JobRecord &Job = *Book.findJob(Ready.Job_);
+  for (const ReadyStep &Ready : Registry.readySteps()) {
+    const JobRecord &Job = *Registry.findJob(Ready.Job_);
     const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
     const StepRecord &Record =
         Job.findOccurrence(Ready.Occurrence_)->Steps_[Ready.Step_];
@@ -375,14 +377,15 @@
     if (!IsWhole || Proposed_.count(FirstTask) != 0)
       continue;
     const bool MaySpread = ReadyTimes_.getWait(Ready, Now) >= MaxSingleRackWait;
-    std::vector<TaskStart> Starts =
-        planGangStarts(Book, Ready, MaySpread, [&](const ServerRecord &Server) {
+    std::vector<TaskStart> Starts = planGangStarts(
+        Registry, Ready, MaySpread, [&](const ServerRecord &Server) {
           const std::string &Id = Server.Facts_.Id_;
-          const LiveServer *Live = Board.find(Id);
-          return Board.acceptsStarts(Book, Server) &&
+          const LiveServer *Live = LiveServers.find(Id);
+          return LiveServers.acceptsStarts(Registry, Server) &&
                  Live->NoStartsUntil_ <= Now &&
-                 Board.sumUnplacedUsage(Book, Server) == Resources{} &&
-                 !Isolation_.isClosed(Book, Board, Server, Now) &&
+                 LiveServers.sumUnplacedUsage(Registry, Server) ==
+                     Resources{} &&
+                 !Isolation_.isClosed(Registry, LiveServers, Server, Now) &&
                  Health_.getHealthState(Id, Now) == HealthState::Healthy &&
                  isAdvised(Job, FirstTask, Id, Now);
         });
@@ -395,11 +398,11 @@
   return {};
 }
 
-std::string Dispatcher::explainWait(const JobRegistry &Book,
-                                    const LiveServerTable &Board,
+std::string Dispatcher::explainWait(const JobRegistry &Registry,
+                                    const LiveServerTable &LiveServers,
                                     const ReadyStep &Step,
                                     TimePoint Now) const {
-  const JobRecord &Job = *Book.findJob(Step.Job_);
+  const JobRecord &Job = *Registry.findJob(Step.Job_);
   const StepSpec &Spec = Job.Spec_.Steps_[Step.Step_];
   const std::vector<TaskRecord> &Tasks =
       Job.findOccurrence(Step.Occurrence_)->Steps_[Step.Step_].Tasks_;
@@ -418,20 +421,20 @@
   std::size_t Interfering = 0;
   std::size_t Busy = 0;
   std::size_t Startable = 0;
-  for (const auto &[Id, Server] : Book.servers()) {
+  for (const auto &[Id, Server] : Registry.servers()) {
     if (Server.Facts_.Service_ != Job.Policy_.Service_)
       continue;
     if (!Server.Facts_.hasLabel(Spec.Label_)) {
       ++Unlabelled;
       continue;
     }
-    const LiveServer *Live = Board.find(Id);
+    const LiveServer *Live = LiveServers.find(Id);
     const RemainingCapacity Remaining =
         RemainingCapacity::compute(Server, Loads_);
     const bool IsUnavailable =
         !Live || !Live->isInService() || Live->NoStartsUntil_ > Now ||
         Health_.getHealthState(Id, Now) != HealthState::Healthy;
-    if (Book.isEvacuated(Server.Facts_))
+    if (Registry.isEvacuated(Server.Facts_))
       ++Evacuated;
     else if (IsUnavailable)
       ++Unavailable;
--- a/src/jobs/Dispatcher.h
+++ b/src/jobs/Dispatcher.h
@@ -43,8 +43,8 @@
   void reset();
   /// Returns the starts for the server. Their tasks are not planned again until
   /// releaseProposed is called.
-  std::vector<TaskStart> plan(const JobRegistry &Book,
-                              const LiveServerTable &Board,
+  std::vector<TaskStart> plan(const JobRegistry &Registry,
+                              const LiveServerTable &LiveServers,
                               const std::string &ServerId, TimePoint Now,
                               WallTime Wall);
   /// Called once the starts were applied or refused; their tasks may be planned
@@ -52,7 +52,7 @@
   void releaseProposed(const std::vector<TaskStart> &Starts);
   /// Updates what depends on all servers and all waiting steps; called
   /// periodically.
-  void survey(const JobRegistry &Book, const LiveServerTable &Board,
+  void survey(const JobRegistry &Registry, const LiveServerTable &LiveServers,
               TimePoint Now);
   /// Returns whether a filling task that is slowed down, as it would lengthen
   /// tails, is to be stopped so that it continues on another server; claims the
@@ -62,21 +62,23 @@
   }
   /// Returns the starts of one whole gang that can be placed now, over several
   /// servers.
-  std::vector<TaskStart> planGang(const JobRegistry &Book,
-                                  const LiveServerTable &Board, TimePoint Now);
+  std::vector<TaskStart> planGang(const JobRegistry &Registry,
+                                  const LiveServerTable &LiveServers,
+                                  TimePoint Now);
   /// Records that a run of the task failed on the server: its next run starts
   /// on another one, if possible.
   void recordFailure(const TaskKey &Task, const std::string &ServerId,
                      TimePoint Now);
   /// Removes the entries of steps that are no longer ready and of tasks that
   /// are done.
-  void prune(const JobRegistry &Book);
+  void prune(const JobRegistry &Registry);
 
   // Queries.
 
   /// Returns why the step's tasks do not start: the number of servers for each
   /// reason.
-  std::string explainWait(const JobRegistry &Book, const LiveServerTable &Board,
+  std::string explainWait(const JobRegistry &Registry,
+                          const LiveServerTable &LiveServers,
                           const ReadyStep &Step, TimePoint Now) const;
 
 private:
@@ -99,8 +101,8 @@
     std::vector<std::int64_t> RejectedCpus_;
   };
 
-  std::optional<TaskStart> planIsolated(const JobRegistry &Book,
-                                        const LiveServerTable &Board,
+  std::optional<TaskStart> planIsolated(const JobRegistry &Registry,
+                                        const LiveServerTable &LiveServers,
                                         const ServerRecord &Server,
                                         TimePoint Now);
   bool isFull(const ServerPlan &Plan) const;
@@ -108,10 +110,10 @@
   /// Returns whether the step needs no advice or has a ticket for the server.
   bool isAdvised(const JobRecord &Job, const TaskKey &Task,
                  const std::string &ServerId, TimePoint Now) const;
-  void planCopies(const JobRegistry &Book, ServerPlan &Plan);
+  void planCopies(const JobRegistry &Registry, ServerPlan &Plan);
   bool isKnownRejected(const Candidate &Step, const ServerPlan &Plan) const;
   static void recordRejection(const Candidate &Step, ServerPlan &Plan);
-  void planStep(const JobRegistry &Book, const Candidate &Entry,
+  void planStep(const JobRegistry &Registry, const Candidate &Entry,
                 ServerPlan &Plan);
   bool hasCapacity(const StepSpec &Step, const ServerPlan &Plan,
                    Duration Waited) const;
--- a/src/jobs/GangPlanner.cpp
+++ b/src/jobs/GangPlanner.cpp
@@ -10,10 +10,10 @@
 using Servers = std::vector<const ServerRecord *>;
 
 /// Fills one server after the other; returns nothing if not all tasks fit.
-static std::vector<TaskStart> placeInOrder(const JobRegistry &Book,
+static std::vector<TaskStart> placeInOrder(const JobRegistry &Registry,
                                            const ReadyStep &Ready,
                                            const Servers &Candidates) {
-  const JobRecord &Job = *Book.findJob(Ready.Job_);
+  const JobRecord &Job = *Registry.findJob(Ready.Job_);
   const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
   const StepRecord &Record =
       Job.findOccurrence(Ready.Occurrence_)->Steps_[Ready.Step_];
@@ -32,7 +32,7 @@
       const bool IsCrowded =
           Step.SpreadLimit_ > 0 && TasksHere >= Step.SpreadLimit_;
       if (IsCrowded || !Step.getReserved().fitsIn(Free) ||
-          !Book.findRejectionReason(Start).empty())
+          !Registry.findRejectionReason(Start).empty())
         break;
       Free = Free - Step.getReserved();
       ++TasksHere;
@@ -45,12 +45,12 @@
 }
 
 std::vector<TaskStart> jobs::planGangStarts(
-    const JobRegistry &Book, const ReadyStep &Ready, bool MaySpread,
+    const JobRegistry &Registry, const ReadyStep &Ready, bool MaySpread,
     const std::function<bool(const ServerRecord &Server)> &MayUse) {
-  const JobRecord &Job = *Book.findJob(Ready.Job_);
+  const JobRecord &Job = *Registry.findJob(Ready.Job_);
   const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
   std::map<std::string, Servers> Racks;
-  for (const auto &[Id, Server] : Book.servers())
+  for (const auto &[Id, Server] : Registry.servers())
     if (Server.Facts_.Service_ == Job.Policy_.Service_ && MayUse(Server))
       Racks[Server.Facts_.Rack_].push_back(&Server);
   std::vector<const std::string *> Order;
@@ -61,12 +61,13 @@
       Order.begin(), Order.end(),
       [&Step](const std::string *Rack) { return *Rack == Step.DataRack_; });
   for (const std::string *Rack : Order)
-    if (auto Starts = placeInOrder(Book, Ready, Racks[*Rack]); !Starts.empty())
+    if (auto Starts = placeInOrder(Registry, Ready, Racks[*Rack]);
+        !Starts.empty())
       return Starts;
   if (Step.SameRack_ && !MaySpread)
     return {};
   Servers All;
   for (const std::string *Rack : Order)
     All.insert(All.end(), Racks[*Rack].begin(), Racks[*Rack].end());
-  return placeInOrder(Book, Ready, All);
+  return placeInOrder(Registry, Ready, All);
 }
--- a/src/jobs/GangPlanner.h
+++ b/src/jobs/GangPlanner.h
@@ -15,7 +15,8 @@
 /// all of them fit are preferred, the data's rack first; a step that has to
 /// stay on one rack gets several racks only if MaySpread. Pure.
 std::vector<TaskStart>
-planGangStarts(const JobRegistry &Book, const ReadyStep &Ready, bool MaySpread,
+planGangStarts(const JobRegistry &Registry, const ReadyStep &Ready,
+               bool MaySpread,
                const std::function<bool(const ServerRecord &Server)> &MayUse);
 
 } // namespace tulipweir::jobs
--- a/src/jobs/IsolationPlanner.cpp
+++ b/src/jobs/IsolationPlanner.cpp
@@ -55,17 +55,17 @@
   return Exempt != ExemptRuns_.end() && Exempt->second == Run;
 }
 
-void IsolationPlanner::prune(const JobRegistry &Book) {
-  std::erase_if(WaitingSince_, [&Book](const auto &Entry) {
-    const TaskRecord *Task = Book.findTask(Entry.first);
+void IsolationPlanner::prune(const JobRegistry &Registry) {
+  std::erase_if(WaitingSince_, [&Registry](const auto &Entry) {
+    const TaskRecord *Task = Registry.findTask(Entry.first);
     return !Task || Task->State_ != TaskState::Waiting ||
-           Book.crashSuspects().count(Entry.first) == 0;
+           Registry.crashSuspects().count(Entry.first) == 0;
   });
-  std::erase_if(ExemptRuns_, [&Book](const auto &Entry) {
-    return Book.crashSuspects().count(Entry.first) == 0;
+  std::erase_if(ExemptRuns_, [&Registry](const auto &Entry) {
+    return Registry.crashSuspects().count(Entry.first) == 0;
   });
-  std::erase_if(Reservations_, [&Book](const auto &Entry) {
-    const TaskRecord *Task = Book.findTask(Entry.second.Task_);
+  std::erase_if(Reservations_, [&Registry](const auto &Entry) {
+    const TaskRecord *Task = Registry.findTask(Entry.second.Task_);
     return !Task || Task->State_ != TaskState::Waiting;
   });
 }
@@ -78,30 +78,30 @@
          (!Live || Live->getObservedTime(Key, Run) < Needed);
 }
 
-bool IsolationPlanner::isClosed(const JobRegistry &Book,
-                                const LiveServerTable &Board,
+bool IsolationPlanner::isClosed(const JobRegistry &Registry,
+                                const LiveServerTable &LiveServers,
                                 const ServerRecord &Server,
                                 TimePoint Now) const {
   const auto It = Reservations_.find(Server.Facts_.Id_);
   if (It != Reservations_.end() && Now < It->second.Until_)
     return true;
-  if (Book.crashSuspects().empty())
+  if (Registry.crashSuspects().empty())
     return false;
-  const LiveServer *Live = Board.find(Server.Facts_.Id_);
+  const LiveServer *Live = LiveServers.find(Server.Facts_.Id_);
   return std::any_of(
       Server.Placed_.begin(), Server.Placed_.end(), [&](const auto &Entry) {
-        if (Book.crashSuspects().count(Entry.first) == 0)
+        if (Registry.crashSuspects().count(Entry.first) == 0)
           return false;
-        const TaskRecord &Task = *Book.findTask(Entry.first);
+        const TaskRecord &Task = *Registry.findTask(Entry.first);
         return isIsolating(Entry.first, Task) &&
                mayStillCrash(Task, Live, Entry.first, Entry.second);
       });
 }
 
-/// Returns whether every run on the server has been seen for SettledAfterMs.
-bool IsolationPlanner::isSettled(const LiveServerTable &Board,
+/// Returns whether every run on the server has been seen for SettledAgeMs.
+bool IsolationPlanner::isSettled(const LiveServerTable &LiveServers,
                                  const ServerRecord &Server) {
-  const LiveServer *Live = Board.find(Server.Facts_.Id_);
+  const LiveServer *Live = LiveServers.find(Server.Facts_.Id_);
   return std::all_of(
       Server.Placed_.begin(), Server.Placed_.end(), [Live](const auto &Entry) {
         return Live && Live->getObservedTime(Entry.first, Entry.second) >=
@@ -110,32 +110,33 @@
 }
 
 /// Returns how many servers may be reserved for suspected tasks at a time.
-static std::size_t getMaxIsolated(const JobRegistry &Book) {
-  return 1 + Book.servers().size() / ServersPerIsolation;
+static std::size_t getMaxIsolated(const JobRegistry &Registry) {
+  return 1 + Registry.servers().size() / ServersPerIsolation;
 }
 
-void IsolationPlanner::refresh(const JobRegistry &Book,
-                               const LiveServerTable &Board, TimePoint Now) {
+void IsolationPlanner::refresh(const JobRegistry &Registry,
+                               const LiveServerTable &LiveServers,
+                               TimePoint Now) {
   if (Now - RefreshedAt_ < RefreshInterval)
     return;
   RefreshedAt_ = Now;
   // The server may be gone, or may no longer suit the task.
   std::erase_if(Reservations_, [&](const auto &Entry) {
-    return !Board.find(Entry.first) ||
+    return !LiveServers.find(Entry.first) ||
            Now - Entry.second.Until_ >= MaxReportDelay;
   });
   std::size_t FirstSuspects = 0;
   std::size_t UnprovedRuns = 0;
   std::vector<std::tuple<std::uint64_t, std::uint64_t, TaskKey>> Order;
-  for (const auto &[Key, Servers] : Book.crashSuspects()) {
-    const JobRecord &Job = *Book.findJob(Key.Job_);
+  for (const auto &[Key, Servers] : Registry.crashSuspects()) {
+    const JobRecord &Job = *Registry.findJob(Key.Job_);
     const TaskRecord &Task = *Job.findTask(Key);
     if (!needsIsolation(Task.Crashes_))
       continue;
     std::size_t Unproved = 0;
     for (const Placement &Placed : Task.Placements_)
-      Unproved +=
-          mayStillCrash(Task, Board.find(Placed.Server_), Key, Placed.Run_);
+      Unproved += mayStillCrash(Task, LiveServers.find(Placed.Server_), Key,
+                                Placed.Run_);
     const bool IsWaiting =
         Task.State_ == TaskState::Waiting && !Job.Spec_.Steps_[Key.Step_].Gang_;
     if (IsWaiting)
@@ -148,30 +149,32 @@
     if (Task.Crashes_.size() == 1)
       FirstSuspects += Unproved + (IsWaiting ? 1 : 0);
   }
-  HasTooManyFirstSuspects_ = FirstSuspects > getMaxIsolated(Book);
+  HasTooManyFirstSuspects_ = FirstSuspects > getMaxIsolated(Registry);
   UnprovedRuns_ = HasTooManyFirstSuspects_ ? 0 : UnprovedRuns;
   std::sort(Order.begin(), Order.end());
   Waiting_.clear();
   for (const auto &[Priority, DueMs, Key] : Order) {
-    const TaskRecord &Task = *Book.findTask(Key);
+    const TaskRecord &Task = *Registry.findTask(Key);
     const Duration Waited =
         Now - WaitingSince_.try_emplace(Key, Now).first->second;
     const std::size_t Crashes = Task.Crashes_.size();
-    if (Book.findStep(Key)->LongRunning_ && Crashes < MaxIsolationWait.size() &&
+    if (Registry.findStep(Key)->LongRunning_ &&
+        Crashes < MaxIsolationWait.size() &&
         Waited >= MaxIsolationWait.at(Crashes))
       ExemptRuns_[Key] = Task.LastRun_ + 1;
     if (isIsolating(Key, Task))
       Waiting_.push_back(Key);
   }
   if (!Waiting_.empty())
-    refreshStable(Book, Board);
+    refreshStable(Registry, LiveServers);
 }
 
-void IsolationPlanner::refreshStable(const JobRegistry &Book,
-                                     const LiveServerTable &Board) {
+void IsolationPlanner::refreshStable(const JobRegistry &Registry,
+                                     const LiveServerTable &LiveServers) {
   StableServices_.clear();
-  for (const auto &[Id, Server] : Book.servers())
-    if (Board.acceptsStarts(Book, Server) && Board.isStable(Server))
+  for (const auto &[Id, Server] : Registry.servers())
+    if (LiveServers.acceptsStarts(Registry, Server) &&
+        LiveServers.isStable(Server))
       StableServices_.insert(Server.Facts_.Service_);
 }
 
@@ -185,7 +188,7 @@
 
 bool IsolationPlanner::isSuitable(const TaskKey &Task,
                                   const CrashRecords &Crashes,
-                                  const LiveServerTable &Board,
+                                  const LiveServerTable &LiveServers,
                                   const ServerRecord &Server,
                                   TimePoint Now) const {
   const auto Since = WaitingSince_.find(Task);
@@ -196,25 +199,24 @@
   const bool HasStable = StableServices_.count(Server.Facts_.Service_) != 0;
   if (Waited >= MaxStableServerWait || !HasStable)
     return true;
-  if (!Board.isStable(Server) || hasCrashedAt(Crashes, Server.Facts_.Address_))
+  if (!LiveServers.isStable(Server) ||
+      hasCrashedAt(Crashes, Server.Facts_.Address_))
     return false;
   return Crashes.size() == 1 || Server.Serving_.empty() ||
          Waited >= MaxEmptyServerWait;
 }
 
-std::optional<TaskStart> IsolationPlanner::plan(const JobRegistry &Book,
-                                                const LiveServerTable &Board,
-                                                const ServerRecord &Server,
-                                                TimePoint Now,
-                                                const MayRun &May) {
-  if (Book.crashSuspects().empty())
+std::optional<TaskStart> IsolationPlanner::plan(
+    const JobRegistry &Registry, const LiveServerTable &LiveServers,
+    const ServerRecord &Server, TimePoint Now, const MayRun &May) {
+  if (Registry.crashSuspects().empty())
     return std::nullopt;
-  refresh(Book, Board, Now);
+  refresh(Registry, LiveServers, Now);
   const std::string &Id = Server.Facts_.Id_;
-  const StartContext Context{Book, Board, Server, Now, May};
+  const StartContext Context{Registry, LiveServers, Server, Now, May};
   if (Reservations_.count(Id) != 0)
     return planReserved(Context);
-  if (UnprovedRuns_ + Reservations_.size() >= getMaxIsolated(Book))
+  if (UnprovedRuns_ + Reservations_.size() >= getMaxIsolated(Registry))
     return std::nullopt;
   const std::size_t Count = std::min(Waiting_.size(), MaxConsidered);
   for (std::size_t I = 0; I < Count; ++I) {
@@ -224,8 +226,8 @@
       continue;
     // After a first crash the cause need not be proved, so other runs need not
     // have settled.
-    const bool IsFirst = Book.findTask(Key)->Crashes_.size() == 1;
-    if (IsFirst || isSettled(Board, Server)) {
+    const bool IsFirst = Registry.findTask(Key)->Crashes_.size() == 1;
+    if (IsFirst || isSettled(LiveServers, Server)) {
       ++UnprovedRuns_;
       return Start;
     }
@@ -249,7 +251,7 @@
   std::optional<TaskStart> Start =
       IsListed ? findStart(Context, It->second.Task_) : std::nullopt;
   const bool IsOver = Context.Now_ >= It->second.Until_;
-  if (Start && !IsOver && !isSettled(Context.Board_, Context.Server_))
+  if (Start && !IsOver && !isSettled(Context.LiveServers_, Context.Server_))
     return std::nullopt;
   Reservations_.erase(It);
   UnprovedRuns_ += Start ? 1 : 0;
@@ -260,16 +262,16 @@
 std::optional<TaskStart>
 IsolationPlanner::findStart(const StartContext &Context,
                             const TaskKey &Key) const {
-  const TaskRecord *Task = Context.Book_.findTask(Key);
+  const TaskRecord *Task = Context.Registry_.findTask(Key);
   const std::string &Id = Context.Server_.Facts_.Id_;
   if (!Task || Task->State_ != TaskState::Waiting ||
       isReservedElsewhere(Key, Id) ||
-      !isSuitable(Key, Task->Crashes_, Context.Board_, Context.Server_,
+      !isSuitable(Key, Task->Crashes_, Context.LiveServers_, Context.Server_,
                   Context.Now_))
     return std::nullopt;
   TaskStart Start{Key, Task->LastRun_ + 1, Id};
-  if (!Context.MayRun_(*Context.Book_.findJob(Key.Job_), Key) ||
-      !Context.Book_.findRejectionReason(Start).empty())
+  if (!Context.MayRun_(*Context.Registry_.findJob(Key.Job_), Key) ||
+      !Context.Registry_.findRejectionReason(Start).empty())
     return std::nullopt;
   return Start;
 }
--- a/src/jobs/IsolationPlanner.h
+++ b/src/jobs/IsolationPlanner.h
@@ -32,12 +32,12 @@
   void reset();
   /// Returns the suspected task that the server starts now, if any. May tells
   /// whether other conditions allow the task's start there.
-  std::optional<TaskStart> plan(const JobRegistry &Book,
-                                const LiveServerTable &Board,
+  std::optional<TaskStart> plan(const JobRegistry &Registry,
+                                const LiveServerTable &LiveServers,
                                 const ServerRecord &Server, TimePoint Now,
                                 const MayRun &May);
   /// Removes the entries of tasks that no longer wait.
-  void prune(const JobRegistry &Book);
+  void prune(const JobRegistry &Registry);
 
   // Queries.
 
@@ -49,7 +49,7 @@
 
   /// Returns whether nothing else may start on the server, as a suspected run
   /// there is not proved yet or is about to start.
-  bool isClosed(const JobRegistry &Book, const LiveServerTable &Board,
+  bool isClosed(const JobRegistry &Registry, const LiveServerTable &LiveServers,
                 const ServerRecord &Server, TimePoint Now) const;
 
 private:
@@ -61,8 +61,8 @@
   bool isExempt(const TaskKey &Key, const TaskRecord &Task) const;
   /// The server that reports, and the inputs that a start there depends on.
   struct StartContext {
-    const JobRegistry &Book_;
-    const LiveServerTable &Board_;
+    const JobRegistry &Registry_;
+    const LiveServerTable &LiveServers_;
     const ServerRecord &Server_;
     TimePoint Now_;
     const MayRun &MayRun_;
@@ -70,14 +70,15 @@
   std::optional<TaskStart> planReserved(const StartContext &Context);
   std::optional<TaskStart> findStart(const StartContext &Context,
                                      const TaskKey &Key) const;
-  void refresh(const JobRegistry &Book, const LiveServerTable &Board,
+  void refresh(const JobRegistry &Registry, const LiveServerTable &LiveServers,
                TimePoint Now);
-  void refreshStable(const JobRegistry &Book, const LiveServerTable &Board);
+  void refreshStable(const JobRegistry &Registry,
+                     const LiveServerTable &LiveServers);
   bool isReservedElsewhere(const TaskKey &Task, const std::string &Id) const;
   bool isSuitable(const TaskKey &Task, const CrashRecords &Crashes,
-                  const LiveServerTable &Board, const ServerRecord &Server,
-                  TimePoint Now) const;
-  static bool isSettled(const LiveServerTable &Board,
+                  const LiveServerTable &LiveServers,
+                  const ServerRecord &Server, TimePoint Now) const;
+  static bool isSettled(const LiveServerTable &LiveServers,
                         const ServerRecord &Server);
 
   // State as of the last refresh, at RefreshedAt_.
--- a/src/jobs/JobLeader.cpp
+++ b/src/jobs/JobLeader.cpp
@@ -69,12 +69,12 @@
   AcceptedAt_.clear();
   StartedJobs_.clear();
   LoggedWaitReasons_.clear();
-  Machine_.read([&](const JobRegistry &Book) {
+  Machine_.read([&](const JobRegistry &Registry) {
     // The previous leader sent its last answer before this leader's election,
     // so the longest lease from now on covers it.
-    LiveServers_.reset(Book, Now, getMaxLease());
-    PendingStops_.reset(Book, Now);
-    for (const auto &[Id, Job] : Book.jobs())
+    LiveServers_.reset(Registry, Now, getMaxLease());
+    PendingStops_.reset(Registry, Now);
+    for (const auto &[Id, Job] : Registry.jobs())
       if (isEnded(Job.State_))
         EndedAt_[Id] = Now;
     return 0;
@@ -150,8 +150,8 @@
   if (Now < NextLoadPrune_)
     return;
   NextLoadPrune_ = Now + PruneInterval;
-  Machine_.read([this](const JobRegistry &Book) {
-    Loads_.prune(Book);
+  Machine_.read([this](const JobRegistry &Registry) {
+    Loads_.prune(Registry);
     return 0;
   });
 }
@@ -179,16 +179,16 @@
   if (Now < NextWaitLog_)
     return;
   NextWaitLog_ = Now + WaitLogInterval;
-  Machine_.read([&](const JobRegistry &Book) {
-    std::erase_if(LoggedWaitReasons_, [&Book](const auto &Entry) {
-      return Book.readySteps().count(Entry.first) == 0;
+  Machine_.read([&](const JobRegistry &Registry) {
+    std::erase_if(LoggedWaitReasons_, [&Registry](const auto &Entry) {
+      return Registry.readySteps().count(Entry.first) == 0;
     });
     std::size_t Examined = 0;
-    for (const ReadyStep &Step : Book.readySteps()) {
+    for (const ReadyStep &Step : Registry.readySteps()) {
       if (++Examined > MaxLoggedWaits)
         break;
       std::string Reason =
-          Dispatcher_.explainWait(Book, LiveServers_, Step, Now);
+          Dispatcher_.explainWait(Registry, LiveServers_, Step, Now);
       const auto [It, IsNew] = LoggedWaitReasons_.try_emplace(Step);
       // A step that has just become ready usually starts with the next report.
       if (IsNew || It->second == Reason)
@@ -266,9 +266,9 @@
        std::chrono::duration_cast<WallTime>(Settings_.EarliestStart_))
           .count());
   std::vector<OpenOccurrence> Due;
-  Machine_.read([&](const JobRegistry &Book) {
-    for (const std::string &Id : Book.timedJobs()) {
-      const JobRecord &Job = *Book.findJob(Id);
+  Machine_.read([&](const JobRegistry &Registry) {
+    for (const std::string &Id : Registry.timedJobs()) {
+      const JobRecord &Job = *Registry.findJob(Id);
       const std::uint64_t At =
           Job.Spec_.FirstDueMs_ + Job.OpenedCount_ * Job.Spec_.IntervalMs_;
       if (At <= Wall)
@@ -282,14 +282,15 @@
 }
 
 void JobLeader::Impl::startGang() {
-  std::vector<TaskStart> Starts = Machine_.read([&](const JobRegistry &Book) {
-    if (Time_.now() >= NextPlannerPrune_) {
-      NextPlannerPrune_ = Time_.now() + PruneInterval;
-      Dispatcher_.prune(Book);
-    }
-    Dispatcher_.survey(Book, LiveServers_, Time_.now());
-    return Dispatcher_.planGang(Book, LiveServers_, Time_.now());
-  });
+  std::vector<TaskStart> Starts =
+      Machine_.read([&](const JobRegistry &Registry) {
+        if (Time_.now() >= NextPlannerPrune_) {
+          NextPlannerPrune_ = Time_.now() + PruneInterval;
+          Dispatcher_.prune(Registry);
+        }
+        Dispatcher_.survey(Registry, LiveServers_, Time_.now());
+        return Dispatcher_.planGang(Registry, LiveServers_, Time_.now());
+      });
   if (Starts.empty())
     return;
   propose(StartTasks{Starts}, [this, Starts](const Outcome<CommandResult> &) {
--- a/src/jobs/JobLeaderAdvice.cpp
+++ b/src/jobs/JobLeaderAdvice.cpp
@@ -16,14 +16,14 @@
   if (!Advisor_.isAvailable() || IsAdvicePending_ || Now < NextAdviceRequest_)
     return;
   const std::optional<AdviceRequest> Question =
-      Machine_.read([&](const JobRegistry &Book) {
+      Machine_.read([&](const JobRegistry &Registry) {
         const auto IsUsable = [&](const std::string &Id) {
-          const ServerRecord *Server = Book.findServer(Id);
-          return Server && LiveServers_.acceptsStarts(Book, *Server) &&
+          const ServerRecord *Server = Registry.findServer(Id);
+          return Server && LiveServers_.acceptsStarts(Registry, *Server) &&
                  Health_.getHealthState(Id, Now) == HealthState::Healthy;
         };
-        Advice_.prune(Book);
-        return Advice_.findNextRequest(Book, IsUsable, Now);
+        Advice_.prune(Registry);
+        return Advice_.findNextRequest(Registry, IsUsable, Now);
       });
   if (!Question)
     return;
--- a/src/jobs/JobLeaderCalls.cpp
+++ b/src/jobs/JobLeaderCalls.cpp
@@ -24,10 +24,10 @@
 /// Returns the queue that a call is addressed to, and sets Id to the rest of
 /// the path, which is the job's id. Sets the reply's outcome if there is no
 /// queue.
-static const QueuePolicy *findQueue(const JobRegistry &Book,
+static const QueuePolicy *findQueue(const JobRegistry &Registry,
                                     const JobCall &Call, JobCallReply &Reply,
                                     std::string &Id) {
-  const Configuration &Current = Book.configuration();
+  const Configuration &Current = Registry.configuration();
   const QueuePolicy *Queue = Current.findQueue(Call.Host_, Call.Path_);
   if (Queue)
     Id = Call.Path_.substr(Queue->PathPrefix_.size());
@@ -41,8 +41,9 @@
   JobCallReply Result;
   SubmitJob Command;
   bool NeedsAdvice = false;
-  const bool HasQueue = Machine_.read([&](const JobRegistry &Book) {
-    const QueuePolicy *Queue = findQueue(Book, Call, Result, Call.Spec_.Id_);
+  const bool HasQueue = Machine_.read([&](const JobRegistry &Registry) {
+    const QueuePolicy *Queue =
+        findQueue(Registry, Call, Result, Call.Spec_.Id_);
     if (!Queue)
       return false;
     Command.Host_ = Queue->Host_;
@@ -106,18 +107,18 @@
 
 void JobLeader::Impl::show(const JobCall &Call,
                            const Done<JobCallReply> &Reply) const {
-  Reply(Machine_.read([&](const JobRegistry &Book) {
+  Reply(Machine_.read([&](const JobRegistry &Registry) {
     JobCallReply Result;
     std::string Id;
-    const QueuePolicy *Queue = findQueue(Book, Call, Result, Id);
+    const QueuePolicy *Queue = findQueue(Registry, Call, Result, Id);
     if (!Queue)
       return Result;
     if (Id.empty()) {
       Result.IsCount_ = true;
-      Result.Pending_ = Book.countPending(Queue->getKey());
+      Result.Pending_ = Registry.countPending(Queue->getKey());
       return Result;
     }
-    const JobRecord *Job = Book.findJob(Id);
+    const JobRecord *Job = Registry.findJob(Id);
     if (Job)
       Result.State_ = Job->State_;
     else
@@ -130,8 +131,8 @@
                              const Done<JobCallReply> &Reply) {
   JobCallReply Result;
   std::string Id;
-  const bool HasQueue = Machine_.read([&](const JobRegistry &Book) {
-    return findQueue(Book, Call, Result, Id) != nullptr;
+  const bool HasQueue = Machine_.read([&](const JobRegistry &Registry) {
+    return findQueue(Registry, Call, Result, Id) != nullptr;
   });
   if (!HasQueue)
     return Reply(Result);
--- a/src/jobs/JobLeaderCrashes.cpp
+++ b/src/jobs/JobLeaderCrashes.cpp
@@ -17,9 +17,9 @@
 std::vector<JobLeader::Impl::LostRun>
 JobLeader::Impl::listLostRuns(const std::string &Server) const {
   const LiveServer *Live = LiveServers_.find(Server);
-  return Machine_.read([&](const JobRegistry &Book) {
+  return Machine_.read([&](const JobRegistry &Registry) {
     std::vector<LostRun> Lost;
-    if (const ServerRecord *Record = Book.findServer(Server))
+    if (const ServerRecord *Record = Registry.findServer(Server))
       for (const auto &[Task, Run] : Record->Placed_)
         Lost.push_back(
             {Task, Run, Live ? Live->getObservedTime(Task, Run) : Duration(0)});
@@ -39,8 +39,8 @@
   Crash.IsCrash_ = true;
   Crash.IsConfirmed_ = How == Departure::Replaced;
   Crash.IsCorrelated_ = Crashes_.isCorrelated(LiveServers_, Server, Now);
-  Crash.IsStable_ = Machine_.read([&](const JobRegistry &Book) {
-    const ServerRecord *Record = Book.findServer(Server);
+  Crash.IsStable_ = Machine_.read([&](const JobRegistry &Registry) {
+    const ServerRecord *Record = Registry.findServer(Server);
     return Record && LiveServers_.isStable(*Record);
   });
   for (const LostRun &Run : Lost)
@@ -54,9 +54,9 @@
                                   TimePoint LastHeard,
                                   const std::vector<LostRun> &Lost) {
   std::vector<Event> Lines;
-  Machine_.read([&](const JobRegistry &Book) {
+  Machine_.read([&](const JobRegistry &Registry) {
     for (const LostRun &Run : Lost) {
-      const TaskRecord *Task = Book.findTask(Run.Task_);
+      const TaskRecord *Task = Registry.findTask(Run.Task_);
       const bool IsSuspected = Task && !Task->Crashes_.empty() &&
                                Task->Crashes_.back().Server_ == Server &&
                                needsIsolation(Task->Crashes_);
@@ -92,9 +92,9 @@
     return;
   NextProofCheck_ = Now + ProofCheckInterval;
   RecordSurvivingRuns Command;
-  Machine_.read([&](const JobRegistry &Book) {
-    for (const auto &[Key, Servers] : Book.crashSuspects()) {
-      const TaskRecord &Task = *Book.findTask(Key);
+  Machine_.read([&](const JobRegistry &Registry) {
+    for (const auto &[Key, Servers] : Registry.crashSuspects()) {
+      const TaskRecord &Task = *Registry.findTask(Key);
       for (const Placement &Placed : Task.Placements_) {
         const LiveServer *Live = LiveServers_.find(Placed.Server_);
         const std::uint64_t Seen =
@@ -127,8 +127,8 @@
   Line.Kind_ = EventKind::JobEnded;
   Line.Job_ = Id;
   FailureCause Cause = FailureCause::Unknown;
-  const JobState State = Machine_.read([&](const JobRegistry &Book) {
-    const JobRecord *Job = Book.findJob(Id);
+  const JobState State = Machine_.read([&](const JobRegistry &Registry) {
+    const JobRecord *Job = Registry.findJob(Id);
     if (!Job)
       return JobState::Queued;
     Line.Reason_ = Job->Reason_;
--- a/src/jobs/JobLeaderImpl.h
+++ b/src/jobs/JobLeaderImpl.h
@@ -178,18 +178,18 @@
   bool isStalled(const StepSpec &Step, const std::string &Server,
                  const RunProgress &Progress, TimePoint Now) const;
   /// Stopping lists the runs that the current answer stops.
-  bool shouldEvacuate(const JobRegistry &Book, const StepSpec &Step,
+  bool shouldEvacuate(const JobRegistry &Registry, const StepSpec &Step,
                       const LiveServer &Live, const ServerReport &Report,
                       const RunningTask &Running,
                       const std::map<TaskKey, std::uint64_t> &Stopping) const;
-  bool canSpare(const JobRegistry &Book, const StepSpec &Step,
+  bool canSpare(const JobRegistry &Registry, const StepSpec &Step,
                 const TaskKey &Task,
                 const std::map<TaskKey, std::uint64_t> &Stopping) const;
   bool shouldMove(const StepSpec &Step, const ServerRecord &Server,
                   const RunningTask &Running);
   /// At is the index of the run in Report.Running_.
   std::string_view
-  findStopReason(const JobRegistry &Book, const StepSpec &Step,
+  findStopReason(const JobRegistry &Registry, const StepSpec &Step,
                  const ServerRecord &Server, const LiveServer &Live,
                  const ServerReport &Report, std::size_t At,
                  const std::map<TaskKey, std::uint64_t> &Stopping);
--- a/src/jobs/JobLeaderOperators.cpp
+++ b/src/jobs/JobLeaderOperators.cpp
@@ -30,15 +30,15 @@
   if (!isLeading())
     return Reply(makeNotLeaderError());
   Reply(Machine_.read(
-      [](const JobRegistry &Book) { return Book.configuration(); }));
+      [](const JobRegistry &Registry) { return Registry.configuration(); }));
 }
 
 bool JobLeader::Impl::isDataCentre(const std::string &Name) const {
   const std::vector<std::string> &Named = Settings_.DataCentres_;
   if (std::find(Named.begin(), Named.end(), Name) != Named.end())
     return true;
-  return Machine_.read([&Name](const JobRegistry &Book) {
-    return std::any_of(Book.servers().begin(), Book.servers().end(),
+  return Machine_.read([&Name](const JobRegistry &Registry) {
+    return std::any_of(Registry.servers().begin(), Registry.servers().end(),
                        [&Name](const auto &Entry) {
                          return Entry.second.Facts_.DataCentre_ == Name;
                        });
@@ -49,8 +49,8 @@
                                const Done<void> &Reply) {
   if (!isLeading())
     return Reply(makeNotLeaderError());
-  const bool IsOpen = Machine_.read([&Order](const JobRegistry &Book) {
-    return Book.evacuated().count(Order.DataCentre_) != 0;
+  const bool IsOpen = Machine_.read([&Order](const JobRegistry &Registry) {
+    return Registry.evacuated().count(Order.DataCentre_) != 0;
   });
   // An evacuation can be ended even if the data centre is no longer known.
   if (!IsOpen && !isDataCentre(Order.DataCentre_))
@@ -74,9 +74,9 @@
   Line.Kind_ = EventKind::Evacuation;
   Line.Reason_ = Order.DataCentre_;
   Line.Outcome_ = !HasChanged ? "no change" : Order.IsStart_ ? "begun" : "over";
-  Line.Count_ = Machine_.read([&Order](const JobRegistry &Book) {
+  Line.Count_ = Machine_.read([&Order](const JobRegistry &Registry) {
     std::uint64_t Running = 0;
-    for (const auto &[Id, Server] : Book.servers())
+    for (const auto &[Id, Server] : Registry.servers())
       if (Server.Facts_.DataCentre_ == Order.DataCentre_)
         Running += Server.Placed_.size();
     return Running;
--- a/src/jobs/JobLeaderOrders.cpp
+++ b/src/jobs/JobLeaderOrders.cpp
@@ -45,7 +45,7 @@
 /// Whether so few other tasks of the step are unavailable that this one may be
 /// stopped too.
 bool JobLeader::Impl::canSpare(
-    const JobRegistry &Book, const StepSpec &Step, const TaskKey &Task,
+    const JobRegistry &Registry, const StepSpec &Step, const TaskKey &Task,
     const std::map<TaskKey, std::uint64_t> &Stopping) const {
   const auto IsAvailable = [&](const TaskKey &Other, const TaskRecord &Record) {
     for (const Placement &Placed : Record.Placements_) {
@@ -61,7 +61,7 @@
     }
     return false;
   };
-  const std::vector<TaskRecord> &Tasks = Book.findJob(Task.Job_)
+  const std::vector<TaskRecord> &Tasks = Registry.findJob(Task.Job_)
                                              ->findOccurrence(Task.Occurrence_)
                                              ->Steps_[Task.Step_]
                                              .Tasks_;
@@ -76,7 +76,7 @@
 /// Whether to stop the run and save its work now, as its server is about to
 /// leave.
 bool JobLeader::Impl::shouldEvacuate(
-    const JobRegistry &Book, const StepSpec &Step, const LiveServer &Live,
+    const JobRegistry &Registry, const StepSpec &Step, const LiveServer &Live,
     const ServerReport &Report, const RunningTask &Running,
     const std::map<TaskKey, std::uint64_t> &Stopping) const {
   if (Step.Gang_ || (!Report.IsDraining_ && !Live.IsEmptying_))
@@ -87,7 +87,7 @@
     const auto Sent = Live.StopsSent_.find(Running.Task_);
     const bool IsSent =
         Sent != Live.StopsSent_.end() && Sent->second == Running.Run_;
-    return IsSent || canSpare(Book, Step, Running.Task_, Stopping);
+    return IsSent || canSpare(Registry, Step, Running.Task_, Stopping);
   }
   if (Step.LongRunning_)
     return true;
@@ -114,10 +114,10 @@
 
 /// Returns the step of a run that is placed on the server and should continue
 /// there; nullptr for any other run.
-static const StepSpec *findWantedStep(const JobRegistry &Book,
+static const StepSpec *findWantedStep(const JobRegistry &Registry,
                                       const std::string &Server,
                                       const TaskKey &Task, std::uint64_t Run) {
-  const JobRecord *Job = Book.findJob(Task.Job_);
+  const JobRecord *Job = Registry.findJob(Task.Job_);
   if (!Job || isEnded(Job->State_))
     return nullptr;
   const TaskRecord *Record = Job->findTask(Task);
@@ -134,15 +134,16 @@
 /// Returns why a run that is placed on its server should be stopped; empty if
 /// it should continue.
 std::string_view JobLeader::Impl::findStopReason(
-    const JobRegistry &Book, const StepSpec &Step, const ServerRecord &Server,
-    const LiveServer &Live, const ServerReport &Report, std::size_t At,
+    const JobRegistry &Registry, const StepSpec &Step,
+    const ServerRecord &Server, const LiveServer &Live,
+    const ServerReport &Report, std::size_t At,
     const std::map<TaskKey, std::uint64_t> &Stopping) {
   const RunningTask &Running = Report.Running_[At];
   const bool IsSeen = At < Live.Progress_.size();
   if (IsSeen &&
       isStalled(Step, Report.Facts_.Id_, Live.Progress_[At], Time_.now()))
     return StallReason;
-  if (shouldEvacuate(Book, Step, Live, Report, Running, Stopping))
+  if (shouldEvacuate(Registry, Step, Live, Report, Running, Stopping))
     return "its server is draining or due for maintenance";
   if (shouldMove(Step, Server, Running))
     return "throttled to protect other tasks, and another server has room";
@@ -166,8 +167,8 @@
 }
 
 void JobLeader::Impl::requestStops(const std::string &Job) {
-  Machine_.read([&](const JobRegistry &Book) {
-    if (const JobRecord *Ended = Book.findJob(Job))
+  Machine_.read([&](const JobRegistry &Registry) {
+    if (const JobRecord *Ended = Registry.findJob(Job))
       PendingStops_.add(*Ended, Time_.now());
     return 0;
   });
@@ -180,8 +181,8 @@
   LiveServer *Live = LiveServers_.find(Id);
   std::map<TaskKey, std::uint64_t> StopsSent;
   std::vector<std::pair<RunningTask, std::string_view>> Stopped;
-  Machine_.read([&](const JobRegistry &Book) {
-    const ServerRecord &Server = *Book.findServer(Id);
+  Machine_.read([&](const JobRegistry &Registry) {
+    const ServerRecord &Server = *Registry.findServer(Id);
     const auto Stop = [&](const TaskKey &Task, std::uint64_t Run) {
       Orders.Stops_.push_back({Task, Run});
       StopsSent[Task] = Run;
@@ -192,14 +193,15 @@
     for (std::size_t At = 0; At < Report.Running_.size(); ++At) {
       const RunningTask &Running = Report.Running_[At];
       const StepSpec *Step =
-          findWantedStep(Book, Id, Running.Task_, Running.Run_);
+          findWantedStep(Registry, Id, Running.Task_, Running.Run_);
       Wanted += Step ? 1 : 0;
       AnyUnplaced = AnyUnplaced ||
                     (!Step && !Server.isPlaced(Running.Task_, Running.Run_));
-      if (const StepSpec *Known = Step ? Step : Book.findStep(Running.Task_))
+      if (const StepSpec *Known =
+              Step ? Step : Registry.findStep(Running.Task_))
         Available = Available - Known->getReserved();
       const std::string_view Reason =
-          Step ? findStopReason(Book, *Step, Server, *Live, Report, At,
+          Step ? findStopReason(Registry, *Step, Server, *Live, Report, At,
                                 StopsSent)
                : "the run is no longer needed";
       if (Reason.empty())
@@ -216,9 +218,9 @@
       return 0;
     // In an evacuated data centre a placed run that was never reported is not
     // started any more: the server is told to stop it, and it starts elsewhere.
-    const bool MayStart = !Book.isEvacuated(Server.Facts_);
+    const bool MayStart = !Registry.isEvacuated(Server.Facts_);
     for (const auto &[Task, Run] : listUnreported(Server, Report)) {
-      const StepSpec *Step = findWantedStep(Book, Id, Task, Run);
+      const StepSpec *Step = findWantedStep(Registry, Id, Task, Run);
       // The capacity may have shrunk since the task was placed.
       if (!MayStart || !Step || !Step->getReserved().fitsIn(Available)) {
         const auto Previous = Live->StopsSent_.find(Task);
@@ -235,8 +237,8 @@
       const std::string *Ticket = Advice_.findTicket(
           {Task.Job_, Task.Occurrence_, Task.Step_}, Id, Time_.now());
       Orders.Starts_.push_back(
-          {Task, Run, Book.findJob(Task.Job_)->Spec_.Payload_,
-           Book.findTask(Task)->Checkpoint_, Ticket ? *Ticket : ""});
+          {Task, Run, Registry.findJob(Task.Job_)->Spec_.Payload_,
+           Registry.findTask(Task)->Checkpoint_, Ticket ? *Ticket : ""});
     }
     return 0;
   });
--- a/src/jobs/JobLeaderReports.cpp
+++ b/src/jobs/JobLeaderReports.cpp
@@ -19,8 +19,8 @@
   if (!isLeading())
     return Reply(makeNotLeaderError());
   Leaving_.insert(ServerId);
-  const bool IsEmpty = Machine_.read([&ServerId](const JobRegistry &Book) {
-    const ServerRecord *Server = Book.findServer(ServerId);
+  const bool IsEmpty = Machine_.read([&ServerId](const JobRegistry &Registry) {
+    const ServerRecord *Server = Registry.findServer(ServerId);
     return !Server || Server->Placed_.empty();
   });
   // A relay may hold the final report. The ends in it must be recorded before
@@ -42,8 +42,8 @@
 }
 
 void JobLeader::Impl::observe(const ServerReport &Report) {
-  Machine_.read([&](const JobRegistry &Book) {
-    return Learner_.learn(Book, Report, Time_.now());
+  Machine_.read([&](const JobRegistry &Registry) {
+    return Learner_.learn(Registry, Report, Time_.now());
   });
 }
 
@@ -53,10 +53,10 @@
   // The ends in a late report of an ended incarnation count, but it gets no
   // orders.
   const std::string &Id = Report.Facts_.Id_;
-  const bool IsOver =
-      Leaving_.count(Id) != 0 || Machine_.read([&Id](const JobRegistry &Book) {
-        return !Book.findServer(Id) && Book.isOver(Id);
-      });
+  const bool IsOver = Leaving_.count(Id) != 0 ||
+                      Machine_.read([&Id](const JobRegistry &Registry) {
+                        return !Registry.findServer(Id) && Registry.isOver(Id);
+                      });
   if (IsOver)
     return recordLateEnds(Report, Reply);
   const auto Pending = std::make_shared<PendingReport>();
@@ -73,9 +73,9 @@
   if (!isLeading())
     return Reply(makeNotLeaderError());
   EndTasks Command{Report.Facts_.Id_, {}};
-  Machine_.read([&](const JobRegistry &Book) {
+  Machine_.read([&](const JobRegistry &Registry) {
     for (const EndedTask &Ended : Report.Ended_) {
-      const TaskRecord *Task = Book.findTask(Ended.End_.Task_);
+      const TaskRecord *Task = Registry.findTask(Ended.End_.Task_);
       const bool IsOpen = Task && Task->State_ != TaskState::Done;
       if (Ended.End_.Outcome_ == RunOutcome::Done && IsOpen)
         Command.Ends_.push_back(Ended.End_);
@@ -97,10 +97,10 @@
 
 /// Whether the report names a service that is not configured. A server whose
 /// service was removed from the configuration continues.
-static bool namesUnknownService(const JobRegistry &Book,
+static bool namesUnknownService(const JobRegistry &Registry,
                                 const ServerRecord *Known,
                                 const ServerFacts &Facts) {
-  const Configuration &Current = Book.configuration();
+  const Configuration &Current = Registry.configuration();
   const bool KeepsItsService =
       Known && Known->Facts_.Service_ == Facts.Service_;
   if (KeepsItsService || Current.Version_ == 0)
@@ -116,11 +116,11 @@
   const ServerFacts &Facts = Pending->Report_.Facts_;
   std::string Occupant;
   bool IsUnknownService = false;
-  const bool IsKnown = Machine_.read([&](const JobRegistry &Book) {
-    const ServerRecord *Known = Book.findServer(Facts.Id_);
+  const bool IsKnown = Machine_.read([&](const JobRegistry &Registry) {
+    const ServerRecord *Known = Registry.findServer(Facts.Id_);
     if (!Known)
-      Occupant = Book.findServerAt(Facts.Address_);
-    IsUnknownService = namesUnknownService(Book, Known, Facts);
+      Occupant = Registry.findServerAt(Facts.Address_);
+    IsUnknownService = namesUnknownService(Registry, Known, Facts);
     return Known && Known->Facts_ == Facts;
   });
   // An invalid report does not affect the lease of a registered server's runs.
@@ -196,12 +196,12 @@
 }
 
 /// Whether the end of a run on the server changes the replicated state.
-static bool changesState(const JobRegistry &Book, const ServerRecord &Server,
-                         const TaskEnd &End) {
+static bool changesState(const JobRegistry &Registry,
+                         const ServerRecord &Server, const TaskEnd &End) {
   const auto Placed = Server.Placed_.find(End.Task_);
   if (Placed != Server.Placed_.end() && Placed->second == End.Run_)
     return true;
-  const TaskRecord *Task = Book.findTask(End.Task_);
+  const TaskRecord *Task = Registry.findTask(End.Task_);
   return End.Outcome_ == RunOutcome::Done && Task &&
          Task->State_ != TaskState::Done;
 }
@@ -226,12 +226,12 @@
   }
   Setter_.updatePaces(Report);
   EndTasks Command{Id, {}};
-  Machine_.read([&](const JobRegistry &Book) {
-    const ServerRecord *Server = Book.findServer(Id);
+  Machine_.read([&](const JobRegistry &Registry) {
+    const ServerRecord *Server = Registry.findServer(Id);
     if (!Server)
       return 0;
     for (const EndedTask &Ended : Report.Ended_)
-      if (changesState(Book, *Server, Ended.End_)) {
+      if (changesState(Registry, *Server, Ended.End_)) {
         Command.Ends_.push_back(Ended.End_);
         Pending->FirstUncommittedEnd_ =
             std::min(Pending->FirstUncommittedEnd_, Ended.Number_);
@@ -267,10 +267,11 @@
 
 void JobLeader::Impl::startTasks(const PendingReportPtr &Pending) {
   const std::string &Id = Pending->Report_.Facts_.Id_;
-  std::vector<TaskStart> Starts = Machine_.read([&](const JobRegistry &Book) {
-    return Dispatcher_.plan(Book, LiveServers_, Id, Time_.now(),
-                            Time_.wallNow());
-  });
+  std::vector<TaskStart> Starts =
+      Machine_.read([&](const JobRegistry &Registry) {
+        return Dispatcher_.plan(Registry, LiveServers_, Id, Time_.now(),
+                                Time_.wallNow());
+      });
   if (Starts.empty())
     return answer(Pending);
   deferAnswer(Pending);
@@ -330,10 +331,10 @@
   const ServerReport &Report = Pending->Report_;
   const std::string &Id = Report.Facts_.Id_;
   const LiveServer *Live = LiveServers_.find(Id);
-  const bool IsKnown =
-      Live && !Live->IsRemoving_ && Machine_.read([&](const JobRegistry &Book) {
-        return Book.findServer(Id) != nullptr;
-      });
+  const bool IsKnown = Live && !Live->IsRemoving_ &&
+                       Machine_.read([&](const JobRegistry &Registry) {
+                         return Registry.findServer(Id) != nullptr;
+                       });
   if (!IsKnown)
     return reply(Pending,
                  fail(ErrorCode::Unavailable, "the server is being removed"));
--- a/src/jobs/JobLeaderTelemetry.cpp
+++ b/src/jobs/JobLeaderTelemetry.cpp
@@ -73,8 +73,9 @@
     if (End.Outcome_ != RunOutcome::Done || !Live)
       continue;
     const RunProgress *Seen = Live->findPreviousProgress(End.Task_);
-    const StepSpec *Step = Machine_.read(
-        [&End](const JobRegistry &Book) { return Book.findStep(End.Task_); });
+    const StepSpec *Step = Machine_.read([&End](const JobRegistry &Registry) {
+      return Registry.findStep(End.Task_);
+    });
     // A filling task runs only as fast as other tasks let it, so its run time
     // says nothing about the server.
     const bool IsTelling =
--- a/src/jobs/JobLeaderWaves.cpp
+++ b/src/jobs/JobLeaderWaves.cpp
@@ -26,8 +26,8 @@
                                const Done<WaveRecord> &Reply) const {
   if (!isLeading())
     return Reply(makeNotLeaderError());
-  Reply(Machine_.read([&](const JobRegistry &Book) -> Outcome<WaveRecord> {
-    if (const WaveRecord *Record = Book.waves().find(Wave))
+  Reply(Machine_.read([&](const JobRegistry &Registry) -> Outcome<WaveRecord> {
+    if (const WaveRecord *Record = Registry.waves().find(Wave))
       return *Record;
     return fail(ErrorCode::NotFound, "no such wave");
   }));
@@ -55,7 +55,7 @@
     return;
   refreshVms();
   const std::optional<MaintenanceOrder> Order = Machine_.read(
-      [&](const JobRegistry &Book) { return Waves_.plan(Book, Now); });
+      [&](const JobRegistry &Registry) { return Waves_.plan(Registry, Now); });
   for (const auto &[Id, Known] : LiveServers_.servers()) {
     LiveServer &Live = *LiveServers_.find(Id);
     Live.IsEmptying_ = Waves_.isDraining(Id);
@@ -78,8 +78,9 @@
 
 void JobLeader::Impl::refreshVms() {
   const TimePoint Now = Time_.now();
-  const bool IsDue = Machine_.read(
-      [&](const JobRegistry &Book) { return Waves_.isListDue(Book, Now); });
+  const bool IsDue = Machine_.read([&](const JobRegistry &Registry) {
+    return Waves_.isListDue(Registry, Now);
+  });
   if (!IsDue || IsListing_)
     return;
   IsListing_ = true;
@@ -111,8 +112,8 @@
   propose(RecordMaintenanceStart{Order.Wave_, Order.Vm_},
           [](const Outcome<CommandResult> &) {});
   const bool IsOver = Reply.value() == MaintenanceReply::Begun &&
-                      Machine_.read([&Order](const JobRegistry &Book) {
-                        return Book.findServer(Order.Server_) != nullptr;
+                      Machine_.read([&Order](const JobRegistry &Registry) {
+                        return Registry.findServer(Order.Server_) != nullptr;
                       });
   // The incarnation has ended: it runs no tasks and sends no reports.
   if (IsOver)
--- a/src/jobs/JobRegistrySnapshot.cpp
+++ b/src/jobs/JobRegistrySnapshot.cpp
@@ -70,7 +70,7 @@
         Registry.Incarnations_.isAfterCrash(Server.Facts_.Address_);
   Registry.Evacuated_ = {Snapshot.Evacuated_.begin(),
                          Snapshot.Evacuated_.end()};
-  Registry.Waves_ = WaveBook::makeFrom(std::move(Snapshot.Waves_));
+  Registry.Waves_ = WaveRegistry::makeFrom(std::move(Snapshot.Waves_));
   for (JobRecord &Job : Snapshot.Jobs_)
     Registry.Jobs_[Job.Spec_.Id_] = std::move(Job);
   Registry.rebuildIndexes();
--- a/src/jobs/LiveServerTable.cpp
+++ b/src/jobs/LiveServerTable.cpp
@@ -45,10 +45,10 @@
                                            : Duration(0);
 }
 
-void LiveServerTable::reset(const JobRegistry &Book, TimePoint Now,
+void LiveServerTable::reset(const JobRegistry &Registry, TimePoint Now,
                             Duration Lease) {
   Servers_.clear();
-  for (const auto &[Id, Server] : Book.servers())
+  for (const auto &[Id, Server] : Registry.servers())
     add(Id, Now, Now + Lease);
 }
 
@@ -123,14 +123,14 @@
   return Expired;
 }
 
-Resources LiveServerTable::sumUnplacedUsage(const JobRegistry &Book,
+Resources LiveServerTable::sumUnplacedUsage(const JobRegistry &Registry,
                                             const ServerRecord &Server) const {
   Resources Used;
   const LiveServer *Live = find(Server.Facts_.Id_);
   if (!Live || !Live->MayHaveUnplaced_)
     return Used;
   for (const RunningTask &Run : Live->Running_)
-    if (const StepSpec *Step = Book.findStep(Run.Task_);
+    if (const StepSpec *Step = Registry.findStep(Run.Task_);
         Step && !Server.isPlaced(Run.Task_, Run.Run_))
       Used = Used + Step->getReserved();
   return Used;
--- a/src/jobs/LiveServerTable.h
+++ b/src/jobs/LiveServerTable.h
@@ -82,7 +82,7 @@
 public:
   /// Restarts with all registered servers, as if each was heard now and has a
   /// lease until Now + Lease.
-  void reset(const JobRegistry &Book, TimePoint Now, Duration Lease);
+  void reset(const JobRegistry &Registry, TimePoint Now, Duration Lease);
 
   /// Records a report; returns false if a later one was recorded before. A new
   /// server counts as if it had a lease until Now + Lease: its registration may
@@ -98,15 +98,15 @@
   /// not proposed.
   std::vector<std::string> listExpired(TimePoint Now) const;
   /// Whether anything may be started on the server. All planners check this.
-  bool acceptsStarts(const JobRegistry &Book,
+  bool acceptsStarts(const JobRegistry &Registry,
                      const ServerRecord &Server) const {
     const LiveServer *Live = find(Server.Facts_.Id_);
-    return Live && Live->isInService() && !Book.isEvacuated(Server.Facts_);
+    return Live && Live->isInService() && !Registry.isEvacuated(Server.Facts_);
   }
   /// Returns the reserved resources of runs that are in progress on the server
   /// but not placed there in the replicated state, as far as their jobs are
   /// known.
-  Resources sumUnplacedUsage(const JobRegistry &Book,
+  Resources sumUnplacedUsage(const JobRegistry &Registry,
                              const ServerRecord &Server) const;
   /// Whether the previous incarnation did not crash, or this one has run for
   /// long enough since.
--- a/src/jobs/PaceSetter.cpp
+++ b/src/jobs/PaceSetter.cpp
@@ -21,8 +21,8 @@
 
 void PaceSetter::updatePaces(const ServerReport &Report) {
   const std::string &Id = Report.Facts_.Id_;
-  const ServerTails Tails = Machine_.read([&](const JobRegistry &Book) {
-    return Learner_.learn(Book, Report, Time_.now());
+  const ServerTails Tails = Machine_.read([&](const JobRegistry &Registry) {
+    return Learner_.learn(Registry, Report, Time_.now());
   });
   if (!Tails.HasServing_)
     return Paces_.forget(Id);
@@ -64,10 +64,10 @@
   std::map<TaskKey, PaceSent> Sent;
   if (Paces_.isAdjusting(Id, Now))
     Orders.NextReportMs_ = AdjustingReportMs;
-  Machine_.read([&](const JobRegistry &Book) {
+  Machine_.read([&](const JobRegistry &Registry) {
     const auto AddPace = [&](const TaskKey &Task, std::uint64_t Run,
                              std::optional<std::uint64_t> Used) {
-      const StepSpec *Step = Book.findStep(Task);
+      const StepSpec *Step = Registry.findStep(Task);
       if (!Step || !Step->Fills_)
         return;
       const std::uint64_t NewPace = Paces_.getPace(Id, Step->Image_);
--- a/src/jobs/PendingStops.cpp
+++ b/src/jobs/PendingStops.cpp
@@ -9,11 +9,11 @@
 /// The limit of a list, which bounds the size of a reply.
 static constexpr std::size_t MaxListed = 128;
 
-void PendingStops::reset(const JobRegistry &Book, TimePoint Now) {
+void PendingStops::reset(const JobRegistry &Registry, TimePoint Now) {
   Servers_.clear();
-  for (const auto &[Id, Server] : Book.servers())
+  for (const auto &[Id, Server] : Registry.servers())
     for (const auto &[Task, Run] : Server.Placed_) {
-      const JobRecord *Job = Book.findJob(Task.Job_);
+      const JobRecord *Job = Registry.findJob(Task.Job_);
       if (!Job || isEnded(Job->State_))
         Servers_.try_emplace(Id, PendingStop{Now});
     }
--- a/src/jobs/PendingStops.h
+++ b/src/jobs/PendingStops.h
@@ -24,7 +24,7 @@
   // Commands.
 
   /// Restarts with the placed runs of jobs that have ended.
-  void reset(const JobRegistry &Book, TimePoint Now);
+  void reset(const JobRegistry &Registry, TimePoint Now);
   /// Adds the servers that run tasks of an ended job.
   void add(const JobRecord &Job, TimePoint Now);
   /// Records an answer to a server. A server with stop orders stays pending, as
--- a/src/jobs/ReadyTimes.h
+++ b/src/jobs/ReadyTimes.h
@@ -28,9 +28,9 @@
     return Now - Since_.try_emplace(Step, Now).first->second;
   }
   /// Removes steps that are no longer ready.
-  void prune(const JobRegistry &Book) {
-    std::erase_if(Since_, [&Book](const auto &Entry) {
-      return Book.readySteps().count(Entry.first) == 0;
+  void prune(const JobRegistry &Registry) {
+    std::erase_if(Since_, [&Registry](const auto &Entry) {
+      return Registry.readySteps().count(Entry.first) == 0;
     });
   }
 
--- a/src/jobs/SchedulingOrder.cpp
+++ b/src/jobs/SchedulingOrder.cpp
@@ -66,19 +66,19 @@
   return End <= Job.AcceptedMs_ + LateFactor * Allowed ? 1 : 2;
 }
 
-void SchedulingOrder::addNewJobs(const JobRegistry &Book) {
+void SchedulingOrder::addNewJobs(const JobRegistry &Registry) {
   std::uint64_t Newest = LastAddedSequence_;
-  for (const ReadyStep &Ready : Book.readySteps())
+  for (const ReadyStep &Ready : Registry.readySteps())
     if (Ready.Sequence_ > LastAddedSequence_) {
-      Value_.addJob(*Book.findJob(Ready.Job_));
+      Value_.addJob(*Registry.findJob(Ready.Job_));
       Newest = std::max(Newest, Ready.Sequence_);
     }
   LastAddedSequence_ = Newest;
 }
 
-void SchedulingOrder::add(const JobRegistry &Book, const ReadyStep &Ready,
+void SchedulingOrder::add(const JobRegistry &Registry, const ReadyStep &Ready,
                           ReadyTimes &Waits, TimePoint Now) {
-  const JobRecord &Job = *Book.findJob(Ready.Job_);
+  const JobRecord &Job = *Registry.findJob(Ready.Job_);
   const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
   Candidate NewCandidate{Ready, Step.getReserved()};
   NewCandidate.ReadySince_ = Now - Waits.getWait(Ready, Now);
@@ -96,11 +96,11 @@
   Cpus = std::min(Cpus, Step.Need_.MilliCpus_);
 }
 
-void SchedulingOrder::update(const JobRegistry &Book, ReadyTimes &Waits,
+void SchedulingOrder::update(const JobRegistry &Registry, ReadyTimes &Waits,
                              TimePoint Now, WallTime Wall) {
   const bool IsNew = UpdatedAt_ == TimePoint::min();
   const Duration Age = IsNew ? MaxAge : Now - UpdatedAt_;
-  const bool HasNewSteps = Version_ != Book.getReadyVersion();
+  const bool HasNewSteps = Version_ != Registry.getReadyVersion();
   const Duration Pause =
       Candidates_.size() < ShortQueueLength
           ? Duration(0)
@@ -108,8 +108,8 @@
   if (Age < (HasNewSteps ? Pause : MaxAge))
     return;
   UpdatedAt_ = Now;
-  Version_ = Book.getReadyVersion();
-  addNewJobs(Book);
+  Version_ = Registry.getReadyVersion();
+  addNewJobs(Registry);
   Candidates_.clear();
   FillingImages_.clear();
   Minimum_ = {Unlimited, Unlimited, Unlimited};
@@ -122,23 +122,23 @@
         Filling.begin(), Filling.end(),
         [](const auto &A, const auto &B) { return A.first > B.first; });
     for (const auto &[Density, Ready] : Filling)
-      add(Book, *Ready, Waits, Now);
+      add(Registry, *Ready, Waits, Now);
     Filling.clear();
     for (std::vector<const ReadyStep *> &Class : Later) {
       for (const ReadyStep *Ready : Class)
-        add(Book, *Ready, Waits, Now);
+        add(Registry, *Ready, Waits, Now);
       Class.clear();
     }
   };
   std::size_t Considered = 0;
   std::uint64_t Priority = 0;
-  for (const ReadyStep &Ready : Book.readySteps()) {
+  for (const ReadyStep &Ready : Registry.readySteps()) {
     if (++Considered > MaxSteps)
       break;
     if (Ready.Priority_ != Priority)
       AddLater();
     Priority = Ready.Priority_;
-    const JobRecord &Job = *Book.findJob(Ready.Job_);
+    const JobRecord &Job = *Registry.findJob(Ready.Job_);
     const OccurrenceRecord &Occurrence = *Job.findOccurrence(Ready.Occurrence_);
     const StepSpec &Step = Job.Spec_.Steps_[Ready.Step_];
     const std::size_t Lateness =
@@ -149,7 +149,7 @@
     if (Lateness == 0 && Step.Fills_)
       Filling.emplace_back(Value_.getDensity(Job, Occurrence), &Ready);
     else if (Lateness == 0 && IsFirstClass)
-      add(Book, Ready, Waits, Now);
+      add(Registry, Ready, Waits, Now);
     else
       Later.at(Lateness).push_back(&Ready);
   }
--- a/src/jobs/SchedulingOrder.h
+++ b/src/jobs/SchedulingOrder.h
@@ -51,7 +51,7 @@
 
   void reset();
   /// Recomputes the order if steps were added since, or it is too old.
-  void update(const JobRegistry &Book, ReadyTimes &Waits, TimePoint Now,
+  void update(const JobRegistry &Registry, ReadyTimes &Waits, TimePoint Now,
               WallTime Wall);
 
   // Queries; all answers are as of the last update.
@@ -61,9 +61,9 @@
   std::size_t countFillingImages() const { return FillingImages_.size(); }
 
 private:
-  void addNewJobs(const JobRegistry &Book);
-  void add(const JobRegistry &Book, const ReadyStep &Ready, ReadyTimes &Waits,
-           TimePoint Now);
+  void addNewJobs(const JobRegistry &Registry);
+  void add(const JobRegistry &Registry, const ReadyStep &Ready,
+           ReadyTimes &Waits, TimePoint Now);
 
   std::vector<Candidate> Candidates_;
   MinimumNeeds Minimum_;
--- a/src/jobs/ServingLoads.cpp
+++ b/src/jobs/ServingLoads.cpp
@@ -90,13 +90,13 @@
   Servers_[ServerId] = std::move(Use);
 }
 
-void ServingLoads::prune(const JobRegistry &Book) {
-  std::erase_if(Steps_, [&Book](const auto &Entry) {
-    const JobRecord *Job = Book.findJob(Entry.first.Job_);
+void ServingLoads::prune(const JobRegistry &Registry) {
+  std::erase_if(Steps_, [&Registry](const auto &Entry) {
+    const JobRecord *Job = Registry.findJob(Entry.first.Job_);
     return !Job || isEnded(Job->State_);
   });
-  std::erase_if(Servers_, [&Book](const auto &Entry) {
-    return !Book.findServer(Entry.first);
+  std::erase_if(Servers_, [&Registry](const auto &Entry) {
+    return !Registry.findServer(Entry.first);
   });
 }
 
--- a/src/jobs/ServingLoads.h
+++ b/src/jobs/ServingLoads.h
@@ -53,7 +53,7 @@
   /// Compares the steps of each image; called periodically.
   void updateRanges(TimePoint Now);
   /// Removes steps and servers that no longer exist.
-  void prune(const JobRegistry &Book);
+  void prune(const JobRegistry &Registry);
 
   // Queries.
 
--- a/src/jobs/StragglerDetector.cpp
+++ b/src/jobs/StragglerDetector.cpp
@@ -35,14 +35,15 @@
              Allowed + MinDelay;
 }
 
-void StragglerDetector::survey(const JobRegistry &Book,
-                               const LiveServerTable &Board, TimePoint Now) {
+void StragglerDetector::survey(const JobRegistry &Registry,
+                               const LiveServerTable &LiveServers,
+                               TimePoint Now) {
   if (Now < NextSurvey_)
     return;
   NextSurvey_ = Now + SurveyInterval;
   std::vector<std::pair<TimePoint, TaskKey>> LateRuns;
-  for (const auto &[Id, Server] : Book.servers()) {
-    const LiveServer *Live = Board.find(Id);
+  for (const auto &[Id, Server] : Registry.servers()) {
+    const LiveServer *Live = LiveServers.find(Id);
     if (!Live)
       continue;
     for (std::size_t I = 0; I < Live->Running_.size(); ++I) {
@@ -51,7 +52,7 @@
       // Most runs are too young to be late; they need no lookup.
       if (Now - Run.SeenAt_ < MinDelay)
         continue;
-      const StepSpec *Step = Book.findStep(Task);
+      const StepSpec *Step = Registry.findStep(Task);
       const bool MayCopy = Step && Step->Speculative_ && !Step->Gang_ &&
                            !Step->LongRunning_ && isLate(*Step, Run, Now);
       if (MayCopy)
--- a/src/jobs/StragglerDetector.h
+++ b/src/jobs/StragglerDetector.h
@@ -19,7 +19,7 @@
 
   void reset();
   /// Checks all runs, if the last check was long enough ago.
-  void survey(const JobRegistry &Book, const LiveServerTable &Board,
+  void survey(const JobRegistry &Registry, const LiveServerTable &LiveServers,
               TimePoint Now);
 
   // Queries.
--- a/src/jobs/TailLearner.cpp
+++ b/src/jobs/TailLearner.cpp
@@ -53,7 +53,7 @@
   It->second = std::max(It->second, *Baseline);
 }
 
-ServerTails TailLearner::learn(const JobRegistry &Book,
+ServerTails TailLearner::learn(const JobRegistry &Registry,
                                const ServerReport &Report, TimePoint Now) {
   ServerTails Result;
   const double Capacity =
@@ -63,7 +63,7 @@
   double OtherCpus = 0; // Processors used by tasks that neither fill nor serve.
   std::vector<std::pair<const StepSpec *, const RunningTask *>> Tails;
   for (const RunningTask &Running : Report.Running_) {
-    const StepSpec *Step = Book.findStep(Running.Task_);
+    const StepSpec *Step = Registry.findStep(Running.Task_);
     if (!Step)
       continue;
     const double Measure = double(Running.Measure_);
--- a/src/jobs/TailLearner.h
+++ b/src/jobs/TailLearner.h
@@ -35,7 +35,7 @@
   TailLearner(InterferenceModel &Interference, ServingLoads &Loads)
       : Interference_(Interference), Loads_(Loads) {}
 
-  ServerTails learn(const JobRegistry &Book, const ServerReport &Report,
+  ServerTails learn(const JobRegistry &Registry, const ServerReport &Report,
                     TimePoint Now);
 
 private:
--- a/src/jobs/WavePlanner.cpp
+++ b/src/jobs/WavePlanner.cpp
@@ -51,11 +51,11 @@
                               : Listed->second.State_ == VmState::Up;
 }
 
-bool WavePlanner::isListDue(const JobRegistry &Book, TimePoint Now) const {
+bool WavePlanner::isListDue(const JobRegistry &Registry, TimePoint Now) const {
   const bool AnyDown =
       std::any_of(Orders_.begin(), Orders_.end(),
                   [](const auto &Entry) { return Entry.second.IsDown_; });
-  return (Book.waves().hasOpenWave() || AnyDown) &&
+  return (Registry.waves().hasOpenWave() || AnyDown) &&
          (!HasList_ || Now - ListedAt_ >= ListInterval);
 }
 
@@ -78,7 +78,7 @@
 /// Returns whether maintenance would stop no task that still needs time.
 /// Long-running tasks leave one at a time, as their jobs allow, and are never
 /// stopped by maintenance.
-bool WavePlanner::mayMaintain(const JobRegistry &Book,
+bool WavePlanner::mayMaintain(const JobRegistry &Registry,
                               const ServerRecord &Server, TimePoint Now) const {
   if (Server.Placed_.empty())
     return true;
@@ -86,12 +86,12 @@
   if (Since == DrainingSince_.end() || Now - Since->second < MaxDrainTime)
     return false;
   return std::none_of(Server.Placed_.begin(), Server.Placed_.end(),
-                      [&Book](const auto &Entry) {
-                        return Book.findStep(Entry.first)->LongRunning_;
+                      [&Registry](const auto &Entry) {
+                        return Registry.findStep(Entry.first)->LongRunning_;
                       });
 }
 
-std::optional<MaintenanceOrder> WavePlanner::plan(const JobRegistry &Book,
+std::optional<MaintenanceOrder> WavePlanner::plan(const JobRegistry &Registry,
                                                   TimePoint Now) {
   std::map<std::string, TimePoint> Draining;
   std::optional<MaintenanceOrder> Next;
@@ -100,7 +100,7 @@
     DrainingSince_.clear();
     return std::nullopt;
   }
-  for (const auto &[Id, Wave] : Book.waves().waves()) {
+  for (const auto &[Id, Wave] : Registry.waves().waves()) {
     if (Wave.isCompleted())
       continue;
     const std::uint64_t Down = countDown(Wave);
@@ -120,7 +120,7 @@
       // part of the wave.
       const std::string Server =
           Listed == Vms_.end() ? "" : Listed->second.Server_;
-      const ServerRecord *Record = Book.findServer(Server);
+      const ServerRecord *Record = Registry.findServer(Server);
       if (!isUp(Vm) && !IsUnclear)
         continue;
       --Slots;
@@ -131,7 +131,7 @@
       // An order without a clear answer is sent again; its VM is already
       // counted.
       const bool HasFreeSlot = IsUnclear || Down < Wave.Spec_.MaxConcurrent_;
-      const bool IsReady = !Record || mayMaintain(Book, *Record, Now);
+      const bool IsReady = !Record || mayMaintain(Registry, *Record, Now);
       if (!Next && !HasToWait && HasFreeSlot && (IsUnclear || IsReady))
         Next = MaintenanceOrder{Id, Vm, Server};
     }
--- a/src/jobs/WavePlanner.h
+++ b/src/jobs/WavePlanner.h
@@ -38,7 +38,8 @@
   void updateVms(const VmList &List, TimePoint AskedAt);
   /// Chooses the servers to drain and returns the next order, if one may be
   /// sent.
-  std::optional<MaintenanceOrder> plan(const JobRegistry &Book, TimePoint Now);
+  std::optional<MaintenanceOrder> plan(const JobRegistry &Registry,
+                                       TimePoint Now);
   /// Records that the order was sent; whether it was carried out is not known
   /// yet.
   void recordOrder(const MaintenanceOrder &Order, TimePoint Now);
@@ -54,7 +55,7 @@
     return DrainingSince_.count(ServerId) != 0;
   }
   /// Returns whether a new list is needed for a decision.
-  bool isListDue(const JobRegistry &Book, TimePoint Now) const;
+  bool isListDue(const JobRegistry &Registry, TimePoint Now) const;
 
 private:
   /// The state of this leader's order for a VM of a wave.
@@ -68,7 +69,7 @@
   };
   bool isUp(const std::string &Vm) const;
   std::uint64_t countDown(const WaveRecord &Wave) const;
-  bool mayMaintain(const JobRegistry &Book, const ServerRecord &Server,
+  bool mayMaintain(const JobRegistry &Registry, const ServerRecord &Server,
                    TimePoint Now) const;
 
   std::map<std::string, VmInfo> Vms_;
--- a/src/jobs/Waves.cpp
+++ b/src/jobs/Waves.cpp
@@ -14,7 +14,7 @@
   return std::find(Begun_.begin(), Begun_.end(), Vm) != Begun_.end();
 }
 
-bool WaveBook::start(const WaveSpec &Spec) {
+bool WaveRegistry::start(const WaveSpec &Spec) {
   if (Waves_.count(Spec.Id_) != 0)
     return false;
   WaveRecord Record;
@@ -37,7 +37,7 @@
   return true;
 }
 
-bool WaveBook::markBegun(std::uint64_t Wave, const std::string &Vm) {
+bool WaveRegistry::markBegun(std::uint64_t Wave, const std::string &Vm) {
   const auto It = Waves_.find(Wave);
   if (It == Waves_.end() || It->second.hasBegun(Vm))
     return false;
@@ -48,20 +48,20 @@
   return true;
 }
 
-const WaveRecord *WaveBook::find(std::uint64_t Wave) const {
+const WaveRecord *WaveRegistry::find(std::uint64_t Wave) const {
   const auto It = Waves_.find(Wave);
   return It == Waves_.end() ? nullptr : &It->second;
 }
 
-bool WaveBook::hasOpenWave() const {
+bool WaveRegistry::hasOpenWave() const {
   return std::any_of(Waves_.begin(), Waves_.end(), [](const auto &Entry) {
     return !Entry.second.isCompleted();
   });
 }
 
-WaveBook WaveBook::makeFrom(std::vector<WaveRecord> Records) {
-  WaveBook Book;
+WaveRegistry WaveRegistry::makeFrom(std::vector<WaveRecord> Records) {
+  WaveRegistry Registry;
   for (WaveRecord &Record : Records)
-    Book.Waves_[Record.Spec_.Id_] = std::move(Record);
-  return Book;
+    Registry.Waves_[Record.Spec_.Id_] = std::move(Record);
+  return Registry;
 }
--- a/src/jobservice/ControlNode.cpp
+++ b/src/jobservice/ControlNode.cpp
@@ -436,23 +436,24 @@
 }
 
 /// Adds the tasks that servers crashed under and the jobs that failed for it.
-static void addCrashes(const jobs::JobRegistry &Book, nlohmann::json &Dump) {
+static void addCrashes(const jobs::JobRegistry &Registry,
+                       nlohmann::json &Dump) {
   nlohmann::json Suspects = nlohmann::json::array();
-  for (const auto &[Key, Servers] : Book.crashSuspects()) {
+  for (const auto &[Key, Servers] : Registry.crashSuspects()) {
     if (Suspects.size() >= MaxDumpedEntries)
       break;
-    const jobs::CrashRecords &Crashes = Book.findTask(Key)->Crashes_;
+    const jobs::CrashRecords &Crashes = Registry.findTask(Key)->Crashes_;
     Suspects.push_back({{"job", Key.Job_},
                         {"task", toText(Key)},
                         {"crashes", Crashes.size()},
                         {"servers", Servers}});
   }
   nlohmann::json GivenUp = nlohmann::json::array();
-  for (const auto &[Id, Job] : Book.jobs())
+  for (const auto &[Id, Job] : Registry.jobs())
     if (Job.Cause_ == jobs::FailureCause::Crashes &&
         GivenUp.size() < MaxDumpedEntries)
       GivenUp.push_back({{"job", Id}, {"reason", Job.Reason_}});
-  Dump["crashSuspects"] = Book.crashSuspects().size();
+  Dump["crashSuspects"] = Registry.crashSuspects().size();
   Dump["suspected"] = std::move(Suspects);
   Dump["givenUp"] = std::move(GivenUp);
 }
@@ -478,13 +479,13 @@
     Dump["members"].push_back(
         {{"name", Member.Id_.Name_},
          {"votes", Member.Role_ == replication::MemberRole::Voter}});
-  Instance->Machine_.read([&Dump](const jobs::JobRegistry &Book) {
-    Dump["configuration"] = Book.configuration().Version_;
-    Dump["jobs"] = Book.jobs().size();
-    Dump["servers"] = Book.servers().size();
-    Dump["readySteps"] = Book.readySteps().size();
-    Dump["evacuated"] = Book.evacuated();
-    addCrashes(Book, Dump);
+  Instance->Machine_.read([&Dump](const jobs::JobRegistry &Registry) {
+    Dump["configuration"] = Registry.configuration().Version_;
+    Dump["jobs"] = Registry.jobs().size();
+    Dump["servers"] = Registry.servers().size();
+    Dump["readySteps"] = Registry.readySteps().size();
+    Dump["evacuated"] = Registry.evacuated();
+    addCrashes(Registry, Dump);
     return 0;
   });
   return Dump.dump();
--- a/tests/control/HeartbeatDifferentialTest.cpp
+++ b/tests/control/HeartbeatDifferentialTest.cpp
@@ -109,7 +109,7 @@
     Timers_.advance(milliseconds(300));
     deliverDelayed();
     std::sort(Trace_.begin(), Trace_.end());
-    for (const Command &Proposal : Ledger_->onTick(State_, Clock_.now()))
+    for (const Command &Proposal : Tracker_->onTick(State_, Clock_.now()))
       Proposed_.push_back(Proposal);
     applyProposed();
     place();
@@ -127,7 +127,7 @@
         [this](const wire::Announcement &Value) { return deliver(Value); });
   }
   Outcome<wire::AnnouncementReply> deliver(const wire::Announcement &Value) {
-    auto Result = Ledger_->onAnnouncement(Value, State_, {Clock_.now(), true});
+    auto Result = Tracker_->onAnnouncement(Value, State_, {Clock_.now(), true});
     for (const Command &Proposal : Result.value().Proposals_)
       Proposed_.push_back(Proposal);
     return Result.value().Reply_;
@@ -145,8 +145,8 @@
 
   void elect() {
     ++Term_;
-    Ledger_ = std::make_unique<ServerTracker>(ServerTrackerSettings{}, Term_,
-                                              Clock_.now(), State_);
+    Tracker_ = std::make_unique<ServerTracker>(ServerTrackerSettings{}, Term_,
+                                               Clock_.now(), State_);
     Cache_ = std::make_unique<control::AnnouncementCache>();
   }
   void changeLeader() {
@@ -220,8 +220,8 @@
     std::vector<Change> Changes;
     (void)State_.apply(Value, Term_, ++Index_, &Changes);
     for (const Change &AppliedChange : Changes)
-      Ledger_->onChange(AppliedChange);
-    Ledger_->onProposalDone(Value);
+      Tracker_->onChange(AppliedChange);
+    Tracker_->onProposalDone(Value);
   }
   /// Sorts the commands, as the order within a batch has no meaning.
   void applyProposed() {
@@ -250,7 +250,7 @@
     }
   }
   void evict(const TaskId &Task, AttemptNumber Attempt, int Action) {
-    AttemptTracker &Attempts = Ledger_->attempts();
+    AttemptTracker &Attempts = Tracker_->attempts();
     if (Action == 0)
       Attempts.requestStop(Task, Attempt);
     if (Action == 1)
@@ -262,7 +262,7 @@
     for (std::uint32_t Index = 0; Index < 12; ++Index) {
       const TaskId Task{JobId("j"), Index};
       const TaskRecord &Record = *State_.findTask(Task);
-      const TimePoint End = Ledger_->attempts().leases().findExpiry(
+      const TimePoint End = Tracker_->attempts().leases().findExpiry(
           Task, Record.Attempt_, Record.Token_);
       Trace_.push_back("lease " +
                        std::to_string(End.time_since_epoch().count()));
@@ -277,7 +277,7 @@
   std::uint64_t Term_ = 0;
   std::uint64_t Index_ = 0;
   int Boots_ = 0;
-  std::unique_ptr<ServerTracker> Ledger_;
+  std::unique_ptr<ServerTracker> Tracker_;
   std::unique_ptr<control::AnnouncementCache> Cache_;
   std::vector<std::unique_ptr<FaultyClient>> Clients_;
   std::vector<std::unique_ptr<entry::AnnouncementBatcher>> Entries_;
--- a/tests/jobs/DispatcherTest.cpp
+++ b/tests/jobs/DispatcherTest.cpp
@@ -14,14 +14,14 @@
 class DispatcherTest : public JobRegistryTest {
 protected:
   DispatcherTest() {
-    Board_.reset(Registry_, Now_, 10s);
+    LiveServers_.reset(Registry_, Now_, 10s);
     submitted();
   }
   /// Plans for a server at the current time and places the planned tasks.
   std::vector<TaskStart> plan(const std::string &Server) {
-    Dispatcher_.survey(Registry_, Board_, Now_);
-    auto Starts =
-        Dispatcher_.plan(Registry_, Board_, Server, Now_, WallTime(Wall_));
+    Dispatcher_.survey(Registry_, LiveServers_, Now_);
+    auto Starts = Dispatcher_.plan(Registry_, LiveServers_, Server, Now_,
+                                   WallTime(Wall_));
     apply(StartTasks{Starts});
     Dispatcher_.releaseProposed(Starts);
     return Starts;
@@ -44,7 +44,7 @@
 
   TimePoint Now_{1h};
   std::int64_t Wall_ = 1000;
-  LiveServerTable Board_;
+  LiveServerTable LiveServers_;
   InterferenceModel Interference_;
   ServingLoads Loads_;
   PaceController Paces_;
@@ -109,7 +109,7 @@
   Bound.Label_ = "b";
   submit(makeJob("j", {Bound}));
   EXPECT_TRUE(plan("s1").empty());
-  EXPECT_EQ(Dispatcher_.explainWait(Registry_, Board_,
+  EXPECT_EQ(Dispatcher_.explainWait(Registry_, LiveServers_,
                                     *Registry_.readySteps().begin(), Now_),
             "2 without the label b");
 }
@@ -239,10 +239,12 @@
 TEST_F(DispatcherTest, TaskWithPendingStartIsNotPlannedAgain) {
   submit(makeJob("j", {makeStep(1, 1000)}));
   EXPECT_EQ(
-      Dispatcher_.plan(Registry_, Board_, "s1", Now_, WallTime(Wall_)).size(),
+      Dispatcher_.plan(Registry_, LiveServers_, "s1", Now_, WallTime(Wall_))
+          .size(),
       1U);
   EXPECT_TRUE(
-      Dispatcher_.plan(Registry_, Board_, "s2", Now_, WallTime(Wall_)).empty());
+      Dispatcher_.plan(Registry_, LiveServers_, "s2", Now_, WallTime(Wall_))
+          .empty());
 }
 
 TEST_F(DispatcherTest, StragglerIsCopied) {
@@ -256,11 +258,11 @@
   Report.Facts_ = makeServer("s1");
   Report.Running_ = {{First[0].Task_, 1, "", 1, 0}};
   ++Report.Sequence_;
-  Board_.recordReport(Report, Now_, 10s);
+  LiveServers_.recordReport(Report, Now_, 10s);
   advance(700ms);
   ++Report.Sequence_;
   Report.Running_[0].Percent_ = 70;
-  Board_.recordReport(Report, Now_, 10s);
+  LiveServers_.recordReport(Report, Now_, 10s);
   EXPECT_TRUE(plan("s2").empty()) << "it may take twice as long";
   advance(700ms);
   EXPECT_TRUE(plan("s1").empty()) << "not on the server of the first run";
@@ -282,7 +284,7 @@
   Report.Facts_ = makeServer("s1");
   Report.Running_ = {{First[0].Task_, 1, "", 1, 0}};
   Report.Sequence_ = 1;
-  Board_.recordReport(Report, Now_, 10s);
+  LiveServers_.recordReport(Report, Now_, 10s);
   advance(5s);
   EXPECT_TRUE(plan("s2").empty());
 }
@@ -333,7 +335,7 @@
   Report.Facts_ = makeServer("s1");
   Report.Running_ = {{First.at(0).Task_, 1, "", 1, 0}};
   Report.Sequence_ = 1;
-  Board_.recordReport(Report, Now_, 10s);
+  LiveServers_.recordReport(Report, Now_, 10s);
   advance(1900ms);
   EXPECT_TRUE(plan("s2").empty());
 }
--- a/tests/jobs/IsolationPlannerTest.cpp
+++ b/tests/jobs/IsolationPlannerTest.cpp
@@ -23,12 +23,12 @@
     }
   }
   std::optional<TaskStart> plan(const std::string &Server) {
-    return Planner_.plan(Registry_, Board_, *Registry_.findServer(Server), Now_,
-                         [](const auto &, const auto &) { return true; });
+    return Planner_.plan(Registry_, LiveServers_, *Registry_.findServer(Server),
+                         Now_, [](const auto &, const auto &) { return true; });
   }
 
   TimePoint Now_ = TimePoint{} + 1h;
-  LiveServerTable Board_;
+  LiveServerTable LiveServers_;
   IsolationPlanner Planner_;
 };
 
@@ -45,7 +45,7 @@
   crashTwice("large", Unplaceable);
   crashTwice("small", 1);
   ASSERT_EQ(Registry_.crashSuspects().size(), Unplaceable + 1);
-  Board_.reset(Registry_, Now_, 6s);
+  LiveServers_.reset(Registry_, Now_, 6s);
   std::optional<TaskStart> Start;
   for (int Report = 0; Report < 8 && !Start; ++Report) {
     Start = plan(Report % 2 == 0 ? "s1" : "s2");
@@ -60,7 +60,7 @@
   submit(makeJob("second", {makeStep(1, 100)}));
   crashTwice("second", 1);
   crashTwice("first", 1);
-  Board_.reset(Registry_, Now_, 6s);
+  LiveServers_.reset(Registry_, Now_, 6s);
   const std::optional<TaskStart> Start = plan("s1");
   ASSERT_TRUE(Start);
   EXPECT_EQ(Start->Task_.Job_, "first");
--- a/tests/jobs/JobEvacuationTest.cpp
+++ b/tests/jobs/JobEvacuationTest.cpp
@@ -106,9 +106,11 @@
   ASSERT_FALSE(Answer);
   EXPECT_EQ(Answer.error().Code_, ErrorCode::NotFound);
   EXPECT_EQ(evacuate("", true).error().Code_, ErrorCode::NotFound);
-  EXPECT_TRUE(
-      Machine_.read([](const JobRegistry &Book) { return Book.evacuated(); })
-          .empty());
+  EXPECT_TRUE(Machine_
+                  .read([](const JobRegistry &Registry) {
+                    return Registry.evacuated();
+                  })
+                  .empty());
 }
 
 TEST_F(JobEvacuationTest, ConfiguredDataCentreIsKnownWithoutServers) {
--- a/tests/jobs/JobLeaderServersTest.cpp
+++ b/tests/jobs/JobLeaderServersTest.cpp
@@ -14,7 +14,7 @@
   ASSERT_TRUE(Answer && !*Answer);
   EXPECT_EQ(Answer->error().Code_, ErrorCode::InvalidArgument);
   EXPECT_TRUE(Machine_.read(
-      [](const JobRegistry &Book) { return Book.servers().empty(); }));
+      [](const JobRegistry &Registry) { return Registry.servers().empty(); }));
 }
 
 TEST_F(JobLeaderTest, RejectedReportLeavesTheServersLease) {
@@ -73,8 +73,8 @@
   Strand_.runAll();
   EXPECT_EQ(Answer, ServerOrders{});
   const auto GetState = [this](const TaskKey &Task) {
-    return Machine_.read([&Task](const JobRegistry &Book) {
-      return Book.findTask(Task)->State_;
+    return Machine_.read([&Task](const JobRegistry &Registry) {
+      return Registry.findTask(Task)->State_;
     });
   };
   EXPECT_EQ(GetState(Orders.Starts_[0].Task_), TaskState::Done);
@@ -212,8 +212,9 @@
   EXPECT_EQ(Orders.Starts_[0].Run_, 2U);
   // A delayed report of the old incarnation changes nothing.
   EXPECT_EQ(report(makeReport("s1")), ServerOrders{});
-  EXPECT_EQ(Machine_.read(
-                [](const JobRegistry &Book) { return Book.findServer("s1"); }),
+  EXPECT_EQ(Machine_.read([](const JobRegistry &Registry) {
+    return Registry.findServer("s1");
+  }),
             nullptr);
 }
 
@@ -236,8 +237,8 @@
       EXPECT_TRUE(Again.Stops_.empty());
     }
   }
-  EXPECT_EQ(Machine_.read([](const JobRegistry &Book) {
-    return Book.findTask({"j", 0, 0, 0})->LastRun_;
+  EXPECT_EQ(Machine_.read([](const JobRegistry &Registry) {
+    return Registry.findTask({"j", 0, 0, 0})->LastRun_;
   }),
             1U);
 }
--- a/tests/jobs/JobWavesTest.cpp
+++ b/tests/jobs/JobWavesTest.cpp
@@ -77,8 +77,8 @@
   EXPECT_EQ(Provider_.Orders_[0].FencingToken_, 1U);
   answer(MaintenanceReply::Begun);
   EXPECT_TRUE(showWave(3).value().isCompleted());
-  EXPECT_TRUE(Machine_.read([](const JobRegistry &Book) {
-    return Book.findServer("s1") == nullptr && Book.isOver("s1");
+  EXPECT_TRUE(Machine_.read([](const JobRegistry &Registry) {
+    return Registry.findServer("s1") == nullptr && Registry.isOver("s1");
   })) << "no run of that incarnation is left";
 }
 
--- a/tests/jobs/LiveServerTableTest.cpp
+++ b/tests/jobs/LiveServerTableTest.cpp
@@ -18,25 +18,26 @@
 // The registration may take long to commit, for example after a power loss.
 // Until an answer grants a lease, one counts from the first report.
 TEST(LiveServerTableTest, NewServerHasALeaseBeforeItsFirstAnswer) {
-  LiveServerTable Board;
-  ASSERT_TRUE(Board.recordReport(makeReport(1), Start, Lease));
-  EXPECT_TRUE(Board.listExpired(Start + Lease / 2).empty());
-  EXPECT_EQ(Board.listExpired(Start + Lease),
+  LiveServerTable LiveServers;
+  ASSERT_TRUE(LiveServers.recordReport(makeReport(1), Start, Lease));
+  EXPECT_TRUE(LiveServers.listExpired(Start + Lease / 2).empty());
+  EXPECT_EQ(LiveServers.listExpired(Start + Lease),
             std::vector<std::string>{"server-1"});
 }
 
 // Only an answer extends the lease.
 TEST(LiveServerTableTest, ReportAloneExtendsNoLease) {
-  LiveServerTable Board;
-  ASSERT_TRUE(Board.recordReport(makeReport(1), Start, Lease));
-  ASSERT_TRUE(Board.recordReport(makeReport(2), Start + Lease / 2, Lease));
-  EXPECT_EQ(Board.listExpired(Start + Lease).size(), 1U);
-  Board.extendLease("server-1", Start + 2 * Lease);
-  EXPECT_TRUE(Board.listExpired(Start + Lease).empty());
+  LiveServerTable LiveServers;
+  ASSERT_TRUE(LiveServers.recordReport(makeReport(1), Start, Lease));
+  ASSERT_TRUE(
+      LiveServers.recordReport(makeReport(2), Start + Lease / 2, Lease));
+  EXPECT_EQ(LiveServers.listExpired(Start + Lease).size(), 1U);
+  LiveServers.extendLease("server-1", Start + 2 * Lease);
+  EXPECT_TRUE(LiveServers.listExpired(Start + Lease).empty());
 }
 
 TEST(LiveServerTableTest, LateReportIsIgnored) {
-  LiveServerTable Board;
-  ASSERT_TRUE(Board.recordReport(makeReport(2), Start, Lease));
-  EXPECT_FALSE(Board.recordReport(makeReport(1), Start, Lease));
+  LiveServerTable LiveServers;
+  ASSERT_TRUE(LiveServers.recordReport(makeReport(2), Start, Lease));
+  EXPECT_FALSE(LiveServers.recordReport(makeReport(1), Start, Lease));
 }
--- a/tests/jobservice/StarvedFleet.cpp
+++ b/tests/jobservice/StarvedFleet.cpp
@@ -172,8 +172,8 @@
 }
 
 bool StarvedFleet::mayBeGivenUp(const TaskKey &Task) const {
-  return Machine_.read([&Task](const JobRegistry &Book) {
-    const TaskRecord *Record = Book.findTask(Task);
+  return Machine_.read([&Task](const JobRegistry &Registry) {
+    const TaskRecord *Record = Registry.findTask(Task);
     return Record && Record->Crashes_.size() >= MaxCrashes;
   });
 }
@@ -214,14 +214,15 @@
 /// report does so only if it lists an ended task that the leader does not know
 /// as done.
 int StarvedFleet::countHandled(const ReportBatch &Batch) const {
-  return Machine_.read([&Batch](const JobRegistry &Book) {
+  return Machine_.read([&Batch](const JobRegistry &Registry) {
     int Count = static_cast<int>(Batch.Reports_.size() - Batch.LateReports_);
     for (std::size_t I = 0; I < Batch.LateReports_; ++I) {
       const std::vector<EndedTask> &Ends = Batch.Reports_[I].Ended_;
-      Count += std::any_of(Ends.begin(), Ends.end(), [&Book](const auto &End) {
-        const TaskRecord *Task = Book.findTask(End.End_.Task_);
-        return Task && Task->State_ != TaskState::Done;
-      });
+      Count +=
+          std::any_of(Ends.begin(), Ends.end(), [&Registry](const auto &End) {
+            const TaskRecord *Task = Registry.findTask(End.End_.Task_);
+            return Task && Task->State_ != TaskState::Done;
+          });
     }
     return Count;
   });
@@ -278,17 +279,18 @@
 
 void StarvedFleet::cancelRandomJob() {
   const std::string Id = Jobs_[drawBelow(Jobs_.size())];
-  Leader_.call(
-      {CallKind::Cancel, jobs::test::Host, std::string(jobs::test::Prefix) + Id,
-       jobs::test::makeJob("", {})},
-      [this, Id](const Outcome<JobCallReply> &Reply) {
-        const bool IsCancelled = Machine_.read([&Id](const JobRegistry &Book) {
-          const JobRecord *Job = Book.findJob(Id);
-          return Job && Job->State_ == JobState::Cancelled;
-        });
-        if (Reply && IsCancelled)
-          Cancelled_.try_emplace(Id, Time_.now());
-      });
+  Leader_.call({CallKind::Cancel, jobs::test::Host,
+                std::string(jobs::test::Prefix) + Id,
+                jobs::test::makeJob("", {})},
+               [this, Id](const Outcome<JobCallReply> &Reply) {
+                 const bool IsCancelled =
+                     Machine_.read([&Id](const JobRegistry &Registry) {
+                       const JobRecord *Job = Registry.findJob(Id);
+                       return Job && Job->State_ == JobState::Cancelled;
+                     });
+                 if (Reply && IsCancelled)
+                   Cancelled_.try_emplace(Id, Time_.now());
+               });
 }
 
 /// Makes a random server leave at once with running tasks, or fall silent, and
@@ -442,10 +444,11 @@
   const auto Cancelled = Cancelled_.find(Start.Task_.Job_);
   if (Cancelled != Cancelled_.end() && Now - Cancelled->second > MaxCancelDelay)
     recordViolation("started after its job was cancelled", Start.Task_);
-  const bool IsLongRunning = Machine_.read([&Start](const JobRegistry &Book) {
-    const StepSpec *Step = Book.findStep(Start.Task_);
-    return Step && Step->LongRunning_;
-  });
+  const bool IsLongRunning =
+      Machine_.read([&Start](const JobRegistry &Registry) {
+        const StepSpec *Step = Registry.findStep(Start.Task_);
+        return Step && Step->LongRunning_;
+      });
   Backend.Running_[Start.Task_] = {
       Start.Run_,
       IsLongRunning ? TimePoint::max()
