--- a/include/tulipweir/decide/ServerChooser.h
+++ b/include/tulipweir/decide/ServerChooser.h
@@ -83,7 +83,8 @@
   void setServers(const std::vector<GrantedServer> &Servers, TimePoint Now);
   /// Records that a request was sent to Server.
   void recordStart(const BackendServerId &Server);
-  /// Records the end of a started request.
+  /// Frees the slot of a started request and updates the server's statistics
+  /// with the result, which may eject the server.
   void recordEnd(const BackendServerId &Server, RequestResult Result,
                  Duration Latency, TimePoint Now);
   /// Frees the slot of a started request whose end says nothing about the
--- a/include/tulipweir/jobs/Commands.h
+++ b/include/tulipweir/jobs/Commands.h
@@ -115,10 +115,10 @@
 
 /// How a server disappeared, as observed by the leader.
 struct CrashEvidence {
-  bool IsCrash_ = false;      ///< The server vanished without notice.
-  bool IsConfirmed_ = false;  ///< Another incarnation reports at its address.
-  bool IsCorrelated_ = false; ///< Many other servers vanished at the same time.
-  bool IsStable_ = false;     ///< No other unexplained crash at its address.
+  bool IsCrash_ = false;         ///< The server vanished without notice.
+  bool IsConfirmed_ = false;     ///< A new incarnation reports at its address.
+  bool IsCorrelated_ = false;    ///< Many servers vanished at the same time.
+  bool WasServerStable_ = false; ///< No recent unexplained crash before it.
   /// The runs that were placed on the server and appeared in its reports,
   /// ordered by task.
   std::vector<ReportedRun> ReportedRuns_;
--- a/include/tulipweir/jobs/JobCall.h
+++ b/include/tulipweir/jobs/JobCall.h
@@ -54,7 +54,7 @@
 /// A control's view of its group, sent to entries and other controls.
 struct GroupView {
   std::string Leader_;               ///< Empty if unknown.
-  std::vector<std::string> Members_; ///< Names of all members.
+  std::vector<std::string> Members_; ///< Names of all controls in the group.
   bool operator==(const GroupView &) const = default;
 };
 
--- a/include/tulipweir/jobs/JobRegistry.h
+++ b/include/tulipweir/jobs/JobRegistry.h
@@ -66,8 +66,8 @@
 
 struct StepRecord {
   std::vector<TaskRecord> Tasks_;
-  std::uint64_t Waiting_ = 0; ///< Number of tasks in that state.
-  std::uint64_t Done_ = 0;    ///< Number of tasks in that state.
+  std::uint64_t Waiting_ = 0;   ///< Number of tasks in that state.
+  std::uint64_t DoneCount_ = 0; ///< Number of tasks in that state.
   bool operator==(const StepRecord &) const = default;
 };
 
@@ -86,7 +86,7 @@
   std::uint64_t OccurrencesDone_ = 0;
   std::uint64_t Placements_ = 0;                  ///< Runs that have not ended.
   std::vector<OccurrenceRecord> OpenOccurrences_; ///< Occurrences in progress.
-  std::uint64_t OpenedCount_ = 0; ///< Number of occurrences opened so far.
+  std::uint64_t CreatedOccurrenceCount_ = 0;      ///< Ended ones included.
   FailureCause Cause_ = FailureCause::Unknown;
   std::string Reason_; ///< Names the task that failed the job; else empty.
   bool operator==(const JobRecord &) const = default;
--- a/include/tulipweir/jobs/JobSpec.h
+++ b/include/tulipweir/jobs/JobSpec.h
@@ -33,7 +33,7 @@
   std::string Label_;        ///< Servers must carry it; empty for any.
   std::string DataRack_;     ///< Slower on other racks; empty for none.
   std::uint64_t SpreadLimit_ = 0;  ///< Max tasks per server; 0 for no limit.
-  std::string Image_;              ///< Tasks of one image behave alike.
+  std::string Image_;              ///< Interference is learned for each image.
   std::uint64_t TailTargetMs_ = 0; ///< Target tail latency; 0 for none.
   /// Number of tasks that the scheduler may keep down at a time.
   std::uint64_t MaxUnavailable_ = 0;
--- a/src/decide/InterferenceModel.cpp
+++ b/src/decide/InterferenceModel.cpp
@@ -100,9 +100,9 @@
                                             LoadBand Band) const {
   if (Service >= Baselines_.size())
     return 0;
-  for (int Lower = Band; Lower >= 0; --Lower)
-    if (Baselines_[Service][Lower].Samples_ > 0)
-      return Baselines_[Service][Lower].Micros_;
+  for (int CandidateBand = Band; CandidateBand >= 0; --CandidateBand)
+    if (Baselines_[Service][CandidateBand].Samples_ > 0)
+      return Baselines_[Service][CandidateBand].Micros_;
   for (int Higher = Band + 1; Higher < LoadBands; ++Higher)
     if (Baselines_[Service][Higher].Samples_ > 0)
       return Baselines_[Service][Higher].Micros_;
--- a/src/decide/TailGuard.h
+++ b/src/decide/TailGuard.h
@@ -65,7 +65,8 @@
                             TimePoint Now) const;
   void reduceExcess(ServerEntry &Server, const Excess &Over, TimePoint Now,
                     std::size_t Budget, std::vector<Decision> &Decisions);
-  /// Keeps only the tasks that were released before a relapse, which caused it.
+  /// Keeps only the tasks whose throttling ended in the last release, if there
+  /// are any: the p99 rose again soon after it, so they are the likely cause.
   static void keepReleasedTasks(const ServerEntry &Server,
                                 std::vector<Antagonist> &Antagonists);
   void throttle(ServerEntry &Server, const Excess &Over,
--- a/src/jobs/CapacitySurvey.h
+++ b/src/jobs/CapacitySurvey.h
@@ -44,8 +44,8 @@
 
   // Queries; all answers are as of the last survey.
 
-  /// Returns whether this number of tasks with this need fits on servers where
-  /// only their own image serves.
+  /// Returns whether this number of tasks, each of which reserves Need, fits on
+  /// the servers whose serving tasks all belong to Image.
   bool hasCapacityBesideSameImage(const std::string &Image,
                                   const Resources &Need,
                                   std::uint64_t Tasks) const;
--- a/src/jobs/Dispatcher.cpp
+++ b/src/jobs/Dispatcher.cpp
@@ -291,7 +291,7 @@
 /// needs no more processors.
 bool Dispatcher::isKnownRejected(const Candidate &Step,
                                  const ServerPlan &Plan) const {
-  if (Step.FillingImage_ == Candidate::NotFilling)
+  if (Step.FillingImage_ == Candidate::NoFillingImage)
     return false;
   if (Step.IsIdleJob_ && Survey_.hasSpareCapacity())
     return false;
@@ -305,7 +305,7 @@
 }
 
 void Dispatcher::recordRejection(const Candidate &Step, ServerPlan &Plan) {
-  if (Step.FillingImage_ == Candidate::NotFilling)
+  if (Step.FillingImage_ == Candidate::NoFillingImage)
     return;
   std::int64_t &AvoidingCpus =
       Plan.RejectedCpusAvoidingInterference_[Step.FillingImage_];
--- a/src/jobs/InterferenceModel.h
+++ b/src/jobs/InterferenceModel.h
@@ -60,9 +60,8 @@
   /// Serving.
   bool isInterferingWithAny(const ServingImages &Serving,
                             const std::string &Filling) const;
-  /// Returns the share of the known filling images that would newly interfere
-  /// if the image served beside those in Serving; 1 until enough samples
-  /// arrived.
+  /// Returns the share of the known filling images that interfere with Image
+  /// but with none of the images in Serving; 1 until enough samples arrived.
   double getAddedInterference(const ServingImages &Serving,
                               const std::string &Image) const;
 
--- a/src/jobs/JobLeader.cpp
+++ b/src/jobs/JobLeader.cpp
@@ -270,9 +270,10 @@
     for (const std::string &Id : Registry.timedJobs()) {
       const JobRecord &Job = *Registry.findJob(Id);
       const std::uint64_t At =
-          Job.Spec_.FirstDueMs_ + Job.OpenedCount_ * Job.Spec_.IntervalMs_;
+          Job.Spec_.FirstDueMs_ +
+          Job.CreatedOccurrenceCount_ * Job.Spec_.IntervalMs_;
       if (At <= Wall)
-        Due.push_back({Id, Job.OpenedCount_});
+        Due.push_back({Id, Job.CreatedOccurrenceCount_});
     }
     return 0;
   });
--- a/src/jobs/JobLeaderCrashes.cpp
+++ b/src/jobs/JobLeaderCrashes.cpp
@@ -39,7 +39,7 @@
   Crash.IsCrash_ = true;
   Crash.IsConfirmed_ = How == Departure::Replaced;
   Crash.IsCorrelated_ = Crashes_.isCorrelated(LiveServers_, Server, Now);
-  Crash.IsStable_ = Machine_.read([&](const JobRegistry &Registry) {
+  Crash.WasServerStable_ = Machine_.read([&](const JobRegistry &Registry) {
     const ServerRecord *Record = Registry.findServer(Server);
     return Record && LiveServers_.isStable(*Record);
   });
--- a/src/jobs/JobLeaderWaves.cpp
+++ b/src/jobs/JobLeaderWaves.cpp
@@ -79,7 +79,7 @@
 void JobLeader::Impl::refreshVms() {
   const TimePoint Now = Time_.now();
   const bool IsDue = Machine_.read([&](const JobRegistry &Registry) {
-    return Waves_.isListDue(Registry, Now);
+    return Waves_.isVmListRefreshDue(Registry, Now);
   });
   if (!IsDue || IsListing_)
     return;
--- a/src/jobs/JobPacking.h
+++ b/src/jobs/JobPacking.h
@@ -63,8 +63,8 @@
 }
 inline auto fields(ReportedRun &X) { return std::tie(X.Task_, X.AgeMs_); }
 inline auto fields(CrashEvidence &X) {
-  return std::tie(X.IsCrash_, X.IsConfirmed_, X.IsCorrelated_, X.IsStable_,
-                  X.ReportedRuns_);
+  return std::tie(X.IsCrash_, X.IsConfirmed_, X.IsCorrelated_,
+                  X.WasServerStable_, X.ReportedRuns_);
 }
 inline auto fields(RemoveServer &X) {
   return std::tie(X.Id_, X.Checkpoints_, X.IsFinal_, X.Evidence_);
@@ -112,7 +112,7 @@
 }
 constexpr std::size_t optionalFields(const TaskRecord &) { return 2; }
 inline auto fields(StepRecord &X) {
-  return std::tie(X.Tasks_, X.Waiting_, X.Done_);
+  return std::tie(X.Tasks_, X.Waiting_, X.DoneCount_);
 }
 inline auto fields(OccurrenceRecord &X) {
   return std::tie(X.Number_, X.Steps_);
@@ -120,7 +120,7 @@
 inline auto fields(JobRecord &X) {
   return std::tie(X.Spec_, X.Policy_, X.State_, X.Sequence_, X.AcceptedMs_,
                   X.OccurrencesDone_, X.Placements_, X.OpenOccurrences_,
-                  X.OpenedCount_, X.Cause_, X.Reason_);
+                  X.CreatedOccurrenceCount_, X.Cause_, X.Reason_);
 }
 constexpr std::size_t optionalFields(const JobRecord &) { return 2; }
 
--- a/src/jobs/JobRegistry.cpp
+++ b/src/jobs/JobRegistry.cpp
@@ -103,13 +103,13 @@
   if (It == Jobs_.end())
     return {CommandStatus::NotFound, {}};
   JobRecord &Job = It->second;
-  const bool IsNext = !isEnded(Job.State_) &&
-                      Cmd.Occurrence_ == Job.OpenedCount_ &&
-                      Job.OpenedCount_ < Job.Spec_.countOccurrences();
+  const bool IsNext =
+      !isEnded(Job.State_) && Cmd.Occurrence_ == Job.CreatedOccurrenceCount_ &&
+      Job.CreatedOccurrenceCount_ < Job.Spec_.countOccurrences();
   if (!IsNext)
     return {CommandStatus::Refused, {}};
   openOccurrence(Job, Cmd.Occurrence_);
-  if (Job.OpenedCount_ == Job.Spec_.countOccurrences())
+  if (Job.CreatedOccurrenceCount_ == Job.Spec_.countOccurrences())
     Timed_.erase(Cmd.Job_);
   return {};
 }
@@ -359,7 +359,7 @@
     if (Other.State_ == TaskState::Waiting)
       --Record.Waiting_;
     Other.State_ = TaskState::Done;
-    ++Record.Done_;
+    ++Record.DoneCount_;
   };
   // The members of a gang end together, so one completion completes them all.
   if (Job.Spec_.Steps_[Step].Gang_)
@@ -368,12 +368,12 @@
   else
     SetDone(Task);
   updateSuspectsOf(Job);
-  if (Record.Done_ < Record.Tasks_.size())
+  if (Record.DoneCount_ < Record.Tasks_.size())
     return;
   bool AllDone = true;
   for (std::size_t Index = 0; Index < Occurrence.Steps_.size(); ++Index) {
     const StepRecord &OtherStep = Occurrence.Steps_[Index];
-    AllDone = AllDone && OtherStep.Done_ == OtherStep.Tasks_.size();
+    AllDone = AllDone && OtherStep.DoneCount_ == OtherStep.Tasks_.size();
     updateReadyStep(Job, Occurrence, Index);
   }
   if (!AllDone)
@@ -414,7 +414,7 @@
     Occurrence.Steps_.push_back(std::move(Step));
   }
   Job.OpenOccurrences_.push_back(std::move(Occurrence));
-  Job.OpenedCount_ = Number + 1;
+  Job.CreatedOccurrenceCount_ = Number + 1;
   for (std::size_t Step = 0; Step < Job.Spec_.Steps_.size(); ++Step)
     updateReadyStep(Job, Job.OpenOccurrences_.back(), Step);
 }
@@ -424,7 +424,7 @@
                           std::size_t Step) const {
   for (const std::uint64_t Dependency : Job.Spec_.Steps_[Step].DependsOn_) {
     const StepRecord &DependencyStep = Occurrence.Steps_[Dependency];
-    if (DependencyStep.Done_ < DependencyStep.Tasks_.size())
+    if (DependencyStep.DoneCount_ < DependencyStep.Tasks_.size())
       return false;
   }
   return true;
--- a/src/jobs/JobRegistryCrashes.cpp
+++ b/src/jobs/JobRegistryCrashes.cpp
@@ -85,7 +85,8 @@
       Suspects.begin(), Suspects.end(), [&](const CrashSuspect &Suspect) {
         return isSameRun(*this, Suspects.front(), Suspect);
       });
-  const bool IsConclusive = IsOneRun && Crash.IsStable_ && !Crash.IsCorrelated_;
+  const bool IsConclusive =
+      IsOneRun && Crash.WasServerStable_ && !Crash.IsCorrelated_;
   for (const CrashSuspect &Suspect : Suspects) {
     const TaskRecord *Task = findTask(Suspect.Task_);
     if (!Task)
--- a/src/jobs/JobRegistrySnapshot.cpp
+++ b/src/jobs/JobRegistrySnapshot.cpp
@@ -81,7 +81,8 @@
   for (const auto &[Id, Job] : Jobs_) {
     if (Job.State_ == JobState::Queued)
       ++Pending_[Job.Policy_.getKey()];
-    if (!isEnded(Job.State_) && Job.OpenedCount_ < Job.Spec_.countOccurrences())
+    if (!isEnded(Job.State_) &&
+        Job.CreatedOccurrenceCount_ < Job.Spec_.countOccurrences())
       Timed_.insert(Id);
     updateReadySteps(Job);
     for (const OccurrenceRecord &Occurrence : Job.OpenOccurrences_)
--- a/src/jobs/JobValueEstimator.cpp
+++ b/src/jobs/JobValueEstimator.cpp
@@ -41,7 +41,7 @@
   for (std::size_t I = 0; I < Job.Spec_.Steps_.size(); ++I) {
     const StepRecord &Record = Occurrence.Steps_[I];
     Remaining +=
-        getWork(Job.Spec_.Steps_[I], Record.Tasks_.size() - Record.Done_);
+        getWork(Job.Spec_.Steps_[I], Record.Tasks_.size() - Record.DoneCount_);
   }
   return (FixedFraction * QueueMean + (1 - FixedFraction) * Total) / Remaining;
 }
--- a/src/jobs/SchedulingOrder.cpp
+++ b/src/jobs/SchedulingOrder.cpp
@@ -44,7 +44,7 @@
     for (const std::uint64_t Other : Step.DependsOn_)
       Begin = std::max(Begin, Ends[Other]);
     const StepRecord &Record = Occurrence.Steps_[Index];
-    const bool IsDone = Record.Done_ == Record.Tasks_.size();
+    const bool IsDone = Record.DoneCount_ == Record.Tasks_.size();
     Ends.push_back(Begin + (IsDone ? 0 : Step.EstimateMs_));
     Longest = std::max(Longest, Ends.back());
   }
--- a/src/jobs/SchedulingOrder.h
+++ b/src/jobs/SchedulingOrder.h
@@ -30,7 +30,7 @@
 
 /// A waiting step with the values that a plan checks first.
 struct Candidate {
-  static constexpr std::size_t NotFilling =
+  static constexpr std::size_t NoFillingImage =
       std::numeric_limits<std::size_t>::max();
 
   ReadyStep Step_;
@@ -39,7 +39,7 @@
                        /// that do not fill.
   std::int64_t IdleNeeded_ = 0;
   /// Index of the tasks' filling image in this order.
-  std::size_t FillingImage_ = NotFilling;
+  std::size_t FillingImage_ = NoFillingImage;
   TimePoint ReadySince_{};
   bool IsIdleJob_ = false; ///< Nothing of the job ran at the last update.
 };
--- a/src/jobs/ServingLoads.cpp
+++ b/src/jobs/ServingLoads.cpp
@@ -21,10 +21,11 @@
 static constexpr double MaxRisePerSecond = 0.4;
 /// Readings scatter by a tenth; this many arrive in a second for a small step.
 static constexpr std::uint64_t MinSamples = 16;
-/// How often the range of an image's tails is updated, and by how much an end
-/// of it that is no longer seen moves inwards each time (logarithm): a tail of
-/// a third of the shortest one is forgotten after twenty seconds.
+/// The interval at which the range of an image's tails is updated.
 static constexpr Duration RangeInterval = 500ms;
+/// How far an end of the range that no tail reaches moves inwards per update
+/// (logarithm): a tail of a third of the shortest one is forgotten after twenty
+/// seconds.
 static constexpr double RangeDecay = 0.03;
 /// The share of their processors that serving tasks leave idle at their lowest
 /// load; they use a fifth of them then.
--- a/src/jobs/WavePlanner.cpp
+++ b/src/jobs/WavePlanner.cpp
@@ -51,7 +51,8 @@
                               : Listed->second.State_ == VmState::Up;
 }
 
-bool WavePlanner::isListDue(const JobRegistry &Registry, TimePoint Now) const {
+bool WavePlanner::isVmListRefreshDue(const JobRegistry &Registry,
+                                     TimePoint Now) const {
   const bool AnyDown =
       std::any_of(Orders_.begin(), Orders_.end(),
                   [](const auto &Entry) { return Entry.second.IsDown_; });
--- a/src/jobs/WavePlanner.h
+++ b/src/jobs/WavePlanner.h
@@ -54,8 +54,8 @@
   bool isDraining(const std::string &ServerId) const {
     return DrainingSince_.count(ServerId) != 0;
   }
-  /// Returns whether a new list is needed for a decision.
-  bool isListDue(const JobRegistry &Registry, TimePoint Now) const;
+  /// Returns whether the list of VMs is needed for a decision and out of date.
+  bool isVmListRefreshDue(const JobRegistry &Registry, TimePoint Now) const;
 
 private:
   /// The state of this leader's order for a VM of a wave.
--- a/src/jobservice/RelayWindow.cpp
+++ b/src/jobservice/RelayWindow.cpp
@@ -22,16 +22,16 @@
 /// Number of urgent reports that may be sent beyond the window.
 static constexpr std::size_t UrgentAllowance = 8;
 
-std::size_t RelayWindow::getAvailableBelow(std::size_t Maximum) const {
+std::size_t RelayWindow::getAvailableInWindow(std::size_t Maximum) const {
   return Maximum > InFlight_ ? Maximum - InFlight_ : 0;
 }
 
 std::size_t RelayWindow::getAvailable() const {
-  return getAvailableBelow(std::min(Window_, Limit_));
+  return getAvailableInWindow(std::min(Window_, Limit_));
 }
 
 std::size_t RelayWindow::getAvailableForUrgent() const {
-  return getAvailableBelow(std::min(Window_ + UrgentAllowance, Limit_));
+  return getAvailableInWindow(std::min(Window_ + UrgentAllowance, Limit_));
 }
 
 std::size_t RelayWindow::getBatchLimit() const {
--- a/src/jobservice/RelayWindow.h
+++ b/src/jobservice/RelayWindow.h
@@ -43,7 +43,8 @@
   std::size_t getBatchLimit() const;
 
 private:
-  std::size_t getAvailableBelow(std::size_t Maximum) const;
+  /// Returns how many more reports fit into a window of Maximum.
+  std::size_t getAvailableInWindow(std::size_t Maximum) const;
   void adapt(Duration Latency, Duration Waited);
   void raiseLimit(std::size_t Answered, bool IsFast);
 
--- a/src/jobservice/ReportRouter.cpp
+++ b/src/jobservice/ReportRouter.cpp
@@ -5,9 +5,10 @@
 using namespace tulipweir;
 using namespace tulipweir::jobservice;
 
-/// A server is redirected to the control chosen for it only in one of
-/// RedirectPeriod intervals.
+/// The time after which other servers become due for a redirect.
 static constexpr Duration RedirectInterval = std::chrono::seconds(1);
+/// A server is redirected to the control that is chosen for it only in one of
+/// this many intervals.
 static constexpr std::size_t RedirectPeriod = 8;
 /// Timeout of a flush request, which a relay handles at once. A request that
 /// times out is sent again.
--- a/tests/decide/PlannerTest.cpp
+++ b/tests/decide/PlannerTest.cpp
@@ -240,7 +240,7 @@
       end(Task, EndReason::Cancelled);
   }
   EXPECT_EQ(sumReserved(), Resources::makeFor(20000, 20000));
-  // The freed resources can be placed again completely.
+  // Later tasks can use all of the freed resources.
   addJob("next", 60);
   decideAndCommit();
   EXPECT_EQ(Placed_.size(), 80U);
--- a/tests/jobs/CrashSimulator.cpp
+++ b/tests/jobs/CrashSimulator.cpp
@@ -233,7 +233,7 @@
     return End.Number_ <= Orders.EndsNoted_;
   });
   for (const StopOrder &Stop : Orders.Stops_) {
-    std::uint64_t &Highest = Backend.HighestRuns_[Stop.Task_];
+    std::uint64_t &Highest = Backend.HighestRunNumbers_[Stop.Task_];
     Highest = std::max(Highest, Stop.Run_);
     const auto Running = Backend.Running_.find(Stop.Task_);
     if (Running == Backend.Running_.end() ||
@@ -249,7 +249,7 @@
 }
 
 void CrashSimulator::startRun(Server &Backend, const StartOrder &Start) {
-  std::uint64_t &Highest = Backend.HighestRuns_[Start.Task_];
+  std::uint64_t &Highest = Backend.HighestRunNumbers_[Start.Task_];
   if (Start.Run_ <= Highest)
     return;
   Highest = Start.Run_;
--- a/tests/jobs/CrashSimulator.h
+++ b/tests/jobs/CrashSimulator.h
@@ -90,7 +90,7 @@
     std::uint64_t Sequence_ = 0;
     std::uint64_t LastEnd_ = 0;
     std::map<TaskKey, Run> Running_;
-    std::map<TaskKey, std::uint64_t> HighestRuns_;
+    std::map<TaskKey, std::uint64_t> HighestRunNumbers_;
     std::vector<EndedTask> Ended_;
   };
   struct TaskHistory {
--- a/tests/jobs/InterferenceSamples.h
+++ b/tests/jobs/InterferenceSamples.h
@@ -26,11 +26,11 @@
   std::uniform_real_distribution<double> Share(0.02, 0.4);
   std::normal_distribution<double> Noise(0, Scatter);
   for (int I = 0; I < Reports; ++I) {
-    const double Much = Share(Random);
-    const double Little = Share(Random);
-    Interference.learn(
-        Serving, {{Heavy, Much}, {Light, Little}},
-        std::exp(HeavyWeight * Much + LightWeight * Little + Noise(Random)));
+    const double HeavyShare = Share(Random);
+    const double LightShare = Share(Random);
+    Interference.learn(Serving, {{Heavy, HeavyShare}, {Light, LightShare}},
+                       std::exp(HeavyWeight * HeavyShare +
+                                LightWeight * LightShare + Noise(Random)));
   }
 }
 
--- a/tests/jobs/WavePlannerTest.cpp
+++ b/tests/jobs/WavePlannerTest.cpp
@@ -46,12 +46,13 @@
 } // namespace
 
 TEST_F(WavePlannerTest, NoOrderBeforeVmsAreListed) {
-  EXPECT_FALSE(Planner_.isListDue(Registry_, Now_)) << "there is no wave";
+  EXPECT_FALSE(Planner_.isVmListRefreshDue(Registry_, Now_))
+      << "there is no wave";
   startWave(1);
-  EXPECT_TRUE(Planner_.isListDue(Registry_, Now_));
+  EXPECT_TRUE(Planner_.isVmListRefreshDue(Registry_, Now_));
   EXPECT_FALSE(order());
   list();
-  EXPECT_FALSE(Planner_.isListDue(Registry_, Now_));
+  EXPECT_FALSE(Planner_.isVmListRefreshDue(Registry_, Now_));
   const auto Order = order();
   ASSERT_TRUE(Order);
   EXPECT_EQ(*Order, (MaintenanceOrder{7, "v1", "s1"}));
--- a/tests/jobservice/NodeCluster.h
+++ b/tests/jobservice/NodeCluster.h
@@ -92,7 +92,7 @@
         Settings, Pool_, Time_, Advisor_, Provider_, Metrics_, Log_, Open,
         [this, Node](const Clock &) {
           ++Measurements_.at(static_cast<std::size_t>(Node));
-          return Node == SlowNode_ ? SlowWorkTime : NormalWorkTime;
+          return Node == SlowNode_ ? SlowProbeTime : NormalProbeTime;
         });
     const Outcome<void> Started = NewNode->start();
     ASSERT_TRUE(Started) << Started.error().Message_;
@@ -159,8 +159,8 @@
   }
 
   /// Probe times of the nodes; SlowNode_ takes three times as long.
-  static constexpr Duration NormalWorkTime = std::chrono::microseconds(70);
-  static constexpr Duration SlowWorkTime = 3 * NormalWorkTime;
+  static constexpr Duration NormalProbeTime = std::chrono::microseconds(70);
+  static constexpr Duration SlowProbeTime = 3 * NormalProbeTime;
   std::atomic<int> SlowNode_{0};
   /// The number of probes by node.
   std::array<std::atomic<int>, 16> Measurements_{};
--- a/tests/jobservice/ReportInboxTest.cpp
+++ b/tests/jobservice/ReportInboxTest.cpp
@@ -50,7 +50,8 @@
   EXPECT_TRUE(Handled_.empty());
 }
 
-// Guards against a server that is removed although its ended tasks had arrived.
+// Guards against a server that is removed although the reports of its ended
+// tasks had arrived.
 TEST_F(ReportInboxTest, EndedTasksInAFlushDoNotExpire) {
   ReportBatch Batch{{makeReport("late"), makeReport("current")}};
   Batch.FlushId_ = 7;
--- a/tests/jobservice/StarvedFleet.cpp
+++ b/tests/jobservice/StarvedFleet.cpp
@@ -418,7 +418,7 @@
       std::max(Backend.LeaseEnd_,
                Backend.SentAt_ + std::chrono::milliseconds(Orders.LeaseMs_));
   for (const StopOrder &Stop : Orders.Stops_) {
-    std::uint64_t &HighestRun = Backend.HighestRuns_[Stop.Task_];
+    std::uint64_t &HighestRun = Backend.HighestRunNumbers_[Stop.Task_];
     HighestRun = std::max(HighestRun, Stop.Run_);
     const auto It = Backend.Running_.find(Stop.Task_);
     if (It != Backend.Running_.end() && It->second.Number_ == Stop.Run_)
@@ -429,7 +429,7 @@
 }
 
 void StarvedFleet::startRun(Server &Backend, const StartOrder &Start) {
-  std::uint64_t &HighestRun = Backend.HighestRuns_[Start.Task_];
+  std::uint64_t &HighestRun = Backend.HighestRunNumbers_[Start.Task_];
   if (Start.Run_ <= HighestRun)
     return;
   HighestRun = Start.Run_;
--- a/tests/jobservice/StarvedFleet.h
+++ b/tests/jobservice/StarvedFleet.h
@@ -122,9 +122,9 @@
   struct Server {
     std::string Id_;
     std::map<TaskKey, Run> Running_;
-    /// The highest run of each task that the server has seen, started or
-    /// stopped.
-    std::map<TaskKey, std::uint64_t> HighestRuns_;
+    /// The highest run number of each task that the server was told to start or
+    /// stop.
+    std::map<TaskKey, std::uint64_t> HighestRunNumbers_;
     std::vector<jobs::EndedTask> Ended_;
     std::uint64_t LastEnd_ = 0;
     /// The last ended task that was reported.
--- a/tests/jobservice/StarvedFleetTest.cpp
+++ b/tests/jobservice/StarvedFleetTest.cpp
@@ -138,8 +138,9 @@
     }
 }
 
-// Guards against a lost server that is given up late. Its long-running tasks
-// have to run again within 9 s of their last run, with a lease of 6 s.
+// Guards against a lost server that is removed late. Its long-running tasks
+// have to run elsewhere within 9 s of the time they last ran on it, with a
+// lease of 6 s.
 TEST(StarvedFleetTest, LastingTasksAreBackInTimeAfterTheirServersLoss) {
   static constexpr Duration MaxDowntime = 9s;
   for (std::uint64_t Seed = 1; Seed <= 6; ++Seed)
--- a/tests/platform/soak/SoakClients.cpp
+++ b/tests/platform/soak/SoakClients.cpp
@@ -120,9 +120,10 @@
          {Version + 1 + Generator() % 2, Version + 2}) {
       const unsigned Status =
           Cluster_
-              .tryControl(static_cast<int>(Generator() % Controls), "PUT",
-                          "/api/config",
-                          PlatformCluster::makeConfiguration(Next).dump())
+              .tryControlRequest(
+                  static_cast<int>(Generator() % Controls), "PUT",
+                  "/api/config",
+                  PlatformCluster::makeConfiguration(Next).dump())
               .Status_;
       if (Status == 200 && Next > AckedVersion_)
         AckedVersion_ = Next;
@@ -138,7 +139,7 @@
 void SoakClients::readConfigurations(Random Generator) {
   while (!Stopping_) {
     const std::uint64_t Floor = AckedVersion_;
-    const HttpAnswer Answer = Cluster_.tryControl(
+    const HttpAnswer Answer = Cluster_.tryControlRequest(
         static_cast<int>(Generator() % Controls), "GET", "/api/config");
     if (Answer.Status_ == 200) {
       const auto Version = Answer.json().value("version", std::uint64_t(0));
--- a/tests/platform/system/PlatformCluster.cpp
+++ b/tests/platform/system/PlatformCluster.cpp
@@ -111,9 +111,10 @@
     std::cerr << "== " << Name << "\n" << Process->readOutput();
 }
 
-HttpAnswer PlatformCluster::tryControl(int Control, const std::string &Method,
-                                       const std::string &Path,
-                                       const std::string &Body) {
+HttpAnswer PlatformCluster::tryControlRequest(int Control,
+                                              const std::string &Method,
+                                              const std::string &Path,
+                                              const std::string &Body) {
   HttpCall Call;
   Call.Method_ = Method;
   Call.Address_ = Endpoints_.at("control" + std::to_string(Control)).Address_;
@@ -128,7 +129,7 @@
   HttpAnswer Answer;
   waitFor(Timeout, [&] {
     for (int I = 0; I < Controls; ++I) {
-      Answer = tryControl(I, Method, Path, Body);
+      Answer = tryControlRequest(I, Method, Path, Body);
       if (Answer.Status_ != 0 && Answer.Status_ != 307 && Answer.Status_ != 503)
         return true;
     }
@@ -176,7 +177,7 @@
 
 std::string PlatformCluster::findLeader() {
   for (int I = 0; I < Controls; ++I)
-    if (tryControl(I, "GET", "/api/config").Status_ == 200)
+    if (tryControlRequest(I, "GET", "/api/config").Status_ == 200)
       return "control" + std::to_string(I);
   return "";
 }
--- a/tests/platform/system/PlatformCluster.h
+++ b/tests/platform/system/PlatformCluster.h
@@ -61,9 +61,10 @@
                                       const std::string &Path,
                                       const std::string &Body = "");
   /// Makes a single call to one control and returns any answer.
-  system_test::HttpAnswer tryControl(int Control, const std::string &Method,
-                                     const std::string &Path,
-                                     const std::string &Body = "");
+  system_test::HttpAnswer tryControlRequest(int Control,
+                                            const std::string &Method,
+                                            const std::string &Path,
+                                            const std::string &Body = "");
   system_test::HttpAnswer callEntry(const std::string &Method,
                                     const std::string &Path,
                                     const std::string &Body = "",
