--- a/include/tulipweir/datacentre/JobOutcomeTracker.h
+++ b/include/tulipweir/datacentre/JobOutcomeTracker.h
@@ -18,7 +18,7 @@
 
 enum class JobEnd : std::uint8_t { Finished, Failed, Cancelled };
 
-/// The final outcome of a job.
+/// Combines how the tasks of a job ended; see summarizeJob.
 struct JobOutcome {
   JobId Job_;
   std::uint64_t Assignment_ = 0;
--- a/src/control/ControlCore.cpp
+++ b/src/control/ControlCore.cpp
@@ -15,13 +15,14 @@
 control::makeLeadershipSettings(const ControlSettings &Settings) {
   LeadershipSettings Result;
   Result.DataCentre_ = DataCentreId(Settings.DataCentre_);
-  datacentre::ServerTrackerSettings &Servers = Result.Servers_;
-  Servers.Leases_.Ttl_ = Settings.LeaseTtl_;
-  Servers.Leases_.DriftPpm_ = static_cast<std::uint32_t>(Settings.DriftPpm_);
-  Servers.Leases_.StopGrace_ = Settings.StopGrace_;
-  Servers.Heartbeat_ = Settings.Heartbeat_;
-  Servers.SilentAfter_ = Settings.Silence_;
-  Servers.ForgetAfter_ = Settings.ForgetAfter_;
+  datacentre::ServerTrackerSettings &TrackerSettings = Result.TrackerSettings_;
+  TrackerSettings.Leases_.Ttl_ = Settings.LeaseTtl_;
+  TrackerSettings.Leases_.DriftPpm_ =
+      static_cast<std::uint32_t>(Settings.DriftPpm_);
+  TrackerSettings.Leases_.StopGrace_ = Settings.StopGrace_;
+  TrackerSettings.Heartbeat_ = Settings.Heartbeat_;
+  TrackerSettings.SilentAfter_ = Settings.Silence_;
+  TrackerSettings.ForgetAfter_ = Settings.ForgetAfter_;
   Result.Slots_.GrantTtl_ = Settings.GrantTtl_;
   Result.Slots_.MaxRequest_ = Settings.MaxRequest_;
   Result.Slots_.DriftPpm_ = static_cast<std::uint32_t>(Settings.DriftPpm_);
--- a/src/control/DataCentreLeadership.cpp
+++ b/src/control/DataCentreLeadership.cpp
@@ -94,14 +94,14 @@
       Servers_(readState(Parts.Machine_,
                          [&](const DataCentreState &State) {
                            return datacentre::ServerTracker(
-                               Settings.Servers_, Term, Parts.Time_.now(),
-                               State);
+                               Settings.TrackerSettings_, Term,
+                               Parts.Time_.now(), State);
                          })),
       Slots_(Settings.Slots_, Term, Parts.Time_.now(),
              readState(Parts.Machine_, listSlotServers)),
       Jobs_(Settings.DataCentre_, Parts.Fleet_, Parts.Machine_, Parts.Lease_,
             Proposer_, Parts.FleetProposals_, Parts.Strand_, Parts.Time_,
-            Settings.Servers_.Leases_.getMaxRunTime()),
+            Settings.TrackerSettings_.Leases_.getMaxRunTime()),
       Planning_(
           Parts.Machine_, Proposer_, Servers_.attempts(), Parts.Stream_,
           Parts.Time_, Parts.Counters_.Planning_,
@@ -199,7 +199,7 @@
 void DataCentreLeadership::removeUncoveredLeases(
     wire::AnnouncementReply &Reply) {
   const TimePoint Until =
-      Parts_.Time_.now() + Settings_.Servers_.Leases_.getMaxRunTime();
+      Parts_.Time_.now() + Settings_.TrackerSettings_.Leases_.getMaxRunTime();
   const std::size_t Before = Reply.Renewals_.size() + Reply.Commands_.size();
   std::erase_if(Reply.Renewals_, [&](const wire::LeaseRenewal &Renewal) {
     return !isCoveredUntil(Renewal.Task_.Job_, Until);
@@ -228,8 +228,9 @@
 
 void DataCentreLeadership::recordReports(const wire::Announcement &Announced,
                                          TimePoint Now) {
-  const auto AnnouncementsPerUsageUpdate = static_cast<std::uint64_t>(
-      std::max<std::int64_t>(1, UsageInterval / Settings_.Servers_.Heartbeat_));
+  const auto AnnouncementsPerUsageUpdate =
+      static_cast<std::uint64_t>(std::max<std::int64_t>(
+          1, UsageInterval / Settings_.TrackerSettings_.Heartbeat_));
   const bool UsageDue = Announced.Sequence_ % AnnouncementsPerUsageUpdate == 0;
   for (const wire::AttemptReport &Report : Announced.Attempts_)
     if (UsageDue && Report.State_ == wire::AttemptState::Running)
@@ -289,10 +290,10 @@
   // The comparison avoids a subtraction, which would overflow for a server that
   // was never heard.
   const TimePoint HeardAt = Servers_.findLastHeardAt(Server);
-  if (HeardAt > Now - Settings_.Servers_.SilentAfter_)
+  if (HeardAt > Now - Settings_.TrackerSettings_.SilentAfter_)
     return ServerReachability::Reachable;
   const bool LeasesExpired =
-      HeardAt <= Now - Settings_.Servers_.Leases_.getMaxRunTime();
+      HeardAt <= Now - Settings_.TrackerSettings_.Leases_.getMaxRunTime();
   return LeasesExpired ? ServerReachability::LeasesExpired
                        : ServerReachability::Silent;
 }
--- a/src/control/DataCentreLeadership.h
+++ b/src/control/DataCentreLeadership.h
@@ -30,7 +30,7 @@
 /// Settings that must be equal at all control processes of a data centre.
 struct LeadershipSettings {
   DataCentreId DataCentre_;
-  datacentre::ServerTrackerSettings Servers_;
+  datacentre::ServerTrackerSettings TrackerSettings_;
   datacentre::SlotSettings Slots_;
   std::size_t PlanBudget_ = 128; ///< Maximum decisions per run.
   std::size_t JobBudget_ = 64;   ///< Maximum jobs reviewed per run.
--- a/src/control/FleetService.h
+++ b/src/control/FleetService.h
@@ -82,8 +82,8 @@
   std::vector<fleet::HeldAssignment> Assignments_;
   std::atomic<bool> JobsChanged_{true};
   std::atomic<bool> Leading_{false};
-  std::uint64_t Term_ = 0;      ///< The term under which Assigner_ leads.
-  bool ReportInFlight_ = false; ///< A report was sent and is not answered yet.
+  std::uint64_t Term_ = 0; ///< The term under which Assigner_ leads.
+  bool ReportInFlight_ = false;
   bool ReportQueued_ = false; ///< Something changed after the report was sent.
   bool Stopped_ = false;
   std::uint64_t Ticks_ = 0;
--- a/src/datacentre/SlotAllocator.cpp
+++ b/src/datacentre/SlotAllocator.cpp
@@ -230,7 +230,8 @@
   }
   Entry.Demand_.resize(InFlight.size());
   for (std::size_t I = 0; I < InFlight.size(); ++I) {
-    // An entry that uses its whole share would use more, by an unknown amount.
+    // An entry process that uses its whole share may need more, by an unknown
+    // amount, so its demand is estimated above its use.
     const bool FillsShare =
         InFlight[I] > 0 && InFlight[I] >= FullShareThreshold * Granted[I];
     const double EstimatedDemand =
--- a/src/entry/AnnouncementBatcher.cpp
+++ b/src/entry/AnnouncementBatcher.cpp
@@ -247,7 +247,7 @@
       Last = {Item.Number_, Item.Announcement_, Deps_.Clock_.now()};
   }
 
-  /// Requires the lock.
+  /// The caller must hold Mutex_.
   void pruneAcknowledged() {
     const TimePoint Now = Deps_.Clock_.now();
     if (Now - PrunedAt_ < AcknowledgedTtl)
--- a/src/entry/AnswerCheck.cpp
+++ b/src/entry/AnswerCheck.cpp
@@ -7,7 +7,7 @@
 using namespace tulipweir;
 using namespace tulipweir::entry;
 
-static constexpr unsigned BusyStatus = 503;
+static constexpr unsigned ServiceUnavailableStatus = 503;
 static constexpr unsigned FirstFailedStatus = 500;
 
 static TryResult checkFailure(const net::HttpResult &Result) {
@@ -38,7 +38,7 @@
     Classification.WrongId_ = true;
     return Classification;
   }
-  const bool Busy = Response.Status_ == BusyStatus &&
+  const bool Busy = Response.Status_ == ServiceUnavailableStatus &&
                     Response.findHeader(header::NotRun) == "1";
   if (Busy) {
     Classification.End_ = TryEnd::NotRun;
--- a/src/fleet/FieldReader.cpp
+++ b/src/fleet/FieldReader.cpp
@@ -18,11 +18,11 @@
 
 /// Returns the value as JSON, shortened so that a problem fits on one line.
 static std::string formatValue(const json &Value) {
-  std::string Shown =
+  std::string DisplayText =
       Value.dump(-1, ' ', false, json::error_handler_t::replace);
-  if (Shown.size() > MaxValueBytes)
-    Shown = Shown.substr(0, MaxValueBytes) + "...";
-  return Shown;
+  if (DisplayText.size() > MaxValueBytes)
+    DisplayText = DisplayText.substr(0, MaxValueBytes) + "...";
+  return DisplayText;
 }
 
 template <class Number> static std::string formatRange(Range<Number> Allowed) {
--- a/tests/control/ControlCluster.h
+++ b/tests/control/ControlCluster.h
@@ -201,7 +201,7 @@
   TestControl A_{"c1", Time_, DataCentreLog_, FleetLog_};
   TestControl B_{"c2", Time_, DataCentreLog_, FleetLog_};
   std::vector<wire::AttemptReport>
-      HeldAttempts_; ///< The attempts that s1 runs.
+      HeldAttempts_; ///< The attempts that backend server s1 runs.
   std::map<TaskId, int> Starts_;
   bool ExecutesCommands_ = true; ///< Whether s1 executes commands.
   std::string
--- a/tests/datacentre/FakeBackendServer.h
+++ b/tests/datacentre/FakeBackendServer.h
@@ -56,12 +56,12 @@
     HighestToken_.clear();
     SentAt_.clear();
   }
-  BootId boot() const { return BootId("b" + std::to_string(Boot_)); }
+  BootId getBootId() const { return BootId("b" + std::to_string(Boot_)); }
 
   wire::Announcement announce(Duration RealTime) {
     wire::Announcement A;
     A.Server_ = Id_;
-    A.Boot_ = boot();
+    A.Boot_ = getBootId();
     A.Capacity_ = Capacity_;
     A.Slots_ = A.Connections_ = 8;
     A.Draining_ = Draining_;
--- a/tests/datacentre/LeaseManagerTest.cpp
+++ b/tests/datacentre/LeaseManagerTest.cpp
@@ -23,15 +23,15 @@
     // Every other pair of clocks has the maximum drift.
     const DriftingClock Server{I % 2 ? Rate(Random) : 0.95};
     const DriftingClock Leader{I % 2 ? Rate(Random) : 1.05};
-    const Duration Sent = milliseconds(Random() % 100'000);
-    const Duration Answered = Sent + milliseconds(Random() % 50);
-    LeaseManager Manager(Settings, FencingToken{1, 0}, Leader.at(Sent));
+    const Duration SentOffset = milliseconds(Random() % 100'000);
+    const Duration Answered = SentOffset + milliseconds(Random() % 50);
+    LeaseManager Manager(Settings, FencingToken{1, 0}, Leader.at(SentOffset));
     ASSERT_TRUE(Manager.renew(Task, First, {Leader.at(Answered), true}));
     const TimePoint Expiry =
         Manager.findExpiry(Task, First, FencingToken{1, 1});
     // The server stops the task as late as allowed, by its own clock.
     const Duration MaxRunTime = Settings.Ttl_ + Settings.StopGrace_;
-    const Duration RealStop = Sent + scale(MaxRunTime, 1 / Server.Rate_);
+    const Duration RealStop = SentOffset + scale(MaxRunTime, 1 / Server.Rate_);
     ASSERT_GE(Expiry + Duration(2), Leader.at(RealStop));
     SmallestMargin = std::min(SmallestMargin, Expiry - Leader.at(RealStop));
   }
--- a/tests/datacentre/LeaseSimulation.cpp
+++ b/tests/datacentre/LeaseSimulation.cpp
@@ -194,7 +194,8 @@
   send(
       [this, Server, Boot, Sequence, Reply] {
         FakeBackendServer &Recipient = Servers_[Server];
-        if (RealTime_ >= PartitionedUntil_[Server] && Recipient.boot() == Boot)
+        if (RealTime_ >= PartitionedUntil_[Server] &&
+            Recipient.getBootId() == Boot)
           Recipient.onReply(Sequence, Reply, RealTime_);
       },
       true);
--- a/tests/entry/LeaderClientTest.cpp
+++ b/tests/entry/LeaderClientTest.cpp
@@ -64,7 +64,7 @@
     return Result;
   }
   /// Sends an idempotent call and returns "answered" or the name of the error.
-  std::string askRecord() {
+  std::string finishRequest() {
     std::string Result = "none";
     Client_->finish({}, seconds(2), [&](const Outcome<wire::RecordReply> &Got) {
       Result = Got ? "answered" : std::string(getErrorName(Got.error().Code_));
@@ -112,7 +112,7 @@
 
 TEST_F(LeaderClientTest, IdempotentCallSkipsAnUnresponsiveProcess) {
   Peers_[0].Silent_ = true;
-  askRecord();
+  finishRequest();
   EXPECT_EQ(Peers_[0].Calls_, 1);
   EXPECT_EQ(Peers_[1].Calls_, 1);
 }
@@ -121,7 +121,7 @@
   Peers_[0].Silent_ = true;
   Peers_[1].Fault_ = Error::make(ErrorCode::NotLeader, "");
   Peers_[2].Fault_ = Error::make(ErrorCode::Unavailable, "");
-  EXPECT_EQ(askRecord(), "timeout");
+  EXPECT_EQ(finishRequest(), "timeout");
 }
 
 TEST_F(LeaderClientTest, LeaderErrorsAreReturned) {
--- a/tests/entry/ThreadsTest.cpp
+++ b/tests/entry/ThreadsTest.cpp
@@ -195,7 +195,7 @@
   Gate->recordSlotTaken(BackendServerId("1"));
   Gate->recordSlotReleased(BackendServerId("1"), decide::RequestResult::Served,
                            milliseconds(1));
-  for (int Spent = 0; Spent < 9; ++Spent)
+  for (int I = 0; I < 9; ++I)
     Gate->trySpendRetry();
   auto Request = std::make_shared<ServiceRequest>();
   Request->Service_ = ServiceId("booking");
--- a/tests/replication/FaultyFiles.h
+++ b/tests/replication/FaultyFiles.h
@@ -122,10 +122,10 @@
     Appender(FaultyFiles &Owner, FileRef File) : Owner_(Owner), File_(File) {}
     Outcome<void> append(std::string_view Bytes) override {
       bool Works = Owner_.work();
-      bool IsCutOff = !Works && Owner_.Work_ == Owner_.CrashAt_;
-      if (IsCutOff)
+      bool IsInterrupted = !Works && Owner_.Work_ == Owner_.CrashAt_;
+      if (IsInterrupted)
         Bytes = Bytes.substr(0, Owner_.Random_() % (Bytes.size() + 1));
-      if (Works || IsCutOff)
+      if (Works || IsInterrupted)
         File_->Written_ += Bytes;
       if (!Works)
         return failNow();
