--- a/src/jobs/IsolationPlanner.h
+++ b/src/jobs/IsolationPlanner.h
@@ -89,10 +89,9 @@
   std::set<std::string> StableServices_; ///< With a stable server.
   TimePoint RefreshedAt_{};
 
-  std::map<TaskKey, TimePoint>
-      WaitingSince_; ///< When first seen waiting.
-                     /// The run of each task that starts without isolation, as
-                     /// the task waited too long.
+  std::map<TaskKey, TimePoint> WaitingSince_; ///< When first seen waiting.
+  /// The run of each task that starts without isolation, as the task waited too
+  /// long.
   std::map<TaskKey, std::uint64_t> ExemptRuns_;
   std::map<std::string, Reservation> Reservations_; ///< By server id.
 };
--- a/src/jobs/JobLeaderImpl.h
+++ b/src/jobs/JobLeaderImpl.h
@@ -234,24 +234,23 @@
   TimePoint OverloadedUntil_{};
   bool IsListing_ = false;  ///< A request for the list of VMs is open.
   bool IsOrdering_ = false; ///< An order to the provider of VMs is open.
-                            /// Reports that wait for commits, the oldest first.
+  /// Reports that wait for commits, the oldest first.
   std::deque<PendingReportPtr> PendingReports_;
   /// Servers with expiring leases for which the relays are asked, or were asked
   /// so recently that they may not be asked again yet.
   std::map<std::string, ExpiryCheck> ExpiryChecks_;
   std::uint64_t LastExpiryRound_ = 0;
   TimePoint NextExpiryRound_{}; ///< The next round of an overloaded leader.
-                                /// Servers that no relay had heard when asked
-                                /// while the leader was overloaded.
+  /// Servers that no relay had heard when asked while the leader was
+  /// overloaded.
   std::set<std::string> Unheard_;
   /// Incarnations that are about to be ended, until that is committed.
   std::set<std::string> Leaving_;
   std::map<std::string, TimePoint> EndedAt_;
   /// When this leader accepted jobs that have not ended.
   std::map<std::string, TimePoint> AcceptedAt_;
-  std::set<std::string>
-      StartedJobs_; ///< Those that have started.
-                    /// The last reason that was logged for each waiting step.
+  std::set<std::string> StartedJobs_; ///< Those that have started.
+  /// The last reason that was logged for each waiting step.
   std::map<ReadyStep, std::string> LoggedWaitReasons_;
   TimePoint NextWaitLog_{};
   /// The wall clock minus the steady clock at the last check.
--- a/src/jobs/SchedulingOrder.h
+++ b/src/jobs/SchedulingOrder.h
@@ -35,8 +35,7 @@
 
   ReadyStep Step_;
   Resources Reserved_; ///< The capacity that each task reserves.
-                       /// Idle processors that each task needs; zero for steps
-                       /// that do not fill.
+  /// Idle processors that each task needs; zero for steps that do not fill.
   std::int64_t IdleNeeded_ = 0;
   /// Index of the tasks' filling image in this order.
   std::size_t FillingImage_ = NoFillingImage;
--- a/src/jobs/WavePlanner.h
+++ b/src/jobs/WavePlanner.h
@@ -76,9 +76,8 @@
   bool HasList_ = false;
   bool IsComplete_ = true; ///< The last list named every VM.
   TimePoint ListedAt_{};
-  std::map<std::string, OrderState>
-      Orders_; ///< By VM.
-               /// By server id, when draining began.
+  std::map<std::string, OrderState> Orders_; ///< By VM.
+  /// By server id, when draining began.
   std::map<std::string, TimePoint> DrainingSince_;
   /// By VM, when a next order may be sent after a busy answer or an error.
   std::map<std::string, TimePoint> RetryAt_;
--- a/src/jobservice/ControlNode.cpp
+++ b/src/jobservice/ControlNode.cpp
@@ -113,7 +113,7 @@
   ReportRouter Router_;
   mutable std::mutex Lock_;
   bool Stopped_ = false; ///< Guarded by Lock_, as is Instance_.
-                         /// Null while the replica is closed.
+  /// Null while the replica is closed.
   std::shared_ptr<ReplicaInstance> Instance_;
 };
 
--- a/tests/jobs/CrashSimulator.h
+++ b/tests/jobs/CrashSimulator.h
@@ -23,13 +23,11 @@
   std::size_t Servers_ = 24;
   /// From a crash to the first report of the next incarnation.
   Duration RestartDelay_ = std::chrono::seconds(3);
-  bool RestartsServers_ =
-      true; ///< Otherwise crashed servers stay down.
-            /// From the start of a crashing task to the crash of its server.
+  bool RestartsServers_ = true; ///< Otherwise crashed servers stay down.
+  /// From the start of a crashing task to the crash of its server.
   Duration CrashDelay_ = std::chrono::milliseconds(10);
   Duration LeaderInterval_{}; ///< Zero: the leader never changes.
-                              /// Interval between crashes of a fifth of the
-                              /// servers; zero: none.
+  /// Interval between crashes of a fifth of the servers; zero: none.
   Duration MassCrashInterval_{};
   Duration PartitionInterval_{}; ///< Partitions one server; zero: never.
   std::size_t UnstableServers_ =
@@ -132,7 +130,7 @@
   Duration LongestOutage_{}; ///< Of the outages that have ended.
   std::map<std::string, std::set<std::pair<std::uint64_t, std::uint64_t>>>
       CrashingTasks_; ///< By job.
-                      /// Submitted jobs that are not yet accepted.
+  /// Submitted jobs that are not yet accepted.
   std::map<std::string, std::vector<StepSpec>> PendingJobs_;
   std::set<std::string> Finite_; ///< Healthy jobs that end by themselves.
   std::size_t HealthyJobs_ = 0;
--- a/tests/jobservice/StarvedFleet.h
+++ b/tests/jobservice/StarvedFleet.h
@@ -93,8 +93,8 @@
   std::size_t Started_ = 0;
   std::size_t Done_ = 0;
   std::size_t ServersLost_ = 0; ///< Servers that left or fell silent.
-                                /// Longest time for which a server reported
-                                /// without an answer that extends its lease.
+  /// Longest time for which a server reported without an answer that extends
+  /// its lease.
   Duration MaxTimeWithoutLease_{};
   /// Longest time for which a run continued after its job's cancellation was
   /// acknowledged.
