--- a/src/entry/Router.cpp
+++ b/src/entry/Router.cpp
@@ -39,8 +39,8 @@
   assignServers();
 }
 
-// The leader's slot accounting (SlotAllocator.h) relies on this check: applying a
-// reply to a report that contained another version than the one in use now
+// The leader's slot accounting (SlotAllocator.h) relies on this check: applying
+// a reply to a report that contained another version than the one in use now
 // could raise this entry's slots above those accounted to it.
 bool Router::canAdopt(const wire::EntryReportReply &Reply, TimePoint SentAt,
                       std::uint64_t ReportedVersion,
