--- a/bench/platform/FleetBench.cpp
+++ b/bench/platform/FleetBench.cpp
@@ -8,7 +8,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "FleetWorld.h"
+#include "FleetSimulator.h"
 #include "LeaderTarget.h"
 #include "ProcessTarget.h"
 
@@ -19,41 +19,44 @@
 using namespace tulipweir::bench;
 
 // NOLINTNEXTLINE(bugprone-exception-escape): whatever is thrown ends the bench.
-int main(int Count, char **Words) {
+int main(int ArgumentCount, char **Arguments) {
   FleetLoad Load;
-  const int Usual = Load.Servers_;
-  if (Count > 1)
-    Load.Servers_ = std::atoi(Words[1]);
-  double Scale = double(Load.Servers_) / Usual;
-  Load.LastingJobs_ = static_cast<int>(Load.LastingJobs_ * Scale);
-  if (const char *Factor = Count > 1 ? std::strchr(Words[1], 'x') : nullptr)
+  const int DefaultServers = Load.Servers_;
+  if (ArgumentCount > 1)
+    Load.Servers_ = std::atoi(Arguments[1]);
+  double Scale = double(Load.Servers_) / DefaultServers;
+  Load.LongRunningJobs_ = static_cast<int>(Load.LongRunningJobs_ * Scale);
+  if (const char *Factor =
+          ArgumentCount > 1 ? std::strchr(Arguments[1], 'x') : nullptr)
     Scale *= std::atof(Factor + 1);
   Load.ShortPerSecond_ *= Scale;
   Load.FillingPerSecond_ *= Scale;
-  const int Seconds = Count > 2 ? std::atoi(Words[2]) : 40;
-  if (Count > 3)
-    Load.Seed_ = std::strtoull(Words[3], nullptr, 10);
+  const int Seconds = ArgumentCount > 2 ? std::atoi(Arguments[2]) : 40;
+  if (ArgumentCount > 3)
+    Load.Seed_ = std::strtoull(Arguments[3], nullptr, 10);
   std::unique_ptr<FleetTarget> Target;
-  if (Count > 5)
+  if (ArgumentCount > 5)
     Target = std::make_unique<ProcessTarget>(
-        tulipweir::net::Endpoint::parse(Words[4]).value(),
-        tulipweir::net::Endpoint::parse(Words[5]).value());
+        tulipweir::net::Endpoint::parse(Arguments[4]).value(),
+        tulipweir::net::Endpoint::parse(Arguments[5]).value());
   else
     Target = std::make_unique<LeaderTarget>();
-  FleetWorld World(Load, *Target);
+  FleetSimulator Simulator(Load, *Target);
   for (int At = 0; At < Seconds; At += 10) {
-    const FleetResult Now = World.run(10);
+    const FleetResult Result = Simulator.run(10);
     std::printf(
         "%3d s: leader %.3f of a core, %.0f us a report, %.0f reports/s, "
         "%.0f starts/s; short %llu of %llu in time, filling %llu of %llu, "
         "tails over %.3f\n",
-        At, Now.TargetSeconds_ / Now.Seconds_,
-        1e6 * Now.TargetSeconds_ / double(Now.Reports_),
-        double(Now.Reports_) / Now.Seconds_, double(Now.Starts_) / Now.Seconds_,
-        static_cast<unsigned long long>(Now.ShortInTime_),
-        static_cast<unsigned long long>(Now.ShortDone_),
-        static_cast<unsigned long long>(Now.FillingInTime_),
-        static_cast<unsigned long long>(Now.FillingDone_), Now.TailsOver_);
+        At, Result.TargetCpuSeconds_ / Result.Seconds_,
+        1e6 * Result.TargetCpuSeconds_ / double(Result.Reports_),
+        double(Result.Reports_) / Result.Seconds_,
+        double(Result.Starts_) / Result.Seconds_,
+        static_cast<unsigned long long>(Result.ShortInTime_),
+        static_cast<unsigned long long>(Result.ShortDone_),
+        static_cast<unsigned long long>(Result.FillingInTime_),
+        static_cast<unsigned long long>(Result.FillingDone_),
+        Result.OverTargetShare_);
   }
   return 0;
 }
--- a/bench/platform/FleetWorld.h
+++ b/bench/platform/FleetSimulator.h
@@ -1,4 +1,5 @@
-//===- FleetWorld.h - Backend servers and clients as arithmetic -*- C++ -*-===//
+//===- FleetSimulator.h - Backend servers and clients as arithmetic -*- C++
+//-*-===//
 //
 // Several hundred servers whose tasks run by a manual clock, each reporting in
 // the platform's words, and clients that hand in three kinds of jobs: short
@@ -8,8 +9,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_BENCH_PLATFORM_FLEETWORLD_H
-#define TULIPWEIR_BENCH_PLATFORM_FLEETWORLD_H
+#ifndef TULIPWEIR_BENCH_PLATFORM_FLEETSIMULATOR_H
+#define TULIPWEIR_BENCH_PLATFORM_FLEETSIMULATOR_H
 
 #include "FleetTarget.h"
 
@@ -24,28 +25,30 @@
   int Servers_ = 350;
   double ShortPerSecond_ = 16;
   double FillingPerSecond_ = 13;
-  int LastingJobs_ = 110;
-  int TasksOfShort_ = 10;
-  int TasksOfFilling_ = 20;
-  int TasksOfLasting_ = 14;
+  int LongRunningJobs_ = 110;
+  int TasksPerShortJob_ = 10;
+  int TasksPerFillingJob_ = 20;
+  int TasksPerLongRunningJob_ = 14;
   std::uint64_t Seed_ = 1;
 };
 
 struct FleetResult {
-  double Seconds_ = 0;       ///< Of the day that was simulated.
-  double TargetSeconds_ = 0; ///< Processor time in the target, if it is known.
+  double Seconds_ = 0; ///< Of the day that was simulated.
+  double TargetCpuSeconds_ =
+      0; ///< Processor time in the target, if it is known.
   std::uint64_t Reports_ = 0;
   std::uint64_t Starts_ = 0;
   std::uint64_t ShortDone_ = 0;
   std::uint64_t ShortInTime_ = 0;
   std::uint64_t FillingDone_ = 0;
   std::uint64_t FillingInTime_ = 0;
-  double TailsOver_ = 0; ///< Share of the serving tasks' reports over target.
+  double OverTargetShare_ =
+      0; ///< Share of the serving tasks' reports over target.
 };
 
-class FleetWorld {
+class FleetSimulator {
 public:
-  FleetWorld(const FleetLoad &Load, FleetTarget &Target);
+  FleetSimulator(const FleetLoad &Load, FleetTarget &Target);
   /// Goes on for so many seconds and says what happened in them.
   FleetResult run(int Seconds);
 
@@ -53,7 +56,7 @@
   struct Run {
     std::uint64_t Number_ = 0;
     std::string Kind_; ///< "s", "f" or "l" with the image's number.
-    double LeftMs_ = 0;
+    double RemainingMs_ = 0;
     double TotalMs_ = 0;
     std::int64_t Cpu_ = 0;
     double Pace_ = 1;
@@ -63,23 +66,23 @@
     std::string Rack_;
     std::map<std::string, Run> Running_;
     std::vector<nlohmann::json> Ended_;
-    std::uint64_t LastEnd_ = 0;
+    std::uint64_t LastEndNumber_ = 0;
     std::uint64_t Sequence_ = 0;
     std::int64_t ReportAtMs_ = 0;
-    bool IsWaiting_ = false; ///< For an answer.
+    bool IsReportPending_ = false; ///< For an answer.
   };
   struct Job {
-    std::int64_t HandedInMs_ = 0;
+    std::int64_t SubmittedMs_ = 0;
     std::int64_t DueMs_ = 0;
     bool IsFilling_ = false;
   };
 
-  void handIn(char Kind);
-  void work(Server &Own, int StepMs);
-  void report(Server &Own);
-  void obey(Server &Own, const std::string &Answer);
-  void look();
-  double getTail(const Server &Own, const Run &Serving);
+  void submitJob(char Kind);
+  void advanceTasks(Server &Backend, int ElapsedMs);
+  void sendReport(Server &Backend);
+  void applyOrders(Server &Backend, const std::string &Answer);
+  void recordCompletedJobs();
+  double sampleTail(const Server &Backend, const Run &Serving);
   double draw(double Mean, double Spread);
 
   const FleetLoad Load_;
@@ -89,10 +92,10 @@
   std::map<std::string, Job> Jobs_;
   std::int64_t NowMs_ = 0;
   FleetResult Result_;
-  std::uint64_t TailsSeen_ = 0;
-  std::uint64_t TailsOver_ = 0;
+  std::uint64_t TailSamples_ = 0;
+  std::uint64_t OverTargetSamples_ = 0;
 };
 
 } // namespace tulipweir::bench
 
-#endif // TULIPWEIR_BENCH_PLATFORM_FLEETWORLD_H
+#endif // TULIPWEIR_BENCH_PLATFORM_FLEETSIMULATOR_H
--- a/bench/platform/FleetTarget.h
+++ b/bench/platform/FleetTarget.h
@@ -1,4 +1,5 @@
-//===- FleetTarget.h - What a FleetWorld speaks to -------------*- C++ -*-===//
+//===- FleetTarget.h - What a FleetSimulator speaks to -------------*- C++
+//-*-===//
 //
 // Either a leader in this process, driven by hand, or programs that run.
 //
@@ -17,20 +18,20 @@
 /// advance() and in the calls themselves.
 class FleetTarget {
 public:
-  using Answered = std::function<void(const std::string &Body)>;
+  using ReplyHandler = std::function<void(const std::string &Body)>;
 
   virtual ~FleetTarget() = default;
   virtual void configure(const std::string &Body) = 0;
   virtual void submit(const std::string &Path, const std::string &Body) = 0;
   /// Done gets an empty body when there was no good answer.
   virtual void report(const std::string &Server, const std::string &Body,
-                      Answered Done) = 0;
+                      ReplyHandler Done) = 0;
   /// Lets so much time pass.
   virtual void advance(int Ms) = 0;
   /// Whether the job at the path is known to be completed.
   virtual bool isCompleted(const std::string &Path) = 0;
   /// Processor time so far; 0 where it is not known.
-  virtual double getSeconds() = 0;
+  virtual double getCpuSeconds() = 0;
 };
 
 } // namespace tulipweir::bench
--- a/bench/platform/HeartbeatBench.cpp
+++ b/bench/platform/HeartbeatBench.cpp
@@ -19,7 +19,7 @@
 using namespace tulipweir::jobs;
 using namespace tulipweir::jobs::test;
 
-static constexpr double MostRatio = 3;
+static constexpr double MaxRatio = 3;
 static constexpr int RunningEntries = 20;
 static constexpr int EndedEntries = 2;
 static constexpr int Heartbeats = 2000;
@@ -58,7 +58,7 @@
   double Parsing = 0;
   double Handling = 0;
   for (int I = 1; I <= Heartbeats; ++I) {
-    nlohmann::json Beat = {
+    nlohmann::json Heartbeat = {
         {"service", "booking"},
         {"address", "10.128.0.9:8080"},
         {"zone", "dc1"},
@@ -75,13 +75,13 @@
     for (int End = 0; End < EndedEntries && Running.size() > RunningEntries;
          ++End) {
       const auto First = Running.begin();
-      Beat["finished"].push_back(
+      Heartbeat["finished"].push_back(
           {++Ends, First->first, First->second, "done", ""});
       Running.erase(First);
     }
     for (const auto &[Task, Run] : Running)
-      Beat["running"].push_back({Task, Run, "00000bb87a21d94b", 41, 20});
-    const std::string Body = Beat.dump();
+      Heartbeat["running"].push_back({Task, Run, "00000bb87a21d94b", 41, 20});
+    const std::string Body = Heartbeat.dump();
     const double Begin = nowMicros();
     const bool IsObject = nlohmann::json::parse(Body).is_object();
     const double Parsed = nowMicros();
@@ -102,7 +102,7 @@
       Running[Start[0]] = Start[1];
   }
   const double Ratio = Handling / Parsing;
-  const bool IsMet = Ratio <= MostRatio;
+  const bool IsMet = Ratio <= MaxRatio;
   std::printf("a heartbeat with %d running and %d ended entries: parsing alone "
               "%.1f us, all of it %.1f us\n",
               RunningEntries, EndedEntries, Parsing / Heartbeats,
--- a/bench/platform/LeaderTarget.cpp
+++ b/bench/platform/LeaderTarget.cpp
@@ -14,7 +14,7 @@
 static constexpr const char *Host = "jobs.example";
 
 /// Processor time of this thread so far.
-static double getThreadSeconds() {
+static double getThreadCpuSeconds() {
   timespec Now{};
   ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &Now);
   return double(Now.tv_sec) + double(Now.tv_nsec) / 1e9;
@@ -25,22 +25,22 @@
   advance(100);
 }
 
-void LeaderTarget::spend(const std::function<void()> &Work) {
-  const double Begin = getThreadSeconds();
+void LeaderTarget::runTimed(const std::function<void()> &Work) {
+  const double Begin = getThreadCpuSeconds();
   Work();
   Strand_.runAll();
-  Seconds_ += getThreadSeconds() - Begin;
+  CpuSeconds_ += getThreadCpuSeconds() - Begin;
 }
 
 void LeaderTarget::configure(const std::string &Body) {
-  spend([&] {
+  runTimed([&] {
     Leader_.putConfiguration(platform::parseConfiguration(Body).value(),
                              [](const Outcome<void> &) {});
   });
 }
 
 void LeaderTarget::submit(const std::string &Path, const std::string &Body) {
-  spend([&] {
+  runTimed([&] {
     Leader_.call(
         {CallKind::Submit, Host, Path, platform::parseJob(Body).value()},
         [](const Outcome<JobCallReply> &) {});
@@ -48,13 +48,13 @@
 }
 
 void LeaderTarget::report(const std::string &Server, const std::string &Body,
-                          Answered Done) {
+                          ReplyHandler Done) {
   // Texts are read and written by the relays; what the leader gets and gives
   // travels in frames.
   const std::string Frame = encodeReports(
       {{platform::parseHeartbeat(Server, Body).value()}, false, 0, {}});
   std::string Reply;
-  spend([&] {
+  runTimed([&] {
     Leader_.report(
         std::move(decodeReports(Frame).value().Reports_[0]),
         [&Reply](const Outcome<ServerOrders> &Orders) {
@@ -69,7 +69,7 @@
 }
 
 void LeaderTarget::advance(int Ms) {
-  spend([&] { Strand_.advance(std::chrono::milliseconds(Ms)); });
+  runTimed([&] { Strand_.advance(std::chrono::milliseconds(Ms)); });
 }
 
 bool LeaderTarget::isCompleted(const std::string &Path) {
--- a/bench/platform/LeaderTarget.h
+++ b/bench/platform/LeaderTarget.h
@@ -20,14 +20,14 @@
   void configure(const std::string &Body) override;
   void submit(const std::string &Path, const std::string &Body) override;
   void report(const std::string &Server, const std::string &Body,
-              Answered Done) override;
+              ReplyHandler Done) override;
   void advance(int Ms) override;
   bool isCompleted(const std::string &Path) override;
-  double getSeconds() override { return Seconds_; }
+  double getCpuSeconds() override { return CpuSeconds_; }
 
 private:
   /// Runs Work and counts its time.
-  void spend(const std::function<void()> &Work);
+  void runTimed(const std::function<void()> &Work);
 
   ManualClock Time_;
   jobs::test::ManualExecutor Strand_{Time_};
@@ -40,7 +40,7 @@
   jobs::NoReportRelays Relays_;
   jobs::JobLeader Leader_{{},       Time_,     Strand_, Group_, Machine_,
                           Advisor_, Provider_, Relays_, Log_,   Meter_};
-  double Seconds_ = 0;
+  double CpuSeconds_ = 0;
 };
 
 } // namespace tulipweir::bench
--- a/bench/platform/ProcessTarget.cpp
+++ b/bench/platform/ProcessTarget.cpp
@@ -8,13 +8,13 @@
 using namespace std::chrono_literals;
 
 /// Later answers are not taken, as by the platform's servers.
-static constexpr auto Patience = 1s;
+static constexpr auto AnswerTimeout = 1s;
 /// One connection for each server, and some.
-static constexpr std::uint32_t MostConnections = 2000;
+static constexpr std::uint32_t MaxConnections = 2000;
 
 static net::HttpClientSettings makeClientSettings() {
   net::HttpClientSettings Settings;
-  Settings.MaxConnectionsPerPeer_ = MostConnections;
+  Settings.MaxConnectionsPerPeer_ = MaxConnections;
   return Settings;
 }
 
@@ -27,7 +27,7 @@
 
 void ProcessTarget::send(const net::Endpoint &To, const char *Method,
                          const std::string &Path, const std::string &Body,
-                         Answered Done) {
+                         ReplyHandler Done) {
   net::HttpRequest Request;
   Request.Method_ = Method;
   Request.Path_ = Path;
@@ -35,22 +35,24 @@
                       {"Content-Type", "application/json"}};
   Request.Body_ = Body;
   Client_.send(
-      To, std::move(Request), BootClock::now() + Patience,
+      To, std::move(Request), BootClock::now() + AnswerTimeout,
       [this, Done = std::move(Done)](const net::HttpResult &Result) {
-        const bool IsGood =
+        const bool IsSuccess =
             Result.Response_ && Result.Response_.value().Status_ == 200;
-        std::string Text = IsGood ? Result.Response_.value().Body_ : "";
+        std::string Text = IsSuccess ? Result.Response_.value().Body_ : "";
         const std::lock_guard Hold(Lock_);
         Answers_.push_back([Done, Text = std::move(Text)] { Done(Text); });
       });
 }
 
 void ProcessTarget::configure(const std::string &Body) {
-  bool IsTaken = false;
-  while (!IsTaken) {
+  bool IsAccepted = false;
+  while (!IsAccepted) {
     send(Control_, "PUT", "/api/config", Body,
-         [&IsTaken](const std::string &Answer) { IsTaken = !Answer.empty(); });
-    advance(static_cast<int>(std::chrono::milliseconds(Patience).count()));
+         [&IsAccepted](const std::string &Answer) {
+           IsAccepted = !Answer.empty();
+         });
+    advance(static_cast<int>(std::chrono::milliseconds(AnswerTimeout).count()));
   }
 }
 
@@ -59,30 +61,30 @@
 }
 
 void ProcessTarget::report(const std::string &Server, const std::string &Body,
-                           Answered Done) {
-  const auto Known = ReportTo_.find(Server);
-  const net::Endpoint To = Known == ReportTo_.end() ? Control_ : Known->second;
+                           ReplyHandler Done) {
+  const auto It = ReportEndpoints_.find(Server);
+  const net::Endpoint To = It == ReportEndpoints_.end() ? Control_ : It->second;
   send(To, "PUT", "/api/instances/" + Server, Body,
        [this, Server, Done = std::move(Done)](const std::string &Answer) {
-         noteTarget(Server, Answer);
+         updateReportEndpoint(Server, Answer);
          Done(Answer);
        });
 }
 
 /// Later reports go where the answer says, until one fails there.
-void ProcessTarget::noteTarget(const std::string &Server,
-                               const std::string &Answer) {
+void ProcessTarget::updateReportEndpoint(const std::string &Server,
+                                         const std::string &Answer) {
   static constexpr std::string_view Key = R"("heartbeatUrl":")";
   const std::size_t At = Answer.find(Key);
   if (At == std::string::npos) {
-    ReportTo_.erase(Server);
+    ReportEndpoints_.erase(Server);
     return;
   }
   const std::size_t Begin = At + Key.size();
   const auto To = net::Endpoint::parse(
       Answer.substr(Begin, Answer.find('"', Begin) - Begin));
   if (To)
-    ReportTo_[Server] = To.value();
+    ReportEndpoints_[Server] = To.value();
 }
 
 void ProcessTarget::advance(int Ms) {
@@ -93,8 +95,8 @@
       const std::lock_guard Hold(Lock_);
       Ready.swap(Answers_);
     }
-    for (const std::function<void()> &Each : Ready)
-      Each();
+    for (const std::function<void()> &Handle : Ready)
+      Handle();
     std::this_thread::sleep_for(1ms);
   }
 }
--- a/bench/platform/ProcessTarget.h
+++ b/bench/platform/ProcessTarget.h
@@ -26,23 +26,25 @@
   void configure(const std::string &Body) override;
   void submit(const std::string &Path, const std::string &Body) override;
   void report(const std::string &Server, const std::string &Body,
-              Answered Done) override;
+              ReplyHandler Done) override;
   void advance(int Ms) override;
   /// Not asked for: it would be load of its own.
   bool isCompleted(const std::string &) override { return false; }
   /// Measured from outside, by the process's id.
-  double getSeconds() override { return 0; }
+  double getCpuSeconds() override { return 0; }
 
 private:
   void send(const net::Endpoint &To, const char *Method,
-            const std::string &Path, const std::string &Body, Answered Done);
+            const std::string &Path, const std::string &Body,
+            ReplyHandler Done);
 
-  void noteTarget(const std::string &Server, const std::string &Answer);
+  void updateReportEndpoint(const std::string &Server,
+                            const std::string &Answer);
 
   const net::Endpoint Control_;
   const net::Endpoint Entry_;
   /// By server; others report to Control_.
-  std::map<std::string, net::Endpoint> ReportTo_;
+  std::map<std::string, net::Endpoint> ReportEndpoints_;
   std::mutex Lock_;
   std::deque<std::function<void()>> Answers_; ///< Guarded by Lock_.
   net::IoPool Pool_{1};
--- a/tests/platform/AdviceClientTest.cpp
+++ b/tests/platform/AdviceClientTest.cpp
@@ -39,11 +39,12 @@
   }
   Outcome<jobs::Advice> ask() {
     AdviceClient Client(Calls_, Service_, Time_);
-    std::promise<Outcome<jobs::Advice>> Got;
-    Client.ask(
-        {"0123456789abcdef", 2, 1}, {"i-1", "i-2"}, 30s,
-        [&Got](const Outcome<jobs::Advice> &Answer) { Got.set_value(Answer); });
-    return Got.get_future().get();
+    std::promise<Outcome<jobs::Advice>> Result;
+    Client.ask({"0123456789abcdef", 2, 1}, {"i-1", "i-2"}, 30s,
+               [&Result](const Outcome<jobs::Advice> &Answer) {
+                 Result.set_value(Answer);
+               });
+    return Result.get_future().get();
   }
 
   const SystemClock Time_;
@@ -60,23 +61,23 @@
 TEST_F(AdviceClientTest, AsksAndDecodesTheAnswer) {
   Response_ = net::HttpResponse::makeJson(
       200, R"({"good":[["i-2","c81e"]],"validMs":3000,"more":1})");
-  const auto Got = ask();
-  ASSERT_TRUE(Got) << Got.error().Message_;
-  EXPECT_EQ(Got.value(), (jobs::Advice{{{"i-2", "c81e"}}, 3s}));
+  const auto Result = ask();
+  ASSERT_TRUE(Result) << Result.error().Message_;
+  EXPECT_EQ(Result.value(), (jobs::Advice{{{"i-2", "c81e"}}, 3s}));
   EXPECT_EQ(Request_.Method_, "POST");
   EXPECT_EQ(Request_.Path_, "/api/advise");
   EXPECT_EQ(Request_.Body_,
             R"({"step":"0123456789abcdef.2.1","workers":["i-1","i-2"]})");
 }
 
-TEST_F(AdviceClientTest, TooManyQuestionsAreTold) {
+TEST_F(AdviceClientTest, TooManyRequestsAreReportedAsOverfull) {
   Response_ = net::HttpResponse::makeJson(429, "{}");
-  const auto Got = ask();
-  ASSERT_FALSE(Got);
-  EXPECT_EQ(Got.error().Code_, ErrorCode::Overfull);
+  const auto Result = ask();
+  ASSERT_FALSE(Result);
+  EXPECT_EQ(Result.error().Code_, ErrorCode::Overfull);
 }
 
-TEST_F(AdviceClientTest, AnythingElseIsAnError) {
+TEST_F(AdviceClientTest, OtherResponsesAreErrors) {
   Response_ = net::HttpResponse::makeJson(500, "{}");
   EXPECT_EQ(ask().error().Code_, ErrorCode::Unavailable);
   for (const char *Body : {"", "[]", R"({"good":7})", R"({"good":[["i"]]})",
@@ -86,7 +87,7 @@
   }
 }
 
-TEST_F(AdviceClientTest, NoAddressMeansNoService) {
+TEST_F(AdviceClientTest, ServiceWithoutAddressIsAbsent) {
   EXPECT_FALSE(AdviceClient(Calls_, {}, Time_).isThere());
   EXPECT_TRUE(AdviceClient(Calls_, Service_, Time_).isThere());
 }
--- a/tests/platform/StrangeReportsTest.cpp
+++ b/tests/platform/MalformedBodiesTest.cpp
@@ -1,4 +1,5 @@
-//===- StrangeReportsTest.cpp - Bodies of other writers -------------------===//
+//===- MalformedBodiesTest.cpp - Bodies of other writers
+//-------------------===//
 //
 // Fields that are missing or of another type, words that nobody knows, bytes
 // that can't be read: such a body names nothing to use, and what others said
@@ -7,9 +8,9 @@
 //===----------------------------------------------------------------------===//
 
 #include "platform/AdviceWire.h"
-#include "platform/CalledWire.h"
 #include "platform/JobWire.h"
 #include "platform/OperatorWire.h"
+#include "platform/PollWire.h"
 #include "platform/ProviderWire.h"
 #include "platform/ServerWire.h"
 
@@ -38,15 +39,15 @@
 }
 
 /// One value of each type that JSON has, and some odd ones.
-const std::vector<Json> &listOddValues() {
-  static const std::vector<Json> Odd = {
+const std::vector<Json> &getUnexpectedValues() {
+  static const std::vector<Json> Unexpected = {
       nullptr,       true,           7,      -1, 1.5, 1e300, "", "odd",
       Json::array(), Json::object(), {1, 2}, "7"};
-  return Odd;
+  return Unexpected;
 }
 
 /// What every report that was taken has: all of a server that may be used.
-void expectWholeServer(const jobs::ServerReport &Report) {
+void expectCompleteServer(const jobs::ServerReport &Report) {
   const jobs::ServerFacts &Facts = Report.Facts_;
   EXPECT_FALSE(Facts.Id_.empty());
   EXPECT_FALSE(Facts.Service_.empty());
@@ -59,7 +60,7 @@
 
 } // namespace
 
-TEST(StrangeReportsTest, AReportWithoutAnyOneFieldNamesNoServer) {
+TEST(MalformedBodiesTest, ReportWithMissingFieldIsRejected) {
   ASSERT_TRUE(parseHeartbeat("i-1", getHeartbeat().dump()));
   for (const char *Field : {"service", "address", "zone", "version", "slots",
                             "state", "coldLeftMs", "capacity", "seq"}) {
@@ -74,19 +75,20 @@
   }
 }
 
-TEST(StrangeReportsTest, AReportWithAFieldOfAnotherTypeNamesNoServer) {
+TEST(MalformedBodiesTest, ReportWithFieldOfWrongTypeIsRejected) {
   for (const auto &[Field, Whole] : getHeartbeat().items())
-    for (const Json &Odd : listOddValues()) {
+    for (const Json &Unexpected : getUnexpectedValues()) {
       // Text stands for text, a list for a list, and so on.
-      if (Odd.type_name() == std::string(Whole.type_name()))
+      if (Unexpected.type_name() == std::string(Whole.type_name()))
         continue;
       Json Value = getHeartbeat();
-      Value[Field] = Odd;
-      EXPECT_FALSE(parseHeartbeat("i-1", Value.dump())) << Field << " " << Odd;
+      Value[Field] = Unexpected;
+      EXPECT_FALSE(parseHeartbeat("i-1", Value.dump()))
+          << Field << " " << Unexpected;
     }
 }
 
-TEST(StrangeReportsTest, AStateThatNobodyKnowsNamesNoServer) {
+TEST(MalformedBodiesTest, UnknownServerStateIsRejected) {
   for (const char *State : {"", "READY", "Ready", "starting", "up", "ready "}) {
     Json Value = getHeartbeat();
     Value["state"] = State;
@@ -94,19 +96,19 @@
   }
   Json Draining = getHeartbeat();
   Draining["state"] = "draining";
-  const auto Got = parseHeartbeat("i-1", Draining.dump());
-  ASSERT_TRUE(Got);
-  EXPECT_TRUE(Got.value().IsDraining_);
+  const auto Result = parseHeartbeat("i-1", Draining.dump());
+  ASSERT_TRUE(Result);
+  EXPECT_TRUE(Result.value().IsDraining_);
 }
 
-TEST(StrangeReportsTest, AnIdThatNamesNobodyIsRefused) {
+TEST(MalformedBodiesTest, InvalidServerIdIsRejected) {
   const std::string Body = getHeartbeat().dump();
   EXPECT_FALSE(parseHeartbeat("", Body));
   EXPECT_FALSE(parseHeartbeat("a/b", Body));
   EXPECT_FALSE(parseHeartbeat(std::string(5000, 'x'), Body));
 }
 
-TEST(StrangeReportsTest, NumbersOutOfRangeNameNoServer) {
+TEST(MalformedBodiesTest, ReportWithNumberOutOfRangeIsRejected) {
   for (const auto &Edit : std::vector<std::function<void(Json &)>>{
            [](Json &V) { V["seq"] = 0; },
            [](Json &V) { V["capacity"]["cpu"] = 0; },
@@ -124,8 +126,8 @@
   }
 }
 
-TEST(StrangeReportsTest, ABadRowOfAListOfVmsSpoilsNoOther) {
-  const auto Got = parseVmPage(
+TEST(MalformedBodiesTest, MalformedVmRowDoesNotAffectOthers) {
+  const auto Result = parseVmPage(
       R"({"machines":[7,{"machine":"m-1","pool":"p","state":"up","id":"i-1"},
           {"state":"up"},{"machine":"","state":"up"},
           {"machine":"m-2","pool":"p","state":"odd","id":"i-2"},
@@ -133,36 +135,36 @@
           {"machine":"m-4","pool":"p","state":"up"},
           {"machine":"m-5","pool":"p","state":7,"id":null},
           {"machine":"m-6","pool":"p","state":"up","id":"i-6"}]})");
-  ASSERT_TRUE(Got) << Got.error().Message_;
+  ASSERT_TRUE(Result) << Result.error().Message_;
   using jobs::VmState;
-  EXPECT_EQ(Got.value().List_.Vms_,
+  EXPECT_EQ(Result.value().List_.Vms_,
             (std::vector<jobs::VmInfo>{{"m-1", "p", VmState::Up, "i-1"},
                                        {"m-2", "p", VmState::Down, ""},
                                        {"m-3", "p", VmState::Down, ""},
                                        {"m-4", "p", VmState::Down, ""},
                                        {"m-5", "p", VmState::Down, ""},
                                        {"m-6", "p", VmState::Up, "i-6"}}));
-  EXPECT_FALSE(Got.value().List_.IsWhole_);
+  EXPECT_FALSE(Result.value().List_.IsWhole_);
   const auto Whole = parseVmPage(
       R"({"machines":[{"machine":"m-1","pool":"p","state":"odd"}]})");
   ASSERT_TRUE(Whole);
   EXPECT_TRUE(Whole.value().List_.IsWhole_) << "all that there are are named";
 }
 
-TEST(StrangeReportsTest, AListWithoutItsRowsIsNoList) {
+TEST(MalformedBodiesTest, VmListWithoutRowsIsRejected) {
   EXPECT_FALSE(parseVmPage("{}"));
   EXPECT_FALSE(parseVmPage(R"({"machines":7})"));
   EXPECT_FALSE(parseVmPage(R"({"machines":[],"nextToken":7})"));
 }
 
-TEST(StrangeReportsTest, ABadRowOfAdviceSpoilsNoOther) {
-  const auto Got = parseAdvice(
+TEST(MalformedBodiesTest, MalformedAdviceRowDoesNotAffectOthers) {
+  const auto Result = parseAdvice(
       R"({"good":[["i-1","t1"],7,["i-2"],["i-3",7],["","t"],["i-4","t4"]],
           "validMs":3000})");
-  ASSERT_TRUE(Got);
-  ASSERT_EQ(Got.value().Good_.size(), 2U);
-  EXPECT_EQ(Got.value().Good_[0].Server_, "i-1");
-  EXPECT_EQ(Got.value().Good_[1].Server_, "i-4");
+  ASSERT_TRUE(Result);
+  ASSERT_EQ(Result.value().Good_.size(), 2U);
+  EXPECT_EQ(Result.value().Good_[0].Server_, "i-1");
+  EXPECT_EQ(Result.value().Good_[1].Server_, "i-4");
 }
 
 namespace {
@@ -203,13 +205,13 @@
     // Ever deeper, and now and then one stops on the way.
     while ((At->is_object() || At->is_array()) && !At->empty() && draw(4) != 0)
       At = &*std::next(At->begin(), std::ptrdiff_t(draw(At->size())));
-    const std::vector<Json> &Odd = listOddValues();
+    const std::vector<Json> &Unexpected = getUnexpectedValues();
     const bool HasParts =
         (At->is_object() || At->is_array()) && !At->empty() && draw(2) == 0;
     if (HasParts)
       At->erase(std::next(At->begin(), std::ptrdiff_t(draw(At->size()))));
     else
-      *At = Odd[draw(Odd.size())];
+      *At = Unexpected[draw(Unexpected.size())];
   }
 
   std::mt19937_64 Random_;
@@ -217,24 +219,24 @@
 
 /// Bodies as they are on the platform, with the parser of each and what must
 /// hold of whatever it takes.
-struct Parser {
+struct ParserCase {
   std::string Body_;
   std::function<void(const std::string &)> Parse_;
 };
 
-std::vector<Parser> listParsers() {
+std::vector<ParserCase> makeParserCases() {
   return {
       {getHeartbeat().dump(),
        [](const std::string &Body) {
-         const auto Got = parseHeartbeat("i-1", Body);
-         if (Got)
-           expectWholeServer(Got.value());
+         const auto Result = parseHeartbeat("i-1", Body);
+         if (Result)
+           expectCompleteServer(Result.value());
        }},
       {R"({"spec":"t","steps":[{"count":2,"cpu":500,"memMb":2},{"count":2,
            "dependsOn":[0],"longRunning":true,"mayMiss":1,"image":"i"}]})",
        [](const std::string &Body) {
-         if (const auto Got = parseJob(Body)) {
-           for (const jobs::StepSpec &Step : Got.value().Steps_)
+         if (const auto Result = parseJob(Body)) {
+           for (const jobs::StepSpec &Step : Result.value().Steps_)
              EXPECT_GE(Step.Need_.MilliCpus_, 0);
          }
        }},
@@ -242,44 +244,44 @@
            "timeoutMs":3000,"service":"s","stretch":1.5}],
            "services":[{"name":"s","preconditions":true}],"limits":{}})",
        [](const std::string &Body) {
-         if (const auto Got = parseConfiguration(Body)) {
-           EXPECT_GT(Got.value().Version_, 0U);
-           for (const jobs::QueuePolicy &Queue : Got.value().Queues_)
+         if (const auto Result = parseConfiguration(Body)) {
+           EXPECT_GT(Result.value().Version_, 0U);
+           for (const jobs::QueuePolicy &Queue : Result.value().Queues_)
              EXPECT_FALSE(Queue.Service_.empty());
          }
        }},
       {R"({"wave":1,"machines":["m-1","m-2"],"deadlineS":2.5,"maxCount":2})",
        [](const std::string &Body) {
-         if (const auto Got = parseWave(Body)) {
-           EXPECT_GT(Got.value().MostAtOnce_, 0U);
+         if (const auto Result = parseWave(Body)) {
+           EXPECT_GT(Result.value().MostAtOnce_, 0U);
          }
        }},
       {R"({"machines":[{"machine":"m-1","pool":"p","state":"up","id":"i"},
            {"machine":"m-2","pool":"p","state":"down","id":null}],
            "nextToken":null})",
        [](const std::string &Body) {
-         if (const auto Got = parseVmPage(Body)) {
-           for (const jobs::VmInfo &Vm : Got.value().List_.Vms_)
+         if (const auto Result = parseVmPage(Body)) {
+           for (const jobs::VmInfo &Vm : Result.value().List_.Vms_)
              EXPECT_FALSE(Vm.Vm_.empty());
          }
        }},
       {R"({"good":[["i-1","t1"],["i-2","t2"]],"validMs":3000})",
        [](const std::string &Body) {
-         if (const auto Got = parseAdvice(Body)) {
-           for (const jobs::AdvisedServer &Each : Got.value().Good_)
-             EXPECT_FALSE(Each.Server_.empty());
+         if (const auto Result = parseAdvice(Body)) {
+           for (const jobs::AdvisedServer &Server : Result.value().Good_)
+             EXPECT_FALSE(Server.Server_.empty());
          }
        }},
       {R"({"currentTimeMs":4,"running":[["j.0.1.17",2,"c",41]],
            "finished":[[58,"j.0.1.9",1,"done",""]]})",
        [](const std::string &Body) {
-         if (const auto Got = parseLook(Body)) {
-           for (const jobs::RunningTask &Each : Got.value().Running_)
-             EXPECT_FALSE(Each.Task_.Job_.empty());
+         if (const auto Result = parsePollReply(Body)) {
+           for (const jobs::RunningTask &Task : Result.value().Running_)
+             EXPECT_FALSE(Task.Task_.Job_.empty());
          }
        }},
       {R"({"reason":"busy"})",
-       [](const std::string &Body) { (void)parseRefusedOrder(Body); }},
+       [](const std::string &Body) { (void)parseMaintenanceRefusal(Body); }},
   };
 }
 
@@ -297,13 +299,13 @@
 
 } // namespace
 
-TEST(StrangeReportsTest, NoChangedBodyIsTakenForHalfAThing) {
+TEST(MalformedBodiesTest, MutatedBodiesAreParsedCompletelyOrRejected) {
   const auto [First, Last] = getSeeds();
-  const std::vector<Parser> Parsers = listParsers();
+  const std::vector<ParserCase> Cases = makeParserCases();
   for (std::uint64_t Seed = First; Seed <= Last; ++Seed) {
-    Mutator Changing(Seed);
-    for (const Parser &Each : Parsers)
-      Each.Parse_(Changing.change(Each.Body_));
+    Mutator Mutation(Seed);
+    for (const ParserCase &Case : Cases)
+      Case.Parse_(Mutation.change(Case.Body_));
     if (HasFailure()) {
       ADD_FAILURE() << "seed " << Seed;
       return;
--- a/tests/platform/CalledServersTest.cpp
+++ b/tests/platform/ServerPollerTest.cpp
@@ -1,9 +1,9 @@
-//===- CalledServersTest.cpp - A control that calls its servers -----------===//
+//===- ServerPollerTest.cpp - A control that calls its servers -----------===//
 
-#include "platform/CalledServers.h"
+#include "platform/ServerPoller.h"
 
 #include "jobservice/NodeCluster.h"
-#include "platform/CalledWire.h"
+#include "platform/PollWire.h"
 
 #include "tulipweir/net/HttpServer.h"
 
@@ -21,21 +21,21 @@
 namespace {
 
 /// The real clock, set ahead.
-class AheadClock final : public Clock {
+class OffsetClock final : public Clock {
 public:
-  TimePoint now() const override { return Real_.now() + Ahead_.load(); }
+  TimePoint now() const override { return Real_.now() + Offset_.load(); }
   WallTime wallNow() const override { return Real_.wallNow(); }
-  void advance(Duration By) { Ahead_ = Ahead_.load() + By; }
+  void advance(Duration By) { Offset_ = Offset_.load() + By; }
 
 private:
   SystemClock Real_;
-  std::atomic<Duration> Ahead_{Duration(0)};
+  std::atomic<Duration> Offset_{Duration(0)};
 };
 
 /// A server that is called: what it starts runs until it is told to end.
-class CalledServer {
+class FakeServer {
 public:
-  explicit CalledServer(net::IoPool &Pool)
+  explicit FakeServer(net::IoPool &Pool)
       : Server_(Pool.context(), makeSettings(),
                 [this](const net::HttpRequest &Request,
                        const net::HttpRespond &Respond) {
@@ -56,7 +56,7 @@
     const Json Body = Json::parse(Request.Body_);
     ++Calls_;
     Last_[Request.Path_] = Body;
-    LowestToken_ = std::min(LowestToken_, Body.value("fencingToken", 0U));
+    MinToken_ = std::min(MinToken_, Body.value("fencingToken", 0U));
     Json Answer = {{"currentTimeMs", NowMs}};
     if (Request.Path_ == "/runs")
       Running_[Body["task"]] = Body["run"];
@@ -89,14 +89,14 @@
   }
   Json getLast(const std::string &Path) const {
     const std::lock_guard Hold(Lock_);
-    const auto Found = Last_.find(Path);
-    return Found == Last_.end() ? Json::object() : Found->second;
+    const auto It = Last_.find(Path);
+    return It == Last_.end() ? Json::object() : It->second;
   }
 
   /// Of all calls so far.
-  unsigned getLowestToken() const {
+  unsigned getMinToken() const {
     const std::lock_guard Hold(Lock_);
-    return LowestToken_;
+    return MinToken_;
   }
 
   static constexpr std::uint64_t NowMs = 482'113; ///< Of its own clock.
@@ -106,7 +106,7 @@
 private:
   mutable std::mutex Lock_;
   std::size_t Calls_ = 0;
-  unsigned LowestToken_ = std::numeric_limits<unsigned>::max();
+  unsigned MinToken_ = std::numeric_limits<unsigned>::max();
   std::uint64_t Ends_ = 0;
   Json Ended_ = Json::array();
   std::map<std::string, std::uint64_t> Running_;
@@ -115,24 +115,24 @@
 };
 
 /// One control and one server.
-class CalledServersTest : public jobservice::test::NodeCluster {
+class ServerPollerTest : public jobservice::test::NodeCluster {
 protected:
   void SetUp() override {
     start(1, {1}, /*MayFound=*/true, /*Voters=*/1);
     ASSERT_TRUE(waitFor([this] { return findLeader() == 1; }));
     ASSERT_TRUE(putConfiguration(1));
-    Called_ = std::make_unique<CalledServers>(*Nodes_.at(1), Http_, Pool_,
-                                              Ahead_, 60s);
+    Poller_ = std::make_unique<ServerPoller>(*Nodes_.at(1), Http_, Pool_,
+                                             Clock_, 60s);
   }
   /// The node stops while the pool runs; what else uses the pool's threads, the
   /// server among it, ends only once they have.
   void TearDown() override {
-    Called_.reset();
+    Poller_.reset();
     Nodes_.clear();
     Pool_.stop();
   }
   /// The word of a life of the server.
-  void note(const std::string &Id, std::uint64_t Sequence) {
+  void sendHeartbeat(const std::string &Id, std::uint64_t Sequence) {
     jobs::ServerReport Heartbeat;
     Heartbeat.Facts_.Id_ = Id;
     Heartbeat.Facts_.Service_ = "s";
@@ -141,10 +141,10 @@
     Heartbeat.Sequence_ = Sequence;
     std::promise<std::uint64_t> Token;
     Nodes_.at(1)->findFencingToken(
-        [&Token](const Outcome<std::uint64_t> &Found) {
-          Token.set_value(Found ? Found.value() : 0);
+        [&Token](const Outcome<std::uint64_t> &Result) {
+          Token.set_value(Result ? Result.value() : 0);
         });
-    Called_->note(std::move(Heartbeat), Token.get_future().get());
+    Poller_->registerServer(std::move(Heartbeat), Token.get_future().get());
   }
   std::optional<jobs::JobCallReply> call(jobs::CallKind Kind) {
     jobs::JobCall Call;
@@ -154,34 +154,35 @@
     Call.Spec_.Payload_ = "payload";
     Call.Spec_.Steps_.resize(1);
     Call.Spec_.Steps_[0].Need_ = Resources::makeFor(1000, 100);
-    std::promise<std::optional<jobs::JobCallReply>> Got;
-    Nodes_.at(1)->call(Call, [&Got](const Outcome<jobs::JobCallReply> &Reply) {
-      Got.set_value(Reply ? std::optional(Reply.value()) : std::nullopt);
-    });
-    return Got.get_future().get();
+    std::promise<std::optional<jobs::JobCallReply>> Result;
+    Nodes_.at(1)->call(
+        Call, [&Result](const Outcome<jobs::JobCallReply> &Reply) {
+          Result.set_value(Reply ? std::optional(Reply.value()) : std::nullopt);
+        });
+    return Result.get_future().get();
   }
   bool hasState(jobs::JobState State) {
     const auto Reply = call(jobs::CallKind::Show);
     return Reply && Reply->State_ == State;
   }
 
-  AheadClock Ahead_;
+  OffsetClock Clock_;
   net::HttpClient Http_{Pool_.context(), net::HttpClientSettings()};
-  CalledServer Server_{Pool_};
-  std::unique_ptr<CalledServers> Called_;
+  FakeServer Server_{Pool_};
+  std::unique_ptr<ServerPoller> Poller_;
 };
 
 } // namespace
 
-TEST_F(CalledServersTest, ATaskIsStartedHeldAndItsEndNoted) {
-  note("i-1", 1);
+TEST_F(ServerPollerTest, TaskIsStartedRenewedAndItsEndAcknowledged) {
+  sendHeartbeat("i-1", 1);
   ASSERT_TRUE(call(jobs::CallKind::Submit));
   ASSERT_TRUE(waitFor([this] { return Server_.countRunning() == 1; }));
   const Json Start = Server_.getLast("/runs");
   EXPECT_EQ(Start["task"], "0123456789abcdef.0.0.0");
   EXPECT_EQ(Start["run"], 1);
   EXPECT_EQ(Start["spec"], "payload");
-  EXPECT_EQ(Start["deadlineMs"], CalledServer::NowMs + 5000)
+  EXPECT_EQ(Start["deadlineMs"], FakeServer::NowMs + 5000)
       << "a lease on the server's own clock";
   EXPECT_GT(Start["fencingToken"].get<std::uint64_t>(), 0U);
   EXPECT_TRUE(waitFor([this] { return hasState(jobs::JobState::Running); }));
@@ -191,15 +192,15 @@
       [this] { return Server_.getLast("/hold").value("lastSeen", 0) == 1; }));
 }
 
-TEST_F(CalledServersTest, EveryCallCarriesTheToken) {
-  note("i-1", 1);
+TEST_F(ServerPollerTest, EveryCallCarriesTheFencingToken) {
+  sendHeartbeat("i-1", 1);
   ASSERT_TRUE(waitFor([this] { return Server_.countCalls() > 0; }));
-  EXPECT_GT(Server_.getLowestToken(), 0U)
+  EXPECT_GT(Server_.getMinToken(), 0U)
       << "a server listens to none that is lower than one it has seen";
 }
 
-TEST_F(CalledServersTest, ACancelledTaskIsStoppedUntilTheServerSaysSo) {
-  note("i-1", 1);
+TEST_F(ServerPollerTest, StopIsRetriedUntilTheServerConfirmsIt) {
+  sendHeartbeat("i-1", 1);
   ASSERT_TRUE(call(jobs::CallKind::Submit));
   ASSERT_TRUE(waitFor([this] { return Server_.countRunning() == 1; }));
   Server_.RefusesStops_ = true;
@@ -210,10 +211,10 @@
   EXPECT_TRUE(waitFor([this] { return Server_.countRunning() == 0; }));
 }
 
-TEST_F(CalledServersTest, NothingIsCalledWithoutAFreshWord) {
-  note("i-1", 1);
+TEST_F(ServerPollerTest, ServerWithoutRecentHeartbeatIsNotCalled) {
+  sendHeartbeat("i-1", 1);
   ASSERT_TRUE(waitFor([this] { return Server_.countCalls() > 0; }));
-  Ahead_.advance(60s);
+  Clock_.advance(60s);
   ASSERT_TRUE(call(jobs::CallKind::Submit));
   // Whatever was under way is over once two further calls did not come.
   std::size_t Before = 0;
@@ -222,13 +223,14 @@
     return std::exchange(Before, Now) == Now;
   }));
   EXPECT_EQ(Server_.countRunning(), 0U);
-  note("i-1", 2);
+  sendHeartbeat("i-1", 2);
   EXPECT_TRUE(waitFor([this] { return Server_.countRunning() == 1; }));
 }
 
-TEST_F(CalledServersTest, TwoLivesAtOneAddressAreNotCalledUntilOneIsSilent) {
-  note("i-1", 1);
-  note("i-2", 1);
+TEST_F(ServerPollerTest,
+       TwoIncarnationsAtOneAddressAreNotCalledUntilOneIsSilent) {
+  sendHeartbeat("i-1", 1);
+  sendHeartbeat("i-2", 1);
   ASSERT_TRUE(call(jobs::CallKind::Submit));
   std::size_t Before = 0;
   ASSERT_TRUE(waitFor([&] {
@@ -236,7 +238,7 @@
     return std::exchange(Before, Now) == Now;
   }));
   EXPECT_EQ(Server_.countRunning(), 0U);
-  Ahead_.advance(3s);
-  note("i-2", 2);
+  Clock_.advance(3s);
+  sendHeartbeat("i-2", 2);
   EXPECT_TRUE(waitFor([&] { return Server_.countCalls() > Before; }));
 }
--- a/tests/platform/SettingsTest.cpp
+++ b/tests/platform/SettingsTest.cpp
@@ -21,43 +21,43 @@
   "bounds": {"holdMaxMs": 9000, "leaseMs": 2500, "graceS": 6.5, "reuseAfterS": 2.5, "status_s": 90, "new": [1]},
   "somethingNew": {"a": 1}})";
 
-TEST(SettingsTest, EveryFieldIsTaken) {
-  const Outcome<Settings> Got = parseSettings(Full);
-  ASSERT_TRUE(Got) << Got.error().Message_;
-  Settings Wanted;
-  Wanted.Name_ = "core-1";
-  Wanted.DataCentre_ = "gap-hall";
-  Wanted.Address_ = "10.1.0.16";
-  Wanted.Clients_ = {"10.1.0.16", 80};
-  Wanted.Ready_ = {"10.1.0.16", 81};
-  Wanted.Control_ = {"10.1.0.16", 8166};
-  Wanted.Provider_ = {"10.200.0.79", 8169};
-  Wanted.HolderLeaseMs_ = 2500;
-  Wanted.Advice_ = {"10.200.1.9", 8169};
-  Wanted.LinkPort_ = 7720;
-  Wanted.Seeds_ = {"10.1.0.16:8166", "10.2.0.32:8166"};
-  Wanted.IsFirstStart_ = true;
-  Wanted.CallsServers_ = true;
-  Wanted.DataFolder_ = "/data/x";
-  Wanted.VmsToBear_ = 2;
-  Wanted.HeartbeatMs_ = 1200;
-  Wanted.LongestLeaseMs_ = 9000;
-  Wanted.GraceMs_ = 6500;
-  Wanted.AddressReuseMs_ = 2500;
-  Wanted.JobRetentionMs_ = 90'000;
-  EXPECT_EQ(Got.value(), Wanted);
+TEST(SettingsTest, EveryFieldIsRead) {
+  const Outcome<Settings> Result = parseSettings(Full);
+  ASSERT_TRUE(Result) << Result.error().Message_;
+  Settings Expected;
+  Expected.Name_ = "core-1";
+  Expected.DataCentre_ = "gap-hall";
+  Expected.Address_ = "10.1.0.16";
+  Expected.ClientEndpoint_ = {"10.1.0.16", 80};
+  Expected.ReadinessEndpoint_ = {"10.1.0.16", 81};
+  Expected.ControlEndpoint_ = {"10.1.0.16", 8166};
+  Expected.ProviderEndpoint_ = {"10.200.0.79", 8169};
+  Expected.FencingLeaseMs_ = 2500;
+  Expected.AdviceEndpoint_ = {"10.200.1.9", 8169};
+  Expected.LinkPort_ = 7720;
+  Expected.Seeds_ = {"10.1.0.16:8166", "10.2.0.32:8166"};
+  Expected.IsFirstStart_ = true;
+  Expected.PollsServers_ = true;
+  Expected.DataFolder_ = "/data/x";
+  Expected.ToleratedVmLosses_ = 2;
+  Expected.HeartbeatMs_ = 1200;
+  Expected.MaxLeaseMs_ = 9000;
+  Expected.StopGraceMs_ = 6500;
+  Expected.AddressReuseMs_ = 2500;
+  Expected.EndedJobRetentionMs_ = 90'000;
+  EXPECT_EQ(Result.value(), Expected);
 }
 
-TEST(SettingsTest, AVmWithoutADiskHasNoFolder) {
-  const Outcome<Settings> Got = parseSettings(
+TEST(SettingsTest, VmWithoutDiskHasNoDataFolder) {
+  const Outcome<Settings> Result = parseSettings(
       R"({"node":"f","ip":"10.1.0.1","zone":"z","dataDir":null,
           "recommendation":null})");
-  ASSERT_TRUE(Got);
-  EXPECT_EQ(Got.value().DataFolder_, "");
-  EXPECT_EQ(Got.value().Clients_.Port_, 0);
+  ASSERT_TRUE(Result);
+  EXPECT_EQ(Result.value().DataFolder_, "");
+  EXPECT_EQ(Result.value().ClientEndpoint_.Port_, 0);
 }
 
-TEST(SettingsTest, WrongOnesNameTheirPlace) {
+TEST(SettingsTest, ErrorsNameTheInvalidField) {
   const std::pair<const char *, const char *> Cases[] = {
       {"", "no JSON object"},
       {"[]", "no JSON object"},
@@ -69,15 +69,15 @@
        "/portRange/0"},
       {R"({"node":"n","ip":"a","zone":"z","bounds":7})", "/bounds"},
       {R"({"node":"n","ip":"a","zone":"z","heartbeatMs":-1})", "/heartbeatMs"}};
-  for (const auto &[Text, Place] : Cases) {
-    const Outcome<Settings> Got = parseSettings(Text);
-    ASSERT_FALSE(Got) << Text;
-    EXPECT_NE(Got.error().Message_.find(Place), std::string::npos)
-        << Got.error().Message_;
+  for (const auto &[Text, Field] : Cases) {
+    const Outcome<Settings> Result = parseSettings(Text);
+    ASSERT_FALSE(Result) << Text;
+    EXPECT_NE(Result.error().Message_.find(Field), std::string::npos)
+        << Result.error().Message_;
   }
 }
 
-TEST(SettingsTest, TruncatedTextNeverPasses) {
+TEST(SettingsTest, TruncatedTextIsRejected) {
   const std::string Text = Full;
   for (std::size_t Size = 0; Size < Text.size(); ++Size)
     EXPECT_FALSE(parseSettings(Text.substr(0, Size)));
--- a/tests/platform/VmClientTest.cpp
+++ b/tests/platform/VmClientTest.cpp
@@ -43,15 +43,16 @@
     Responses_.push_back(net::HttpResponse::makeJson(Status, Body));
   }
   Outcome<jobs::VmList> list() {
-    std::promise<Outcome<jobs::VmList>> Got;
-    Client_->listVms([&Got](const auto &Vms) { Got.set_value(Vms); });
-    return Got.get_future().get();
+    std::promise<Outcome<jobs::VmList>> Result;
+    Client_->listVms([&Result](const auto &Vms) { Result.set_value(Vms); });
+    return Result.get_future().get();
   }
   Outcome<jobs::MaintenanceReply> maintain() {
-    std::promise<Outcome<jobs::MaintenanceReply>> Got;
-    Client_->maintain("m-1", 4, 12,
-                      [&Got](const auto &Reply) { Got.set_value(Reply); });
-    return Got.get_future().get();
+    std::promise<Outcome<jobs::MaintenanceReply>> Result;
+    Client_->maintain("m-1", 4, 12, [&Result](const auto &Reply) {
+      Result.set_value(Reply);
+    });
+    return Result.get_future().get();
   }
 
   const SystemClock Time_;
@@ -65,26 +66,27 @@
 
 } // namespace
 
-TEST_F(VmClientTest, ReadsAllPagesOfTheList) {
+TEST_F(VmClientTest, ListsAllPages) {
   answer(200, R"({"machines":[{"machine":"m-1","pool":"p","state":"up",
                   "id":"i-1"}],"nextToken":"a b"})");
   answer(200, R"({"machines":[{"machine":"m-2","pool":"p","state":"upkeep",
                   "id":null},{"machine":"m-3","state":"moving"},
                   {"machine":"m-4","state":"down"}],"nextToken":null})");
-  const auto Got = list();
-  ASSERT_TRUE(Got) << Got.error().Message_;
-  EXPECT_TRUE(Got.value().IsWhole_);
-  EXPECT_EQ(Got.value().Vms_, (std::vector<jobs::VmInfo>{
-                                  {"m-1", "p", jobs::VmState::Up, "i-1"},
-                                  {"m-2", "p", jobs::VmState::Maintenance, ""},
-                                  {"m-3", "", jobs::VmState::Moving, ""},
-                                  {"m-4", "", jobs::VmState::Down, ""}}));
+  const auto Result = list();
+  ASSERT_TRUE(Result) << Result.error().Message_;
+  EXPECT_TRUE(Result.value().IsWhole_);
+  EXPECT_EQ(
+      Result.value().Vms_,
+      (std::vector<jobs::VmInfo>{{"m-1", "p", jobs::VmState::Up, "i-1"},
+                                 {"m-2", "p", jobs::VmState::Maintenance, ""},
+                                 {"m-3", "", jobs::VmState::Moving, ""},
+                                 {"m-4", "", jobs::VmState::Down, ""}}));
   ASSERT_EQ(Requests_.size(), 2U);
   EXPECT_EQ(Requests_[0].Path_, "/api/machines");
   EXPECT_EQ(Requests_[1].findQuery("pageToken"), "a b");
 }
 
-TEST_F(VmClientTest, AListThatCannotBeReadIsAnError) {
+TEST_F(VmClientTest, UnreadableListIsAnError) {
   answer(429, "{}");
   EXPECT_FALSE(list());
   answer(200, R"({"machines":7})");
@@ -93,22 +95,22 @@
   EXPECT_FALSE(list());
 }
 
-TEST_F(VmClientTest, ARowThatNamesNoVmLeavesTheListOpenOnAnyPage) {
+TEST_F(VmClientTest, RowWithoutVmMakesTheListIncomplete) {
   answer(200, R"({"machines":[{"state":"up"}],"nextToken":"b"})");
   answer(200, R"({"machines":[{"machine":"m-1","pool":"p","state":"up",
                   "id":"i-1"}]})");
-  const auto Got = list();
-  ASSERT_TRUE(Got) << Got.error().Message_;
-  EXPECT_FALSE(Got.value().IsWhole_);
-  EXPECT_EQ(Got.value().Vms_, (std::vector<jobs::VmInfo>{
-                                  {"m-1", "p", jobs::VmState::Up, "i-1"}}));
+  const auto Result = list();
+  ASSERT_TRUE(Result) << Result.error().Message_;
+  EXPECT_FALSE(Result.value().IsWhole_);
+  EXPECT_EQ(Result.value().Vms_, (std::vector<jobs::VmInfo>{
+                                     {"m-1", "p", jobs::VmState::Up, "i-1"}}));
 }
 
-TEST_F(VmClientTest, AnOrderNamesItsHolderAndToken) {
+TEST_F(VmClientTest, OrderCarriesHolderAndFencingToken) {
   answer(200, "{}");
-  const auto Got = maintain();
-  ASSERT_TRUE(Got);
-  EXPECT_EQ(Got.value(), jobs::MaintenanceReply::Begun);
+  const auto Result = maintain();
+  ASSERT_TRUE(Result);
+  EXPECT_EQ(Result.value(), jobs::MaintenanceReply::Begun);
   ASSERT_EQ(Requests_.size(), 1U);
   EXPECT_EQ(Requests_[0].Method_, "POST");
   EXPECT_EQ(Requests_[0].Path_, "/api/machine-upkeep");
@@ -117,22 +119,22 @@
   EXPECT_EQ(Requests_[0].Body_, R"({"machine":"m-1","wave":4})");
 }
 
-TEST_F(VmClientTest, RefusalsAreToldApart) {
+TEST_F(VmClientTest, RefusalReasonsAreDistinguished) {
   const std::pair<const char *, jobs::MaintenanceReply> Reasons[] = {
       {"fence", jobs::MaintenanceReply::Fenced},
       {"busy", jobs::MaintenanceReply::Busy},
       {"wave", jobs::MaintenanceReply::NotInWave}};
-  for (const auto &[Word, Wanted] : Reasons) {
+  for (const auto &[Word, Expected] : Reasons) {
     answer(409, std::string(R"({"reason":")") + Word + "\"}");
-    const auto Got = maintain();
-    ASSERT_TRUE(Got) << Word;
-    EXPECT_EQ(Got.value(), Wanted) << Word;
+    const auto Result = maintain();
+    ASSERT_TRUE(Result) << Word;
+    EXPECT_EQ(Result.value(), Expected) << Word;
   }
   answer(400, "{}");
   EXPECT_EQ(maintain().value(), jobs::MaintenanceReply::NoSuchVm);
 }
 
-TEST_F(VmClientTest, OnlyWhatCertainlyDidNothingSaysSo) {
+TEST_F(VmClientTest, OnlyOrdersWithoutEffectAreReportedAsSuch) {
   answer(429, "{}");
   EXPECT_EQ(maintain().error().Code_, ErrorCode::Overfull);
   answer(503, "{}");
--- a/tests/platform/WireTest.cpp
+++ b/tests/platform/WireTest.cpp
@@ -2,9 +2,9 @@
 //---------------===//
 
 #include "platform/AdviceWire.h"
-#include "platform/CalledWire.h"
 #include "platform/JobWire.h"
 #include "platform/OperatorWire.h"
+#include "platform/PollWire.h"
 #include "platform/ProviderWire.h"
 #include "platform/ServerWire.h"
 
@@ -48,10 +48,10 @@
   return Value.dump();
 }
 
-TEST(WireTest, AJobIsReadWhole) {
-  const auto Got = parseJob(Job);
-  ASSERT_TRUE(Got) << Got.error().Message_;
-  const jobs::JobSpec &Spec = Got.value();
+TEST(WireTest, ParsesCompleteJob) {
+  const auto Result = parseJob(Job);
+  ASSERT_TRUE(Result) << Result.error().Message_;
+  const jobs::JobSpec &Spec = Result.value();
   EXPECT_EQ(Spec.Payload_, "text");
   EXPECT_EQ(Spec.RepeatCount_, 2U);
   EXPECT_EQ(Spec.FirstDueMs_, 5U);
@@ -73,10 +73,10 @@
   EXPECT_TRUE(Second.Checkpointing_ && Second.Gang_ && Second.SameRack_);
 }
 
-TEST(WireTest, AHeartbeatIsReadWhole) {
-  const auto Got = parseHeartbeat("i-1", Heartbeat);
-  ASSERT_TRUE(Got) << Got.error().Message_;
-  const jobs::ServerReport &Report = Got.value();
+TEST(WireTest, ParsesCompleteHeartbeat) {
+  const auto Result = parseHeartbeat("i-1", Heartbeat);
+  ASSERT_TRUE(Result) << Result.error().Message_;
+  const jobs::ServerReport &Report = Result.value();
   EXPECT_EQ(Report.Facts_.Id_, "i-1");
   EXPECT_EQ(Report.Facts_.Rack_, "r1-3");
   EXPECT_EQ(Report.Facts_.Capacity_, Resources::makeFor(16000, 32768));
@@ -93,7 +93,7 @@
   EXPECT_EQ(Report.Ended_[1].End_.Checkpoint_, "x");
 }
 
-TEST(WireTest, OrdersAreWrittenAsTheServersReadThem) {
+TEST(WireTest, RendersOrdersForServers) {
   jobs::ServerOrders Orders;
   EXPECT_EQ(Json::parse(renderOrders(Orders, "")), Json::object());
   const jobs::TaskKey Task{"5c0e", 0, 1, 18};
@@ -114,12 +114,12 @@
               "stop":[["5c0e.0.1.18",2]],"pace":[["5c0e.0.1.18",3,40]]})"));
 }
 
-TEST(WireTest, AConfigurationIsReadWholeAndKeptAsSent) {
-  const auto Got = parseConfiguration(Configuration);
-  ASSERT_TRUE(Got) << Got.error().Message_;
-  EXPECT_EQ(Got.value().Version_, 7U);
-  EXPECT_EQ(Got.value().Source_, Configuration);
-  const jobs::QueuePolicy &Queue = Got.value().Queues_.at(0);
+TEST(WireTest, ParsesConfigurationAndKeepsItsSource) {
+  const auto Result = parseConfiguration(Configuration);
+  ASSERT_TRUE(Result) << Result.error().Message_;
+  EXPECT_EQ(Result.value().Version_, 7U);
+  EXPECT_EQ(Result.value().Source_, Configuration);
+  const jobs::QueuePolicy &Queue = Result.value().Queues_.at(0);
   EXPECT_EQ(Queue.Host_, "h.example");
   EXPECT_EQ(Queue.PathPrefix_, "/l/");
   EXPECT_EQ(Queue.Priority_, 2U);
@@ -127,10 +127,10 @@
   EXPECT_EQ(Queue.StretchPercent_, 150U);
   EXPECT_EQ(Queue.ObjectiveMs_, 1200U);
   EXPECT_EQ(Queue.Advice_, (jobs::AdviceTimes{true, 5, 1, 9}));
-  EXPECT_TRUE(Got.value().Services_.at(0).GuardsCapacity_);
+  EXPECT_TRUE(Result.value().Services_.at(0).GuardsCapacity_);
 }
 
-TEST(WireTest, InvalidConfigurationsAreRefused) {
+TEST(WireTest, InvalidConfigurationsAreRejected) {
   const auto Change = [](const std::function<void(Json &)> &Edit) {
     Json Value = Json::parse(Configuration);
     Edit(Value);
@@ -161,7 +161,7 @@
     }
 }
 
-TEST(WireTest, AFieldThatStandsTwiceIsRefused) {
+TEST(WireTest, DuplicateFieldIsRejected) {
   EXPECT_FALSE(parseJob(R"({"spec":"a","spec":"b","steps":[{"count":1}]})"));
   EXPECT_FALSE(parseJob(R"({"steps":[{"count":1,"count":2}]})"));
   EXPECT_FALSE(parseJob(R"({"spec":"a","sp\u0065c":"b","steps":[{}]})"));
@@ -172,7 +172,7 @@
   EXPECT_FALSE(parseHeartbeat("i", Twice));
 }
 
-TEST(WireTest, WrongTypesAndNumbersOutOfRangeAreRefused) {
+TEST(WireTest, WrongTypesAndNumbersOutOfRangeAreRejected) {
   for (const char *Body :
        {R"({"steps":7})", R"({"steps":[7]})", R"({"steps":[{"count":-1}]})",
         R"({"steps":[{"count":1.5}]})", R"({"steps":[{"cpu":1e300}]})",
@@ -191,7 +191,7 @@
     EXPECT_FALSE(parseHeartbeat("i", change(Rows))) << Rows;
 }
 
-TEST(WireTest, HugeAndDeepBodiesAreReadWithoutHarm) {
+TEST(WireTest, HugeAndDeeplyNestedBodiesAreRejected) {
   const std::string Deep =
       std::string(100'000, '[') + std::string(100'000, ']');
   EXPECT_FALSE(parseJob(Deep));
@@ -203,16 +203,16 @@
 
 TEST(WireTest, TaskNamesSurviveTheRoundTrip) {
   const jobs::TaskKey Task{"a.b", 3, 2, 1};
-  EXPECT_EQ(parseTask(renderTask(Task)).value(), Task);
+  EXPECT_EQ(parseTaskName(renderTaskName(Task)).value(), Task);
   for (const char *Wrong : {"", "a", "1.2.3", "a.1.2", "a.b.c.d", "a.-1.0.0"})
-    EXPECT_FALSE(parseTask(Wrong)) << Wrong;
+    EXPECT_FALSE(parseTaskName(Wrong)) << Wrong;
 }
 
-TEST(WireTest, AWaveIsTakenWholeOrNotAtAll) {
-  const auto Got = parseWave(
+TEST(WireTest, IncompleteWaveIsRejected) {
+  const auto Result = parseWave(
       R"({"wave":1,"machines":["m-1","m-2"],"deadlineS":2.5,"maxCount":2})");
-  ASSERT_TRUE(Got) << Got.error().Message_;
-  EXPECT_EQ(Got.value(), (jobs::WaveSpec{1, {"m-1", "m-2"}, 2500, 2}));
+  ASSERT_TRUE(Result) << Result.error().Message_;
+  EXPECT_EQ(Result.value(), (jobs::WaveSpec{1, {"m-1", "m-2"}, 2500, 2}));
   for (const char *Body :
        {"", "[]", R"({"machines":["m"],"maxCount":1})",
         R"({"wave":1,"machines":["m"]})",
@@ -225,37 +225,38 @@
     EXPECT_FALSE(parseWave(Body)) << Body;
 }
 
-TEST(WireTest, AWavesStateIsOneOfTwoWords) {
+TEST(WireTest, RendersWaveState) {
   jobs::WaveRecord Wave{{1, {"m-1"}, 0, 1}, {}};
   EXPECT_EQ(renderWaveState(Wave), R"({"state":"running"})");
   Wave.Begun_ = {"m-1"};
   EXPECT_EQ(renderWaveState(Wave), R"({"state":"completed"})");
 }
 
-TEST(WireTest, AServersAnswerIsTakenWholeOrNotAtAll) {
-  const auto Got = parseLook(
+TEST(WireTest, IncompletePollReplyIsRejected) {
+  const auto Result = parsePollReply(
       R"({"currentTimeMs":482113,"running":[["j.0.1.17",2,"c",41]],
           "finished":[[58,"j.0.1.9",1,"done",""]]})");
-  ASSERT_TRUE(Got) << Got.error().Message_;
-  EXPECT_EQ(Got.value().ServerMs_, 482113U);
-  ASSERT_EQ(Got.value().Running_.size(), 1U);
-  EXPECT_EQ(Got.value().Running_[0].Run_, 2U);
-  ASSERT_EQ(Got.value().Ended_.size(), 1U);
-  EXPECT_EQ(Got.value().Ended_[0].Number_, 58U);
+  ASSERT_TRUE(Result) << Result.error().Message_;
+  EXPECT_EQ(Result.value().ServerMs_, 482113U);
+  ASSERT_EQ(Result.value().Running_.size(), 1U);
+  EXPECT_EQ(Result.value().Running_[0].Run_, 2U);
+  ASSERT_EQ(Result.value().Ended_.size(), 1U);
+  EXPECT_EQ(Result.value().Ended_[0].Number_, 58U);
   for (const char *Body :
        {"", "[]", R"({"running":[]})", R"({"currentTimeMs":"1"})",
         R"({"currentTimeMs":1,"running":[["j",1,"",0]]})",
         R"({"currentTimeMs":1,"finished":[[1,"j.0.0.0",1,"gone",""]]})"})
-    EXPECT_FALSE(parseLook(Body)) << Body;
+    EXPECT_FALSE(parsePollReply(Body)) << Body;
 }
 
-TEST(WireTest, OrdersToACalledServerNameTheirTokenAndTime) {
-  const HoldOrder Hold{486000, 7, 57, 1000};
+TEST(WireTest, RendersPolledServersOrdersWithTokenAndLease) {
+  const PollRequest Hold{486000, 7, 57, 1000};
   const jobs::TaskKey Task{"j", 0, 1, 17};
   EXPECT_EQ(
-      renderHold(Hold),
+      renderPollRequest(Hold),
       R"({"deadlineMs":486000,"fencingToken":7,"lastSeen":57,"wait_ms":1000})");
-  EXPECT_EQ(renderHold({}), R"({"wait_ms":0})") << "a look extends nothing";
+  EXPECT_EQ(renderPollRequest({}), R"({"wait_ms":0})")
+      << "a look extends nothing";
   const jobs::StartOrder Start{Task, 2, "text", "c", ""};
   EXPECT_EQ(renderStart(Start, Hold),
             R"({"checkpoint":"c","deadlineMs":486000,"fencingToken":7,"run":2,)"
--- a/tests/platform/soak/SoakClients.h
+++ b/tests/platform/soak/SoakClients.h
@@ -18,7 +18,7 @@
 namespace tulipweir::platform_test {
 
 /// What its client was told of a job.
-struct JobFate {
+struct JobHistory {
   bool IsAccepted_ = false;
   bool IsRefused_ = false;   ///< It was said never to run.
   bool IsCancelled_ = false; ///< The cancellation was acknowledged.
@@ -27,16 +27,16 @@
   bool WasCompleted_ = false;
 
   /// Whether the job may be in this state once all is over.
-  bool mayEndAs(const std::string &State) const {
-    const bool MayBeOff = IsCancelled_ || MayBeCancelled_;
-    return State == "completed" || (MayBeOff && State == "cancelled");
+  bool canEndAs(const std::string &State) const {
+    const bool MayBeCancelled = IsCancelled_ || MayBeCancelled_;
+    return State == "completed" || (MayBeCancelled && State == "cancelled");
   }
 };
 
 /// Runs threads of its own from construction to stop().
 class SoakClients {
 public:
-  SoakClients(PlatformCluster &World, std::uint64_t Seed);
+  SoakClients(PlatformCluster &Cluster, std::uint64_t Seed);
   ~SoakClients() { stop(); }
   SoakClients(const SoakClients &) = delete;
   SoakClients &operator=(const SoakClients &) = delete;
@@ -45,23 +45,27 @@
 
   // After stop().
 
-  const std::map<std::string, JobFate> &fates() const { return Fates_; }
-  std::uint64_t getAckedVersion() const { return Acked_; }
+  const std::map<std::string, JobHistory> &histories() const {
+    return Histories_;
+  }
+  std::uint64_t getAckedVersion() const { return AckedVersion_; }
 
 private:
   using Random = std::mt19937_64;
-  void handInJobs(Random Draw);
-  void handIn(const std::string &Id, Random &Draw);
-  void cancel(const std::string &Id, JobFate &Fate, int Entry);
-  void look(const std::string &Id, JobFate &Fate, Random &Draw);
+  void submitJobs(Random Draw);
+  void submitJob(const std::string &Id, Random &Draw);
+  void cancel(const std::string &Id, JobHistory &History, int Entry);
+  void checkJob(const std::string &Id, JobHistory &History, Random &Draw);
   void putConfigurations(Random Draw);
   void readConfigurations(Random Draw);
   void pause(std::chrono::milliseconds Time) const;
 
-  PlatformCluster &World_;
+  PlatformCluster &Cluster_;
   std::atomic<bool> Stopping_{false};
-  std::atomic<std::uint64_t> Acked_{0};  ///< The newest acknowledged version.
-  std::map<std::string, JobFate> Fates_; ///< Of the thread that hands in.
+  std::atomic<std::uint64_t> AckedVersion_{
+      0}; ///< The newest acknowledged version.
+  std::map<std::string, JobHistory>
+      Histories_; ///< Of the thread that hands in.
   std::vector<std::thread> Threads_;
 };
 
--- a/tests/platform/soak/SoakPlan.cpp
+++ b/tests/platform/soak/SoakPlan.cpp
@@ -9,11 +9,11 @@
 using tulipweir::system_test::Milliseconds;
 
 /// Several within an election, and some far apart.
-static constexpr int ShortestPauseMs = 100;
-static constexpr int LongestPauseMs = 2500;
+static constexpr int MinDelayMs = 100;
+static constexpr int MaxDelayMs = 2500;
 /// From less than a heartbeat to more than a lease of two seconds.
-static constexpr int ShortestMs = 100;
-static constexpr int LongestMs = 4000;
+static constexpr int MinFaultMs = 100;
+static constexpr int MaxFaultMs = 4000;
 
 static constexpr std::array<const char *, 13> Names = {"kill",
                                                        "freeze",
@@ -29,7 +29,7 @@
                                                        "cut-worker",
                                                        "cut-and-crash-worker"};
 
-static bool isOfWorkers(FaultKind Kind) {
+static bool isWorkerFault(FaultKind Kind) {
   return Kind >= FaultKind::CrashWorker;
 }
 
@@ -39,22 +39,22 @@
   static constexpr std::array<const char *, 5> Processes = {
       "control0", "control1", "control2", "entry0", "entry1"};
   std::mt19937_64 Random(Seed);
-  const auto Draw = [&Random](std::uint64_t Least, std::uint64_t Most) {
+  const auto Draw = [&Random](std::uint64_t Min, std::uint64_t Max) {
     // Not a distribution of the library's: those differ between libraries.
-    return Least + Random() % (Most - Least + 1);
+    return Min + Random() % (Max - Min + 1);
   };
   std::vector<SoakFault> Plan;
   bool HasLostDisk = false;
   Milliseconds At(0);
   for (;;) {
-    At += Milliseconds(Draw(ShortestPauseMs, LongestPauseMs));
+    At += Milliseconds(Draw(MinDelayMs, MaxDelayMs));
     SoakFault Next;
     Next.Kind_ = static_cast<FaultKind>(Draw(0, Names.size() - 1));
     Next.At_ = At;
-    Next.For_ = Milliseconds(Draw(ShortestMs, LongestMs));
-    if (At + Next.For_ > Length)
+    Next.Length_ = Milliseconds(Draw(MinFaultMs, MaxFaultMs));
+    if (At + Next.Length_ > Length)
       return Plan;
-    if (isOfWorkers(Next.Kind_))
+    if (isWorkerFault(Next.Kind_))
       Next.Worker_ = Draw(0, Workers - 1);
     else
       Next.Process_ = Processes.at(Draw(0, Processes.size() - 1));
@@ -69,8 +69,8 @@
 
 std::string tulipweir::platform_test::describe(const SoakFault &Fault) {
   return std::string(Names.at(static_cast<std::size_t>(Fault.Kind_))) + " " +
-         (isOfWorkers(Fault.Kind_) ? "w" + std::to_string(Fault.Worker_)
-                                   : Fault.Process_) +
+         (isWorkerFault(Fault.Kind_) ? "w" + std::to_string(Fault.Worker_)
+                                     : Fault.Process_) +
          " at " + std::to_string(Fault.At_.count()) + " ms for " +
-         std::to_string(Fault.For_.count()) + " ms";
+         std::to_string(Fault.Length_.count()) + " ms";
 }
--- a/tests/platform/soak/SoakPlan.h
+++ b/tests/platform/soak/SoakPlan.h
@@ -35,7 +35,7 @@
 struct SoakFault {
   FaultKind Kind_ = FaultKind::Kill;
   system_test::Milliseconds At_{};
-  system_test::Milliseconds For_{};
+  system_test::Milliseconds Length_{};
   std::string Process_;    ///< Empty for faults of workers.
   std::size_t Worker_ = 0; ///< Its number.
 };
--- a/tests/platform/system/PlatformCluster.cpp
+++ b/tests/platform/system/PlatformCluster.cpp
@@ -19,22 +19,22 @@
          std::to_string(Process & 0xff) + "." + std::to_string(Number);
 }
 
-PlatformCluster::PlatformCluster(Links How) : How_(How) {
+PlatformCluster::PlatformCluster(Links Mode) : Mode_(Mode) {
   const std::uint16_t Shared = pickPort();
-  const auto Place = [&](const std::string &Role, int I) {
+  const auto addEndpoint = [&](const std::string &Role, int I) {
     // A process calls others at the port of its own links: with one of its own
     // for each, a forwarder can stand there.
-    Places_[Role + std::to_string(I)] = {
-        makeAddress(static_cast<int>(Places_.size()) + 1),
-        How == Links::Wired ? pickPort() : Shared};
+    Endpoints_[Role + std::to_string(I)] = {
+        makeAddress(static_cast<int>(Endpoints_.size()) + 1),
+        Mode == Links::Forwarded ? pickPort() : Shared};
   };
   for (int I = 0; I < Controls; ++I)
-    Place("control", I);
+    addEndpoint("control", I);
   for (int I = 0; I < Entries; ++I)
-    Place("entry", I);
-  if (How == Links::Wired)
-    addWires();
-  for (const auto &[Name, Where] : Places_) {
+    addEndpoint("entry", I);
+  if (Mode == Links::Forwarded)
+    addForwarders();
+  for (const auto &[Name, Where] : Endpoints_) {
     writeSettings(Name, /*IsFirstStart=*/true);
     auto Process = std::make_unique<Child>(
         isControl(Name) ? "tulipweir-platform-control"
@@ -56,7 +56,7 @@
 
 void PlatformCluster::writeSettings(const std::string &Name,
                                     bool IsFirstStart) {
-  const Place &Where = Places_.at(Name);
+  const ProcessEndpoint &Where = Endpoints_.at(Name);
   const auto At = [&Where](std::uint16_t Port) {
     return Where.Address_ + ":" + std::to_string(Port);
   };
@@ -72,7 +72,7 @@
       {"bounds", {{"holdMaxMs", 2000}, {"graceS", 6}, {"status_s", 120}}}};
   for (int Seed = 0; Seed < Controls; ++Seed)
     Settings["seeds"].push_back(
-        Places_.at("control" + std::to_string(Seed)).Address_ + ":" +
+        Endpoints_.at("control" + std::to_string(Seed)).Address_ + ":" +
         std::to_string(ControlPort_));
   if (isControl(Name)) {
     Settings["listen"]["control"] = At(ControlPort_);
@@ -84,18 +84,19 @@
   std::ofstream(getPath(Name, ".json")) << Settings.dump();
 }
 
-void PlatformCluster::addWires() {
-  for (const auto &[From, Caller] : Places_)
-    for (const auto &[To, Called] : Places_)
+void PlatformCluster::addForwarders() {
+  for (const auto &[From, Caller] : Endpoints_)
+    for (const auto &[To, Callee] : Endpoints_)
       if (From != To && isControl(To))
-        Wires_[{From, To}] = std::make_unique<Forwarder>(
-            WireEnd{Called.Address_, Caller.LinkPort_},
-            WireEnd{Called.Address_, Called.LinkPort_});
+        Forwarders_[{From, To}] = std::make_unique<Forwarder>(
+            WireEnd{Callee.Address_, Caller.LinkPort_},
+            WireEnd{Callee.Address_, Callee.LinkPort_});
 }
 
-void PlatformCluster::onWires(const std::string &Name, bool From, bool To,
-                              const std::function<void(Forwarder &)> &Act) {
-  for (const auto &[Ends, Wire] : Wires_)
+void PlatformCluster::forEachForwarder(
+    const std::string &Name, bool From, bool To,
+    const std::function<void(Forwarder &)> &Act) {
+  for (const auto &[Ends, Wire] : Forwarders_)
     if ((From && Ends.first == Name) || (To && Ends.second == Name))
       Act(*Wire);
 }
@@ -106,8 +107,8 @@
 }
 
 void PlatformCluster::printLogs() const {
-  for (const auto &[Name, Each] : Processes_)
-    std::cerr << "== " << Name << "\n" << Each->readOutput();
+  for (const auto &[Name, Process] : Processes_)
+    std::cerr << "== " << Name << "\n" << Process->readOutput();
 }
 
 HttpAnswer PlatformCluster::tryControl(int Control, const std::string &Method,
@@ -115,7 +116,7 @@
                                        const std::string &Body) {
   HttpCall Call;
   Call.Method_ = Method;
-  Call.Address_ = Places_.at("control" + std::to_string(Control)).Address_;
+  Call.Address_ = Endpoints_.at("control" + std::to_string(Control)).Address_;
   Call.Path_ = Path;
   Call.Body_ = Body;
   return system_test::call(ControlPort_, Call);
@@ -125,7 +126,7 @@
                                         const std::string &Path,
                                         const std::string &Body) {
   HttpAnswer Answer;
-  waitFor(Patience, [&] {
+  waitFor(Timeout, [&] {
     for (int I = 0; I < Controls; ++I) {
       Answer = tryControl(I, Method, Path, Body);
       if (Answer.Status_ != 0 && Answer.Status_ != 307 && Answer.Status_ != 503)
@@ -141,7 +142,7 @@
                                       const std::string &Body, int Entry) {
   HttpCall Call;
   Call.Method_ = Method;
-  Call.Address_ = Places_.at("entry" + std::to_string(Entry)).Address_;
+  Call.Address_ = Endpoints_.at("entry" + std::to_string(Entry)).Address_;
   Call.Path_ = Path;
   Call.Body_ = Body;
   Call.Headers_["Host"] = Host;
@@ -182,12 +183,12 @@
 
 std::unique_ptr<Worker>
 PlatformCluster::makeWorker(const std::string &Id, const std::string &Address) {
-  std::vector<Worker::Place> Known;
+  std::vector<Worker::Endpoint> Known;
   Known.reserve(Controls);
   for (int I = 0; I < Controls; ++I)
     Known.push_back(
-        {Places_.at("control" + std::to_string(I)).Address_, ControlPort_});
-  return std::make_unique<Worker>(Id, Known, Seen_, Address);
+        {Endpoints_.at("control" + std::to_string(I)).Address_, ControlPort_});
+  return std::make_unique<Worker>(Id, Known, Audit_, Address);
 }
 
 void PlatformCluster::addWorkers(int Count) {
--- a/tests/platform/system/PlatformCluster.h
+++ b/tests/platform/system/PlatformCluster.h
@@ -20,7 +20,7 @@
 
 namespace tulipweir::platform_test {
 
-inline constexpr std::chrono::seconds Patience{60};
+inline constexpr std::chrono::seconds Timeout{60};
 inline constexpr const char *Host = "jobs.example";
 inline constexpr int Controls = 3;
 inline constexpr int Entries = 2;
@@ -28,9 +28,9 @@
 class PlatformCluster {
 public:
   using Json = nlohmann::json;
-  enum class Links : std::uint8_t { Direct, Wired };
+  enum class Links : std::uint8_t { Direct, Forwarded };
 
-  explicit PlatformCluster(Links How);
+  explicit PlatformCluster(Links Mode);
   /// Ends what it started.
   ~PlatformCluster();
   PlatformCluster(const PlatformCluster &) = delete;
@@ -50,8 +50,9 @@
   void loseDisk(const std::string &Name);
   void printLogs() const;
   /// Calls Act for each forwarder from or to the process; all are wired.
-  void onWires(const std::string &Name, bool From, bool To,
-               const std::function<void(system_test::Forwarder &)> &Act);
+  void
+  forEachForwarder(const std::string &Name, bool From, bool To,
+                   const std::function<void(system_test::Forwarder &)> &Act);
 
   // Calls. Tries each control until one answers for itself.
 
@@ -78,34 +79,34 @@
   std::unique_ptr<Worker> makeWorker(const std::string &Id,
                                      const std::string &Address = "");
 
-  Audit Seen_;
+  Audit Audit_;
   std::vector<std::unique_ptr<Worker>> Workers_;
 
 private:
   /// Where a process is, and the port of its links there.
-  struct Place {
+  struct ProcessEndpoint {
     std::string Address_;
     std::uint16_t LinkPort_ = 0;
   };
   void addProcess(const std::string &Role, int I);
   void writeSettings(const std::string &Name, bool IsFirstStart);
-  void addWires();
+  void addForwarders();
   std::string getPath(const std::string &Name, const char *Ending) const;
   static bool isControl(const std::string &Name) {
     return Name.starts_with("control");
   }
 
   system_test::TempFolder Folder_;
-  const Links How_;
+  const Links Mode_;
   const std::uint16_t ControlPort_ = system_test::pickPort();
   const std::uint16_t ClientPort_ = system_test::pickPort();
   const std::uint16_t ReadyPort_ = system_test::pickPort();
-  std::map<std::string, Place> Places_;
+  std::map<std::string, ProcessEndpoint> Endpoints_;
   std::map<std::string, std::unique_ptr<system_test::Child>> Processes_;
   /// By the names of the calling and the called process.
   std::map<std::pair<std::string, std::string>,
            std::unique_ptr<system_test::Forwarder>>
-      Wires_;
+      Forwarders_;
 };
 
 } // namespace tulipweir::platform_test
--- a/tests/platform/system/WholePathTest.cpp
+++ b/tests/platform/system/WholePathTest.cpp
@@ -32,7 +32,7 @@
   }
   /// Hands a job in until it is accepted, as clients do.
   void submit(const std::string &Id, const Json &Job) {
-    EXPECT_TRUE(waitFor(Patience, [&] {
+    EXPECT_TRUE(waitFor(Timeout, [&] {
       for (int Entry = 0; Entry < Entries; ++Entry)
         if (callEntry("POST", "/q/" + Id, Job.dump(), Entry).Status_ == 200)
           return true;
@@ -43,22 +43,22 @@
     return callEntry("GET", "/q/" + Id).json().value("state", "");
   }
   bool waitForState(const std::string &Id, const std::string &State) {
-    return waitFor(Patience, [&] { return stateOf(Id) == State; });
+    return waitFor(Timeout, [&] { return stateOf(Id) == State; });
   }
 };
 
 } // namespace
 
-TEST_F(WholePathTest, JobsRunToTheirEndOnceAndInOrder) {
+TEST_F(WholePathTest, JobsCompleteOnceAndInOrder) {
   putConfiguration(1);
   addWorkers(3);
   for (int I = 0; I < 6; ++I)
     submit("a" + std::to_string(I), makeJob("ms=100;cpu=1000;mem=500"));
   for (int I = 0; I < 6; ++I)
     EXPECT_TRUE(waitForState("a" + std::to_string(I), "completed"));
-  EXPECT_EQ(Seen_.countDone(), 48U);
-  EXPECT_EQ(Seen_.countStarts(), 48U);
-  EXPECT_EQ(Seen_.listBreaks(), std::vector<std::string>{});
+  EXPECT_EQ(Audit_.countDone(), 48U);
+  EXPECT_EQ(Audit_.countStarts(), 48U);
+  EXPECT_EQ(Audit_.listViolations(), std::vector<std::string>{});
   EXPECT_EQ(callEntry("GET", "/q/unknown").Status_, 410);
   EXPECT_EQ(callEntry("GET", "/other/x").Status_, 404);
   EXPECT_EQ(callEntry("GET", "/q/").json().value("pending", -1), 0);
@@ -66,13 +66,13 @@
   EXPECT_EQ(callControl("GET", "/api/config").json().value("version", 0), 1);
 }
 
-TEST_F(WholePathTest, ALostLeaderAndALostWorkerCostNoJob) {
+TEST_F(WholePathTest, JobsSurviveLossOfLeaderAndWorker) {
   putConfiguration(1);
   addWorkers(4);
   for (int I = 0; I < 8; ++I)
     submit("b" + std::to_string(I), makeJob("ms=900;cpu=1000;mem=500"));
   EXPECT_TRUE(
-      waitFor(Patience, [this] { return Workers_[0]->countRunning() > 0; }));
+      waitFor(Timeout, [this] { return Workers_[0]->countRunning() > 0; }));
   const std::string Leader = findLeader();
   ASSERT_NE(Leader, "");
   process(Leader).kill();
@@ -82,11 +82,11 @@
   for (int I = 0; I < 8; ++I)
     EXPECT_TRUE(waitForState("b" + std::to_string(I), "completed"));
   EXPECT_TRUE(waitForState("late", "completed"));
-  EXPECT_EQ(Seen_.countDone(), 72U);
-  EXPECT_EQ(Seen_.listBreaks(), std::vector<std::string>{});
+  EXPECT_EQ(Audit_.countDone(), 72U);
+  EXPECT_EQ(Audit_.listViolations(), std::vector<std::string>{});
 }
 
-TEST_F(WholePathTest, AllControlsKilledForgetNothing) {
+TEST_F(WholePathTest, StateSurvivesKillOfAllControls) {
   putConfiguration(3);
   submit("kept", makeJob("ms=100;cpu=1000;mem=500"));
   for (int I = 0; I < Controls; ++I)
@@ -96,10 +96,10 @@
   addWorkers(2);
   EXPECT_TRUE(waitForState("kept", "completed"));
   EXPECT_EQ(callControl("GET", "/api/config").json().value("version", 0), 3);
-  EXPECT_EQ(Seen_.listBreaks(), std::vector<std::string>{});
+  EXPECT_EQ(Audit_.listViolations(), std::vector<std::string>{});
 }
 
-TEST_F(WholePathTest, AnEvacuationHoldsOverALostLeaderUntilItIsTakenBack) {
+TEST_F(WholePathTest, EvacuationSurvivesLossOfLeaderUntilCancelled) {
   putConfiguration(1);
   addWorkers(2);
   submit("first", makeJob("ms=50;cpu=1000;mem=500"));
@@ -107,7 +107,7 @@
   EXPECT_EQ(callControl("POST", "/api/evacuations/nowhere").Status_, 404);
   EXPECT_EQ(callControl("POST", "/api/evacuations/z").Status_, 200);
   EXPECT_EQ(callControl("POST", "/api/evacuations/z").Status_, 200);
-  const std::uint64_t Before = Seen_.countStarts();
+  const std::uint64_t Before = Audit_.countStarts();
   const std::string Leader = findLeader();
   ASSERT_NE(Leader, "");
   process(Leader).kill();
@@ -115,14 +115,14 @@
   submit("waits", makeJob("ms=50;cpu=1000;mem=500"));
   // Some rounds of reports at the next leader.
   std::this_thread::sleep_for(1500ms);
-  EXPECT_EQ(Seen_.countStarts(), Before);
+  EXPECT_EQ(Audit_.countStarts(), Before);
   EXPECT_EQ(stateOf("waits"), "queued");
   EXPECT_EQ(callControl("DELETE", "/api/evacuations/z").Status_, 200);
   EXPECT_TRUE(waitForState("waits", "completed"));
-  EXPECT_EQ(Seen_.listBreaks(), std::vector<std::string>{});
+  EXPECT_EQ(Audit_.listViolations(), std::vector<std::string>{});
 }
 
-TEST_F(WholePathTest, FailuresAndCancellationsEndAsTheyShould) {
+TEST_F(WholePathTest, FailedAndCancelledJobsEnd) {
   putConfiguration(1);
   addWorkers(2);
   submit("poison", makeJob("ms=20;cpu=1000;mem=500;fail"));
@@ -131,13 +131,13 @@
   EXPECT_TRUE(waitForState("long", "running"));
   EXPECT_EQ(callEntry("DELETE", "/q/long").Status_, 200);
   EXPECT_EQ(stateOf("long"), "cancelled");
-  EXPECT_TRUE(waitFor(Patience, [this] {
+  EXPECT_TRUE(waitFor(Timeout, [this] {
     return Workers_[0]->countRunning() + Workers_[1]->countRunning() == 0;
   }));
-  EXPECT_EQ(Seen_.listBreaks(), std::vector<std::string>{});
+  EXPECT_EQ(Audit_.listViolations(), std::vector<std::string>{});
 }
 
-TEST_F(WholePathTest, ADrainingWorkerGetsNothingNew) {
+TEST_F(WholePathTest, DrainingWorkerGetsNoNewTasks) {
   putConfiguration(1);
   addWorkers(1);
   submit("first", makeJob("ms=50;cpu=1000;mem=500"));
@@ -146,14 +146,14 @@
   // Two reports later everybody knows it.
   std::this_thread::sleep_for(1500ms);
   submit("second", makeJob("ms=50;cpu=1000;mem=500"));
-  const std::uint64_t Before = Seen_.countStarts();
+  const std::uint64_t Before = Audit_.countStarts();
   std::this_thread::sleep_for(1500ms);
-  EXPECT_EQ(Seen_.countStarts(), Before);
+  EXPECT_EQ(Audit_.countStarts(), Before);
   addWorkers(1);
   EXPECT_TRUE(waitForState("second", "completed"));
 }
 
-TEST_F(WholePathTest, PlannedStopsAreClean) {
+TEST_F(WholePathTest, PlannedStopsExitCleanly) {
   putConfiguration(1);
   submit("j", makeJob("ms=50;cpu=1000;mem=500"));
   for (auto &[Name, Process] : processes()) {
@@ -162,7 +162,7 @@
   }
 }
 
-TEST_F(WholePathTest, EveryLogLineParsesAndFailuresAreFoundByTheirId) {
+TEST_F(WholePathTest, LogLinesAreJsonAndNameFailedJobs) {
   putConfiguration(1);
   addWorkers(1);
   submit("fine", makeJob("ms=50;cpu=1000;mem=500"));
--- a/tests/platform/system/Worker.cpp
+++ b/tests/platform/system/Worker.cpp
@@ -15,64 +15,66 @@
 static constexpr std::int64_t CpuCapacity = 8000;
 static constexpr std::int64_t MemoryCapacity = 16'000;
 
-void Audit::noteStart(const std::string &Task, std::uint64_t Run,
-                      const std::string &Worker, Instant At) {
+void Audit::recordStart(const std::string &Task, std::uint64_t Run,
+                        const std::string &Worker, Instant At) {
   const std::lock_guard Hold(Lock_);
   ++Starts_;
   Runs_[Task].push_back({Run, Worker, At});
 }
 
-void Audit::noteEnd(const std::string &Task, std::uint64_t Run,
-                    const std::string &How, Instant At) {
+void Audit::recordEnd(const std::string &Task, std::uint64_t Run,
+                      const std::string &Outcome, Instant At) {
   const std::lock_guard Hold(Lock_);
-  for (Audit::Run &Each : Runs_[Task])
-    if (Each.Number_ == Run) {
-      Each.End_ = At;
-      Each.IsDone_ = How == "done";
+  for (Audit::Run &Record : Runs_[Task])
+    if (Record.Number_ == Run) {
+      Record.End_ = At;
+      Record.IsDone_ = Outcome == "done";
     }
 }
 
-void Audit::noteTaken(const std::string &Task, std::uint64_t Run) {
+void Audit::recordEndAcknowledged(const std::string &Task, std::uint64_t Run) {
   const std::lock_guard Hold(Lock_);
-  for (Audit::Run &Each : Runs_[Task])
-    Each.IsTaken_ = Each.IsTaken_ || Each.Number_ == Run;
+  for (Audit::Run &Record : Runs_[Task])
+    Record.IsEndAcknowledged_ =
+        Record.IsEndAcknowledged_ || Record.Number_ == Run;
 }
 
-void Audit::judge(const std::string &Task, const std::vector<Run> &Runs,
-                  std::vector<std::string> &Breaks) {
+void Audit::checkRuns(const std::string &Task, const std::vector<Run> &Runs,
+                      std::vector<std::string> &Violations) {
   for (std::size_t I = 0; I < Runs.size(); ++I)
     for (std::size_t J = 0; J < I; ++J) {
       if (Runs[I].Begin_ < Runs[J].End_ && Runs[J].Begin_ < Runs[I].End_)
-        Breaks.push_back(Task + " runs twice, on " + Runs[J].Worker_ +
-                         " and on " + Runs[I].Worker_);
+        Violations.push_back(Task + " runs twice, on " + Runs[J].Worker_ +
+                             " and on " + Runs[I].Worker_);
       // Before the system took note, nobody could know; but an end that it
       // believed in the end must not be followed by a start.
-      if (Runs[J].IsDone_ && Runs[J].IsTaken_ && Runs[I].Begin_ >= Runs[J].End_)
-        Breaks.push_back(Task + " was started after it was done");
+      if (Runs[J].IsDone_ && Runs[J].IsEndAcknowledged_ &&
+          Runs[I].Begin_ >= Runs[J].End_)
+        Violations.push_back(Task + " was started after it was done");
       if (Runs[I].Number_ <= Runs[J].Number_)
-        Breaks.push_back(Task + " was started with an old number");
+        Violations.push_back(Task + " was started with an old number");
     }
 }
 
-void Audit::noteBreak(const std::string &What) {
+void Audit::reportViolation(const std::string &What) {
   const std::lock_guard Hold(Lock_);
-  Breaks_.push_back(What);
+  Violations_.push_back(What);
 }
 
-std::vector<std::string> Audit::listBreaks() const {
+std::vector<std::string> Audit::listViolations() const {
   const std::lock_guard Hold(Lock_);
-  std::vector<std::string> Breaks = Breaks_;
+  std::vector<std::string> Violations = Violations_;
   for (const auto &[Task, Runs] : Runs_)
-    judge(Task, Runs, Breaks);
-  return Breaks;
+    checkRuns(Task, Runs, Violations);
+  return Violations;
 }
 
 std::uint64_t Audit::countDone() const {
   const std::lock_guard Hold(Lock_);
   return static_cast<std::uint64_t>(
-      std::count_if(Runs_.begin(), Runs_.end(), [](const auto &Each) {
-        return std::any_of(Each.second.begin(), Each.second.end(),
-                           [](const Run &One) { return One.IsDone_; });
+      std::count_if(Runs_.begin(), Runs_.end(), [](const auto &Task) {
+        return std::any_of(Task.second.begin(), Task.second.end(),
+                           [](const Run &Record) { return Record.IsDone_; });
       }));
 }
 
@@ -87,11 +89,12 @@
   return Starts_;
 }
 
-Worker::Worker(std::string Id, std::vector<Place> Controls, Audit &Seen,
-               const std::string &Address)
+Worker::Worker(std::string Id, std::vector<Endpoint> Controls,
+               Audit &SharedAudit, const std::string &Address)
     : Id_(std::move(Id)), Address_(Address.empty() ? Id_ + ":1" : Address),
-      Controls_(std::move(Controls)), Seen_(Seen), Thread_([this] { run(); }),
-      Watch_([this] { watchLeases(); }) {}
+      Controls_(std::move(Controls)), Audit_(SharedAudit),
+      HeartbeatThread_([this] { run(); }),
+      LeaseThread_([this] { watchLeases(); }) {}
 
 Worker::~Worker() { crash(); }
 
@@ -100,14 +103,14 @@
   {
     const std::lock_guard Hold(Lock_);
     const Instant Now = std::chrono::steady_clock::now();
-    for (const auto &[Name, Each] : Running_)
-      Seen_.noteEnd(Name, Each.Run_, "crashed", std::min(Now, LeaseEnd_));
+    for (const auto &[Name, Active] : Running_)
+      Audit_.recordEnd(Name, Active.Run_, "crashed", std::min(Now, LeaseEnd_));
     Running_.clear();
   }
-  if (Thread_.joinable())
-    Thread_.join();
-  if (Watch_.joinable())
-    Watch_.join();
+  if (HeartbeatThread_.joinable())
+    HeartbeatThread_.join();
+  if (LeaseThread_.joinable())
+    LeaseThread_.join();
 }
 
 std::uint64_t Worker::countRunning() const {
@@ -117,108 +120,110 @@
 
 void Worker::run() {
   while (!Stopping_) {
-    beat();
-    pause(Wait_);
+    sendHeartbeat();
+    pause(HeartbeatDelay_);
   }
 }
 
 /// Beside the heartbeats, as one may wait long for its answer.
 void Worker::watchLeases() {
   while (!Stopping_) {
-    endDue(std::chrono::steady_clock::now());
+    endDueTasks(std::chrono::steady_clock::now());
     std::this_thread::sleep_for(5ms);
   }
 }
 
-void Worker::deliverHeldUp() {
-  for (const Place &To : Controls_)
-    if (!HeldUp_.empty() && send(To, HeldUp_))
+void Worker::deliverDelayedHeartbeat() {
+  for (const Endpoint &To : Controls_)
+    if (!DelayedHeartbeat_.empty() && send(To, DelayedHeartbeat_))
       return;
 }
 
 /// Until the next heartbeat, or a little after an end.
-void Worker::pause(milliseconds Most) {
-  const Instant Until = std::chrono::steady_clock::now() + Most;
+void Worker::pause(milliseconds Max) {
+  const Instant Until = std::chrono::steady_clock::now() + Max;
   while (!Stopping_ && std::chrono::steady_clock::now() < Until) {
-    const std::uint64_t Before = NextEnd_;
+    const std::uint64_t Before = NextEndNumber_;
     std::this_thread::sleep_for(10ms);
-    if (NextEnd_ != Before)
+    if (NextEndNumber_ != Before)
       return;
   }
 }
 
-std::uint64_t Worker::getDoneMs(const Task &Of, Instant Now) {
-  return Of.SavedMs_ +
+std::uint64_t Worker::getProgressMs(const Task &Measured, Instant Now) {
+  return Measured.CheckpointMs_ +
          static_cast<std::uint64_t>(
-             duration_cast<milliseconds>(Now - Of.Begin_).count());
+             duration_cast<milliseconds>(Now - Measured.Begin_).count());
 }
 
-void Worker::endTask(const std::string &Name, const std::string &How,
+void Worker::endTask(const std::string &Name, const std::string &Outcome,
                      Instant At) {
-  const auto Found = Running_.find(Name);
-  const Task Ending = Found->second;
-  Running_.erase(Found);
-  const std::uint64_t Done = getDoneMs(Ending, At);
-  EndedAt_[NextEnd_] = At;
-  Ended_.push_back({NextEnd_++, Name, Ending.Run_, How,
-                    How == "done" ? "" : std::to_string(Done)});
-  Outlawed_[Name] = std::max(Outlawed_[Name], Ending.Run_);
-  Seen_.noteEnd(Name, Ending.Run_, How, At);
+  const auto It = Running_.find(Name);
+  const Task Ending = It->second;
+  Running_.erase(It);
+  const std::uint64_t Done = getProgressMs(Ending, At);
+  EndedAt_[NextEndNumber_] = At;
+  Ended_.push_back({NextEndNumber_++, Name, Ending.Run_, Outcome,
+                    Outcome == "done" ? "" : std::to_string(Done)});
+  HighestRejectedRun_[Name] = std::max(HighestRejectedRun_[Name], Ending.Run_);
+  Audit_.recordEnd(Name, Ending.Run_, Outcome, At);
 }
 
-void Worker::endDue(Instant Now) {
+void Worker::endDueTasks(Instant Now) {
   const std::lock_guard Hold(Lock_);
   if (Now >= LeaseEnd_)
-    LastLapse_ = LeaseEnd_;
+    LastLeaseExpiry_ = LeaseEnd_;
   std::vector<std::pair<std::string, std::string>> Ends;
-  for (const auto &[Name, Each] : Running_) {
+  for (const auto &[Name, Active] : Running_) {
     // Both at once, as this thread was late: the lease goes first.
     if (Now >= LeaseEnd_)
       Ends.emplace_back(Name, "lapsed");
-    else if (getDoneMs(Each, Now) >= Each.TotalMs_)
-      Ends.emplace_back(Name, Each.Fails_ ? "failed" : "done");
+    else if (getProgressMs(Active, Now) >= Active.TotalMs_)
+      Ends.emplace_back(Name, Active.Fails_ ? "failed" : "done");
   }
-  for (const auto &[Name, How] : Ends)
-    endTask(Name, How, std::min(Now, LeaseEnd_));
+  for (const auto &[Name, Outcome] : Ends)
+    endTask(Name, Outcome, std::min(Now, LeaseEnd_));
 }
 
-Json Worker::makeBeat() {
+Json Worker::makeHeartbeat() {
   const std::lock_guard Hold(Lock_);
-  Json Beat = {{"service", "svc"},
-               {"address", Address_},
-               {"zone", "z"},
-               {"version", "v1"},
-               {"slots", 8},
-               {"state", IsDraining_ ? "draining" : "ready"},
-               {"coldLeftMs", 0},
-               {"capacity",
-                {{"cpu", CpuCapacity}, {"memMb", MemoryCapacity}, {"gpu", 0}}},
-               {"labels", {"a", "r1"}},
-               {"seq", ++Sequence_},
-               {"running", Json::array()},
-               {"finished", Ended_}};
+  Json Heartbeat = {
+      {"service", "svc"},
+      {"address", Address_},
+      {"zone", "z"},
+      {"version", "v1"},
+      {"slots", 8},
+      {"state", IsDraining_ ? "draining" : "ready"},
+      {"coldLeftMs", 0},
+      {"capacity",
+       {{"cpu", CpuCapacity}, {"memMb", MemoryCapacity}, {"gpu", 0}}},
+      {"labels", {"a", "r1"}},
+      {"seq", ++Sequence_},
+      {"running", Json::array()},
+      {"finished", Ended_}};
   const Instant Now = std::chrono::steady_clock::now();
-  for (const auto &[Name, Each] : Running_)
-    Beat["running"].push_back(
-        {Name, Each.Run_, std::to_string(getDoneMs(Each, Now)), 50, Each.Cpu_});
-  return Beat;
+  for (const auto &[Name, Active] : Running_)
+    Heartbeat["running"].push_back({Name, Active.Run_,
+                                    std::to_string(getProgressMs(Active, Now)),
+                                    50, Active.Cpu_});
+  return Heartbeat;
 }
 
-void Worker::beat() {
-  const std::string Body = makeBeat().dump();
+void Worker::sendHeartbeat() {
+  const std::string Body = makeHeartbeat().dump();
   if (IsCut_) {
-    HeldUp_ = Body;
+    DelayedHeartbeat_ = Body;
     return;
   }
   for (std::size_t Try = 0; Try < Controls_.size(); ++Try) {
-    if (send(Controls_[Next_ % Controls_.size()], Body))
+    if (send(Controls_[NextControl_ % Controls_.size()], Body))
       return;
-    ++Next_;
+    ++NextControl_;
   }
 }
 
-bool Worker::send(const Place &To, const std::string &Body) {
-  Place Target = To;
+bool Worker::send(const Endpoint &To, const std::string &Body) {
+  Endpoint Target = To;
   for (int Hop = 0; Hop < 3; ++Hop) {
     system_test::HttpCall Call;
     Call.Method_ = "PUT";
@@ -232,7 +237,7 @@
     if (Answer.Status_ == 200) {
       // Answers that come later than a second are dropped.
       if (std::chrono::steady_clock::now() - SentAt < 1s && !IsCut_)
-        takeOrders(Answer.json(), SentAt);
+        applyOrders(Answer.json(), SentAt);
       return true;
     }
     if (Answer.Status_ != 307)
@@ -249,35 +254,35 @@
   return false;
 }
 
-void Worker::takeOrders(const Json &Orders, Instant SentAt) {
+void Worker::applyOrders(const Json &Orders, Instant SentAt) {
   if (Stopping_)
     return;
   const std::uint64_t Token = Orders.value("fencingToken", std::uint64_t(0));
   if (Token < HighestToken_)
     return;
   HighestToken_ = Token;
-  Wait_ = milliseconds(Orders.value("retryAfterMs", 100));
+  HeartbeatDelay_ = milliseconds(Orders.value("retryAfterMs", 100));
   const std::lock_guard Hold(Lock_);
-  const std::uint64_t Noted = Orders.value("lastSeen", std::uint64_t(0));
+  const std::uint64_t Acknowledged = Orders.value("lastSeen", std::uint64_t(0));
   if (std::chrono::steady_clock::now() >= LeaseEnd_)
-    LastLapse_ = LeaseEnd_;
-  std::erase_if(Ended_, [this, Noted](const Json &Row) {
+    LastLeaseExpiry_ = LeaseEnd_;
+  std::erase_if(Ended_, [this, Acknowledged](const Json &Row) {
     const auto Number = Row[0].get<std::uint64_t>();
-    if (Number > Noted)
+    if (Number > Acknowledged)
       return false;
     const auto At = EndedAt_.extract(Number);
-    if (At.mapped() >= LastLapse_)
-      Seen_.noteTaken(Row[1], Row[2]);
+    if (At.mapped() >= LastLeaseExpiry_)
+      Audit_.recordEndAcknowledged(Row[1], Row[2]);
     return true;
   });
   for (const Json &Row : Orders.value("stop", Json::array())) {
     const auto Name = Row[0].get<std::string>();
     const auto Run = Row[1].get<std::uint64_t>();
-    const auto Found = Running_.find(Name);
-    if (Found != Running_.end() && Found->second.Run_ == Run)
+    const auto It = Running_.find(Name);
+    if (It != Running_.end() && It->second.Run_ == Run)
       endTask(Name, "stopped", std::chrono::steady_clock::now());
     else
-      Outlawed_[Name] = std::max(Outlawed_[Name], Run);
+      HighestRejectedRun_[Name] = std::max(HighestRejectedRun_[Name], Run);
   }
   const std::uint64_t HoldMs = Orders.value("holdMs", std::uint64_t(0));
   if (HoldMs == 0)
@@ -299,26 +304,27 @@
   const auto Name = Row[0].get<std::string>();
   const auto Run = Row[1].get<std::uint64_t>();
   const auto Payload = Row[2].get<std::string>();
-  const auto Saved = Row[3].get<std::string>();
-  const bool IsOver =
+  const auto Checkpoint = Row[3].get<std::string>();
+  const bool IsLeaseOver =
       Stopping_ || std::chrono::steady_clock::now() >= LeaseEnd_;
-  if (IsOver || Running_.count(Name) != 0 || Run <= Outlawed_[Name])
+  if (IsLeaseOver || Running_.count(Name) != 0 ||
+      Run <= HighestRejectedRun_[Name])
     return;
-  Task Fresh{Run,
-             static_cast<std::uint64_t>(findNumber(Payload, "ms")),
-             Saved.empty() ? 0 : std::stoull(Saved),
-             findNumber(Payload, "cpu"),
-             findNumber(Payload, "mem"),
-             Payload.find("fail") != std::string::npos,
-             std::chrono::steady_clock::now()};
-  std::int64_t Cpu = Fresh.Cpu_;
-  std::int64_t Memory = Fresh.Memory_;
-  for (const auto &[Other, Each] : Running_) {
-    Cpu += Each.Cpu_;
-    Memory += Each.Memory_;
+  Task Started{Run,
+               static_cast<std::uint64_t>(findNumber(Payload, "ms")),
+               Checkpoint.empty() ? 0 : std::stoull(Checkpoint),
+               findNumber(Payload, "cpu"),
+               findNumber(Payload, "mem"),
+               Payload.find("fail") != std::string::npos,
+               std::chrono::steady_clock::now()};
+  std::int64_t Cpu = Started.Cpu_;
+  std::int64_t Memory = Started.Memory_;
+  for (const auto &[Other, Active] : Running_) {
+    Cpu += Active.Cpu_;
+    Memory += Active.Memory_;
   }
   if (Cpu > CpuCapacity || Memory > MemoryCapacity)
-    Seen_.noteBreak(Id_ + " was overfilled by " + Name);
-  Seen_.noteStart(Name, Run, Id_, Fresh.Begin_);
-  Running_.emplace(Name, Fresh);
+    Audit_.reportViolation(Id_ + " was overfilled by " + Name);
+  Audit_.recordStart(Name, Run, Id_, Started.Begin_);
+  Running_.emplace(Name, Started);
 }
--- a/tests/platform/system/Worker.h
+++ b/tests/platform/system/Worker.h
@@ -29,16 +29,16 @@
 /// What all workers of a test see together. Thread-safe.
 class Audit {
 public:
-  void noteStart(const std::string &Task, std::uint64_t Run,
-                 const std::string &Worker, Instant At);
+  void recordStart(const std::string &Task, std::uint64_t Run,
+                   const std::string &Worker, Instant At);
   /// At: when it really ended, which may be earlier than it is noticed.
-  void noteEnd(const std::string &Task, std::uint64_t Run,
-               const std::string &How, Instant At);
+  void recordEnd(const std::string &Task, std::uint64_t Run,
+                 const std::string &Outcome, Instant At);
   /// The system took note of the run's end, and no lease had run out since:
   /// from then on, and for what was started before, the end stands.
-  void noteTaken(const std::string &Task, std::uint64_t Run);
-  void noteBreak(const std::string &What);
-  std::vector<std::string> listBreaks() const;
+  void recordEndAcknowledged(const std::string &Task, std::uint64_t Run);
+  void reportViolation(const std::string &What);
+  std::vector<std::string> listViolations() const;
   std::uint64_t countDone() const;
   std::uint64_t countStarts() const;
   /// Whether any task of the job was ever started.
@@ -51,25 +51,26 @@
     Instant Begin_;
     Instant End_ = Instant::max();
     bool IsDone_ = false;
-    bool IsTaken_ = false; ///< The end, as noteTaken says.
+    bool IsEndAcknowledged_ =
+        false; ///< The end, as recordEndAcknowledged says.
   };
-  static void judge(const std::string &Task, const std::vector<Run> &Runs,
-                    std::vector<std::string> &Breaks);
+  static void checkRuns(const std::string &Task, const std::vector<Run> &Runs,
+                        std::vector<std::string> &Violations);
 
   mutable std::mutex Lock_;
   std::map<std::string, std::vector<Run>> Runs_; ///< By task, as they began.
   std::uint64_t Starts_ = 0;
-  std::vector<std::string> Breaks_;
+  std::vector<std::string> Violations_;
 };
 
 class Worker {
 public:
-  struct Place {
+  struct Endpoint {
     std::string Address_;
     std::uint16_t Port_ = 0;
   };
   /// Address: of its machine, which lives on when it crashes; its own without.
-  Worker(std::string Id, std::vector<Place> Controls, Audit &Seen,
+  Worker(std::string Id, std::vector<Endpoint> Controls, Audit &SharedAudit,
          const std::string &Address = "");
   ~Worker();
   Worker(const Worker &) = delete;
@@ -81,14 +82,14 @@
   /// While cut off, its heartbeats go nowhere and its leases run out.
   void setCut(bool Cut) { IsCut_ = Cut; }
   /// After a crash: the last heartbeat that was held up by a cut arrives.
-  void deliverHeldUp();
+  void deliverDelayedHeartbeat();
   std::uint64_t countRunning() const;
 
 private:
   struct Task {
     std::uint64_t Run_ = 0;
     std::uint64_t TotalMs_ = 0;
-    std::uint64_t SavedMs_ = 0; ///< Work done before this run.
+    std::uint64_t CheckpointMs_ = 0; ///< Work done before this run.
     std::int64_t Cpu_ = 0;
     std::int64_t Memory_ = 0;
     bool Fails_ = false;
@@ -97,38 +98,39 @@
 
   void run();
   void watchLeases();
-  void beat();
-  bool send(const Place &To, const std::string &Body);
-  void takeOrders(const nlohmann::json &Orders, Instant SentAt);
+  void sendHeartbeat();
+  bool send(const Endpoint &To, const std::string &Body);
+  void applyOrders(const nlohmann::json &Orders, Instant SentAt);
   void startTask(const nlohmann::json &Row);
-  void endTask(const std::string &Name, const std::string &How, Instant At);
-  void endDue(Instant Now);
-  void pause(std::chrono::milliseconds Most);
-  nlohmann::json makeBeat();
-  static std::uint64_t getDoneMs(const Task &Of, Instant Now);
+  void endTask(const std::string &Name, const std::string &Outcome, Instant At);
+  void endDueTasks(Instant Now);
+  void pause(std::chrono::milliseconds Max);
+  nlohmann::json makeHeartbeat();
+  static std::uint64_t getProgressMs(const Task &Measured, Instant Now);
 
   const std::string Id_;
   const std::string Address_;
-  std::vector<Place> Controls_;
-  Audit &Seen_;
+  std::vector<Endpoint> Controls_;
+  Audit &Audit_;
   std::atomic<bool> Stopping_{false};
   std::atomic<bool> IsDraining_{false};
   std::atomic<bool> IsCut_{false};
-  std::string HeldUp_; ///< The last heartbeat made while cut off.
-  std::size_t Next_ = 0;
+  std::string DelayedHeartbeat_; ///< The last heartbeat made while cut off.
+  std::size_t NextControl_ = 0;
   std::uint64_t Sequence_ = 0;
   std::uint64_t HighestToken_ = 0;
-  std::atomic<std::uint64_t> NextEnd_{1};
+  std::atomic<std::uint64_t> NextEndNumber_{1};
   Instant LeaseEnd_{};
-  Instant LastLapse_{}; ///< Guarded by Lock_, as is LeaseEnd_.
-  std::chrono::milliseconds Wait_{100};
+  Instant LastLeaseExpiry_{}; ///< Guarded by Lock_, as is LeaseEnd_.
+  std::chrono::milliseconds HeartbeatDelay_{100};
   mutable std::mutex Lock_; ///< Guards all below.
   std::map<std::string, Task> Running_;
   std::vector<nlohmann::json> Ended_;
-  std::map<std::uint64_t, Instant> EndedAt_;      ///< By number, of these.
-  std::map<std::string, std::uint64_t> Outlawed_; ///< Highest run refused.
-  std::thread Thread_;
-  std::thread Watch_;
+  std::map<std::uint64_t, Instant> EndedAt_; ///< By number, of these.
+  std::map<std::string, std::uint64_t>
+      HighestRejectedRun_; ///< Highest run refused.
+  std::thread HeartbeatThread_;
+  std::thread LeaseThread_;
 };
 
 } // namespace tulipweir::platform_test
