--- a/bench/platform/FleetBench.cpp
+++ b/bench/platform/FleetBench.cpp
@@ -1,10 +1,11 @@
-//===- FleetBench.cpp - What a leader of a large fleet costs ---*- C++ -*-===//
+//===- FleetBench.cpp - Benchmark of a leader of a large fleet ------------===//
 //
-// FleetBench [SERVERS[xLOAD] [SECONDS [SEED [CONTROL ENTRY]]]]: ten seconds at
-// a time, the leader's processor time a second of the day, and what came of the
-// work. LOAD is a factor on the jobs that end: far above 1 a queue builds up.
-// With the addresses of the control that leads and of an entry, programs that
-// run are driven in real time, and their time is measured from outside.
+// FleetBench [SERVERS[xLOAD] [SECONDS [SEED [CONTROL ENTRY]]]] prints, for each
+// ten simulated seconds, the leader's processor time per second and the results
+// of the jobs. LOAD is a factor on the jobs that end; far above 1 the queue
+// grows. Given the addresses of the leading control and of an entry, it drives
+// running programs in real time, and their processor time is measured from
+// outside.
 //
 //===----------------------------------------------------------------------===//
 
--- a/bench/platform/FleetSimulator.cpp
+++ b/bench/platform/FleetSimulator.cpp
@@ -16,9 +16,11 @@
 static constexpr int RackSize = 8;
 static constexpr int FillingImages = 9;
 static constexpr int ServingImages = 5;
-/// A little over half of the pairs disturb, on nine images of five.
+/// Slightly more than half of the pairs of a serving and a filling image
+/// interfere with each other.
 static constexpr int InterferingPerTwenty = 11;
-/// The share of a server below which what disturbs shows no effect.
+/// Interfering tasks that use at most this share of a server have no effect on
+/// a tail.
 static constexpr double NoEffectShare = 0.1;
 static constexpr double TailTargetMs = 150;
 static constexpr double BaselineTailMs = 60;
@@ -55,7 +57,8 @@
   Target_.configure(makeConfiguration().dump());
   for (int I = 0; I < Load.Servers_; ++I) {
     Server NewServer;
-    // Ids as random as real ones: comparing them ends early.
+    // The ids are random, as on the platform, so that comparing two of them
+    // ends after a few characters.
     std::ostringstream Id;
     Id << "i-" << std::hex << (Random_() & 0xffffffffffU);
     NewServer.Id_ = Id.str();
@@ -107,7 +110,8 @@
   Step["estimateMs"] = std::lround(EstimateMs);
   if (!Image.empty())
     Step["image"] = Image;
-  // What a task is: its kind or image, time and use.
+  // The payload holds what the simulated server needs to run a task: its kind
+  // or image, its duration and its processor use.
   Json Spec = {{"spec", (Image.empty() ? "s" : Image) + " " +
                             std::to_string(std::lround(EstimateMs)) + " " +
                             std::to_string(std::lround(Cpu))},
@@ -126,7 +130,8 @@
   Target_.submit(Path, Spec.dump());
 }
 
-/// Full of what disturbs, a tail is many times its usual one.
+/// Draws a tail latency, which grows exponentially with the share of the server
+/// that interfering tasks use.
 double FleetSimulator::sampleTail(const Server &Backend, const Run &Serving) {
   const int Image = std::stoi(Serving.Kind_.substr(1));
   double Share = 0;
@@ -233,7 +238,7 @@
   }
 }
 
-/// Which of the jobs have come to their end.
+/// Counts the jobs that have completed and removes them.
 void FleetSimulator::recordCompletedJobs() {
   std::erase_if(Jobs_, [this](const auto &Entry) {
     if (!Target_.isCompleted(Entry.first))
--- a/bench/platform/FleetSimulator.h
+++ b/bench/platform/FleetSimulator.h
@@ -1,11 +1,10 @@
-//===- FleetSimulator.h - Backend servers and clients as arithmetic -*- C++
-//-*-===//
+//===- FleetSimulator.h - Simulated servers and clients ---------*- C++ -*-===//
 //
-// Several hundred servers whose tasks run by a manual clock, each reporting in
-// the platform's words, and clients that hand in three kinds of jobs: short
-// ones, ones that fill, ones that serve until they are cancelled. What they
-// speak to is a FleetTarget. The same seed gives the same day, as far as the
-// target answers alike.
+// Simulates several hundred backend servers, whose tasks run on a manual clock
+// and which report in the platform's format, and clients that submit three
+// kinds of jobs: short, filling and long-running ones. They talk to a
+// FleetTarget. Runs with the same seed are equal as far as the target's answers
+// are.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,7 +19,8 @@
 
 namespace tulipweir::bench {
 
-/// Sizes as on the users' sheets for their grown deployments.
+/// Sizes of the load. The defaults are those that the users state for their
+/// grown deployments.
 struct FleetLoad {
   int Servers_ = 350;
   double ShortPerSecond_ = 16;
@@ -33,29 +33,28 @@
 };
 
 struct FleetResult {
-  double Seconds_ = 0; ///< Of the day that was simulated.
-  double TargetCpuSeconds_ =
-      0; ///< Processor time in the target, if it is known.
+  double Seconds_ = 0;          ///< Simulated time.
+  double TargetCpuSeconds_ = 0; ///< Processor time of the target; 0 if unknown.
   std::uint64_t Reports_ = 0;
   std::uint64_t Starts_ = 0;
   std::uint64_t ShortDone_ = 0;
   std::uint64_t ShortInTime_ = 0;
   std::uint64_t FillingDone_ = 0;
   std::uint64_t FillingInTime_ = 0;
-  double OverTargetShare_ =
-      0; ///< Share of the serving tasks' reports over target.
+  /// Share of the serving tasks' samples above the target.
+  double OverTargetShare_ = 0;
 };
 
 class FleetSimulator {
 public:
   FleetSimulator(const FleetLoad &Load, FleetTarget &Target);
-  /// Goes on for so many seconds and says what happened in them.
+  /// Simulates that many seconds and returns the figures of this time.
   FleetResult run(int Seconds);
 
 private:
   struct Run {
     std::uint64_t Number_ = 0;
-    std::string Kind_; ///< "s", "f" or "l" with the image's number.
+    std::string Kind_; ///< "s", or "f" or "l" and the image's number.
     double RemainingMs_ = 0;
     double TotalMs_ = 0;
     std::int64_t Cpu_ = 0;
@@ -69,7 +68,7 @@
     std::uint64_t LastEndNumber_ = 0;
     std::uint64_t Sequence_ = 0;
     std::int64_t ReportAtMs_ = 0;
-    bool IsReportPending_ = false; ///< For an answer.
+    bool IsReportPending_ = false; ///< The last report has no answer yet.
   };
   struct Job {
     std::int64_t SubmittedMs_ = 0;
--- a/bench/platform/FleetTarget.h
+++ b/bench/platform/FleetTarget.h
@@ -1,7 +1,6 @@
-//===- FleetTarget.h - What a FleetSimulator speaks to -------------*- C++
-//-*-===//
+//===- FleetTarget.h - Interface of a system under load ---------*- C++ -*-===//
 //
-// Either a leader in this process, driven by hand, or programs that run.
+// The system is either a leader in this process or running programs.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,8 +13,8 @@
 
 namespace tulipweir::bench {
 
-/// Bodies are in the platform's words. Not thread-safe: callbacks run in
-/// advance() and in the calls themselves.
+/// The system under load. Bodies are in the platform's format. Not thread-safe:
+/// callbacks run in advance() and in the calls themselves.
 class FleetTarget {
 public:
   using ReplyHandler = std::function<void(const std::string &Body)>;
@@ -23,14 +22,14 @@
   virtual ~FleetTarget() = default;
   virtual void configure(const std::string &Body) = 0;
   virtual void submit(const std::string &Path, const std::string &Body) = 0;
-  /// Done gets an empty body when there was no good answer.
+  /// Passes an empty body to Done unless the answer is a success.
   virtual void report(const std::string &Server, const std::string &Body,
                       ReplyHandler Done) = 0;
-  /// Lets so much time pass.
+  /// Advances the time by Ms milliseconds.
   virtual void advance(int Ms) = 0;
-  /// Whether the job at the path is known to be completed.
+  /// Returns whether the job at the path is known to be completed.
   virtual bool isCompleted(const std::string &Path) = 0;
-  /// Processor time so far; 0 where it is not known.
+  /// Returns the processor time used so far; 0 if unknown.
   virtual double getCpuSeconds() = 0;
 };
 
--- a/bench/platform/HeartbeatBench.cpp
+++ b/bench/platform/HeartbeatBench.cpp
@@ -1,9 +1,9 @@
-//===- HeartbeatBench.cpp - A heartbeat from its bytes to its answer
-//--------===//
+//===- HeartbeatBench.cpp - Cost of handling a heartbeat ------------------===//
 //
-// Heartbeats with 20 running entries and 2 ends each through the adapter's
-// codec and the leader's whole handling, over a replica that commits at once,
-// against parsing the JSON alone. The bound is a ratio of one run.
+// Passes heartbeats with 20 running and 2 ended tasks through the codec and the
+// leader, over a replica that commits immediately, and compares the time with
+// that of parsing the JSON alone. The bound applies to the ratio of both times
+// in one run.
 //
 //===----------------------------------------------------------------------===//
 
@@ -46,7 +46,8 @@
   Leader.start();
   Strand.advance(std::chrono::milliseconds(100));
   Leader.putConfiguration(makeConfiguration(), [](const Outcome<void> &) {});
-  // Endless work of small tasks, so that each end is followed by a start.
+  // There are more tasks than the servers finish, so that each end is followed
+  // by a start.
   for (int I = 0; I < 50; ++I)
     Leader.call({CallKind::Submit, Host,
                  std::string(Prefix) + "5c0e7a21d94b36" + std::to_string(I),
--- a/bench/platform/LeaderTarget.cpp
+++ b/bench/platform/LeaderTarget.cpp
@@ -13,7 +13,7 @@
 
 static constexpr const char *Host = "jobs.example";
 
-/// Processor time of this thread so far.
+/// Returns the processor time that this thread has used.
 static double getThreadCpuSeconds() {
   timespec Now{};
   ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &Now);
@@ -49,8 +49,8 @@
 
 void LeaderTarget::report(const std::string &Server, const std::string &Body,
                           ReplyHandler Done) {
-  // Texts are read and written by the relays; what the leader gets and gives
-  // travels in frames.
+  // Relays parse and render the JSON bodies; the leader receives and returns
+  // encoded frames. Only the handling of frames is measured.
   const std::string Frame = encodeReports(
       {{platform::parseHeartbeat(Server, Body).value()}, false, 0, {}});
   std::string Reply;
--- a/bench/platform/LeaderTarget.h
+++ b/bench/platform/LeaderTarget.h
@@ -1,7 +1,7 @@
-//===- LeaderTarget.h - A leader driven by hand ----------------*- C++ -*-===//
+//===- LeaderTarget.h - A leader in this process ----------------*- C++ -*-===//
 //
-// Over a replica that commits at once: the leader's own processor time, without
-// network, log and disk.
+// The leader runs on a manual clock over a replica that commits immediately.
+// Its processor time excludes network, log and disk.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,7 @@
   double getCpuSeconds() override { return CpuSeconds_; }
 
 private:
-  /// Runs Work and counts its time.
+  /// Runs Work and adds its processor time to CpuSeconds_.
   void runTimed(const std::function<void()> &Work);
 
   ManualClock Time_;
--- a/bench/platform/ProcessTarget.cpp
+++ b/bench/platform/ProcessTarget.cpp
@@ -7,9 +7,9 @@
 using namespace tulipweir::bench;
 using namespace std::chrono_literals;
 
-/// Later answers are not taken, as by the platform's servers.
+/// Later answers are dropped, as by the platform's servers.
 static constexpr auto AnswerTimeout = 1s;
-/// One connection for each server, and some.
+/// Enough for one connection per server, with a margin.
 static constexpr std::uint32_t MaxConnections = 2000;
 
 static net::HttpClientSettings makeClientSettings() {
@@ -71,7 +71,8 @@
        });
 }
 
-/// Later reports go where the answer says, until one fails there.
+/// Sends later reports to the address in the answer, until a report fails
+/// there.
 void ProcessTarget::updateReportEndpoint(const std::string &Server,
                                          const std::string &Answer) {
   static constexpr std::string_view Key = R"("heartbeatUrl":")";
--- a/bench/platform/ProcessTarget.h
+++ b/bench/platform/ProcessTarget.h
@@ -1,6 +1,6 @@
-//===- ProcessTarget.h - Programs that run ---------------------*- C++ -*-===//
+//===- ProcessTarget.h - Running programs under load ------------*- C++ -*-===//
 //
-// A control and an entry at the addresses given, over HTTP and in real time.
+// Drives a control and an entry at the given addresses over HTTP in real time.
 //
 //===----------------------------------------------------------------------===//
 
@@ -28,9 +28,9 @@
   void report(const std::string &Server, const std::string &Body,
               ReplyHandler Done) override;
   void advance(int Ms) override;
-  /// Not asked for: it would be load of its own.
+  /// Always returns false: requests for the state of jobs would add load.
   bool isCompleted(const std::string &) override { return false; }
-  /// Measured from outside, by the process's id.
+  /// Returns 0: the processor time is measured from outside, by process id.
   double getCpuSeconds() override { return 0; }
 
 private:
@@ -43,7 +43,7 @@
 
   const net::Endpoint Control_;
   const net::Endpoint Entry_;
-  /// By server; others report to Control_.
+  /// Report addresses by server; other servers report to Control_.
   std::map<std::string, net::Endpoint> ReportEndpoints_;
   std::mutex Lock_;
   std::deque<std::function<void()>> Answers_; ///< Guarded by Lock_.
--- a/tests/platform/AdviceClientTest.cpp
+++ b/tests/platform/AdviceClientTest.cpp
@@ -1,4 +1,4 @@
-//===- AdviceClientTest.cpp - Against a stand-in for the service ----------===//
+//===- AdviceClientTest.cpp - Tests against a fake advice service ---------===//
 
 #include "platform/AdviceClient.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Answers every question with what it is told to.
+/// Answers every request with Response_.
 class AdviceClientTest : public ::testing::Test {
 protected:
   AdviceClientTest()
@@ -25,7 +25,7 @@
                   Request_ = Request;
                   Respond(Response_);
                 }),
-        Calls_(Pool_.context(), net::HttpClientSettings()) {
+        Http_(Pool_.context(), net::HttpClientSettings()) {
     auto Bound = Server_.start();
     EXPECT_TRUE(Bound);
     Service_ = Bound.value();
@@ -38,7 +38,7 @@
     return Settings;
   }
   Outcome<jobs::Advice> ask() {
-    AdviceClient Client(Calls_, Service_, Time_);
+    AdviceClient Client(Http_, Service_, Time_);
     std::promise<Outcome<jobs::Advice>> Result;
     Client.ask({"0123456789abcdef", 2, 1}, {"i-1", "i-2"}, 30s,
                [&Result](const Outcome<jobs::Advice> &Answer) {
@@ -52,7 +52,7 @@
   net::HttpRequest Request_;
   net::HttpResponse Response_;
   net::HttpServer Server_;
-  net::HttpClient Calls_;
+  net::HttpClient Http_;
   net::Endpoint Service_;
 };
 
@@ -88,6 +88,6 @@
 }
 
 TEST_F(AdviceClientTest, ServiceWithoutAddressIsAbsent) {
-  EXPECT_FALSE(AdviceClient(Calls_, {}, Time_).isThere());
-  EXPECT_TRUE(AdviceClient(Calls_, Service_, Time_).isThere());
+  EXPECT_FALSE(AdviceClient(Http_, {}, Time_).isThere());
+  EXPECT_TRUE(AdviceClient(Http_, Service_, Time_).isThere());
 }
--- a/tests/platform/MalformedBodiesTest.cpp
+++ b/tests/platform/MalformedBodiesTest.cpp
@@ -1,9 +1,8 @@
-//===- MalformedBodiesTest.cpp - Bodies of other writers
-//-------------------===//
+//===- MalformedBodiesTest.cpp - Malformed bodies -------------------------===//
 //
-// Fields that are missing or of another type, words that nobody knows, bytes
-// that can't be read: such a body names nothing to use, and what others said
-// holds.
+// Bodies may have missing fields, fields of a wrong type, unknown words or
+// unreadable bytes. Such a body must be rejected, or its bad rows ignored,
+// without an effect on other servers and VMs.
 //
 //===----------------------------------------------------------------------===//
 
@@ -38,7 +37,7 @@
   return Whole;
 }
 
-/// One value of each type that JSON has, and some odd ones.
+/// Returns a value of each JSON type and some unusual ones.
 const std::vector<Json> &getUnexpectedValues() {
   static const std::vector<Json> Unexpected = {
       nullptr,       true,           7,      -1, 1.5, 1e300, "", "odd",
@@ -46,7 +45,7 @@
   return Unexpected;
 }
 
-/// What every report that was taken has: all of a server that may be used.
+/// Checks that an accepted report has all that a usable server needs.
 void expectCompleteServer(const jobs::ServerReport &Report) {
   const jobs::ServerFacts &Facts = Report.Facts_;
   EXPECT_FALSE(Facts.Id_.empty());
@@ -78,7 +77,7 @@
 TEST(MalformedBodiesTest, ReportWithFieldOfWrongTypeIsRejected) {
   for (const auto &[Field, Whole] : getHeartbeat().items())
     for (const Json &Unexpected : getUnexpectedValues()) {
-      // Text stands for text, a list for a list, and so on.
+      // Values of the field's own type may be valid.
       if (Unexpected.type_name() == std::string(Whole.type_name()))
         continue;
       Json Value = getHeartbeat();
@@ -169,7 +168,7 @@
 
 namespace {
 
-/// Changes a body at random: its bytes, or a value somewhere inside it.
+/// Mutates a body at random: its bytes, or a value inside it.
 class Mutator {
 public:
   explicit Mutator(std::uint64_t Seed) : Random_(Seed) {}
@@ -202,7 +201,8 @@
   }
   void changeValue(Json &Value) {
     Json *At = &Value;
-    // Ever deeper, and now and then one stops on the way.
+    // Descends to a random value, and stops at each level with a probability of
+    // 1/4.
     while ((At->is_object() || At->is_array()) && !At->empty() && draw(4) != 0)
       At = &*std::next(At->begin(), std::ptrdiff_t(draw(At->size())));
     const std::vector<Json> &Unexpected = getUnexpectedValues();
@@ -217,8 +217,8 @@
   std::mt19937_64 Random_;
 };
 
-/// Bodies as they are on the platform, with the parser of each and what must
-/// hold of whatever it takes.
+/// A valid body of the platform, and a function that parses a body and checks
+/// the result if it is accepted.
 struct ParserCase {
   std::string Body_;
   std::function<void(const std::string &)> Parse_;
@@ -285,7 +285,8 @@
   };
 }
 
-/// First and last seed: those of CI, or TULIPWEIR_MUTATION_SEEDS=A-B by hand.
+/// Returns the first and last seed: the default range of CI, or that of
+/// TULIPWEIR_MUTATION_SEEDS=FIRST-LAST.
 std::pair<std::uint64_t, std::uint64_t> getSeeds() {
   std::uint64_t First = 1;
   std::uint64_t Last = 4000;
--- a/tests/platform/ServerPollerTest.cpp
+++ b/tests/platform/ServerPollerTest.cpp
@@ -1,4 +1,4 @@
-//===- ServerPollerTest.cpp - A control that calls its servers -----------===//
+//===- ServerPollerTest.cpp - Tests of a control that polls a server ------===//
 
 #include "platform/ServerPoller.h"
 
@@ -20,7 +20,7 @@
 
 namespace {
 
-/// The real clock, set ahead.
+/// The system clock with an adjustable offset.
 class OffsetClock final : public Clock {
 public:
   TimePoint now() const override { return Real_.now() + Offset_.load(); }
@@ -32,7 +32,7 @@
   std::atomic<Duration> Offset_{Duration(0)};
 };
 
-/// A server that is called: what it starts runs until it is told to end.
+/// A polled server. Its tasks run until they are stopped or finish() is called.
 class FakeServer {
 public:
   explicit FakeServer(net::IoPool &Pool)
@@ -72,7 +72,7 @@
     Answer["finished"] = Ended_;
     return net::HttpResponse::makeJson(200, Answer.dump());
   }
-  /// All that runs is done.
+  /// Ends all running tasks as done.
   void finish() {
     const std::lock_guard Hold(Lock_);
     for (const auto &[Task, Run] : Running_)
@@ -93,13 +93,13 @@
     return It == Last_.end() ? Json::object() : It->second;
   }
 
-  /// Of all calls so far.
+  /// Returns the lowest fencing token of all calls.
   unsigned getMinToken() const {
     const std::lock_guard Hold(Lock_);
     return MinToken_;
   }
 
-  static constexpr std::uint64_t NowMs = 482'113; ///< Of its own clock.
+  static constexpr std::uint64_t NowMs = 482'113; ///< The server's own clock.
   std::string Address_;
   std::atomic<bool> RefusesStops_{false};
 
@@ -110,11 +110,11 @@
   std::uint64_t Ends_ = 0;
   Json Ended_ = Json::array();
   std::map<std::string, std::uint64_t> Running_;
-  std::map<std::string, Json> Last_; ///< The last call, by path.
+  std::map<std::string, Json> Last_; ///< Last body by path.
   net::HttpServer Server_;
 };
 
-/// One control and one server.
+/// A control and a polled server.
 class ServerPollerTest : public jobservice::test::NodeCluster {
 protected:
   void SetUp() override {
@@ -124,14 +124,14 @@
     Poller_ = std::make_unique<ServerPoller>(*Nodes_.at(1), Http_, Pool_,
                                              Clock_, 60s);
   }
-  /// The node stops while the pool runs; what else uses the pool's threads, the
-  /// server among it, ends only once they have.
+  /// The poller and the node need a running pool to stop. Other users of the
+  /// pool's threads, such as the server, are destroyed after these have ended.
   void TearDown() override {
     Poller_.reset();
     Nodes_.clear();
     Pool_.stop();
   }
-  /// The word of a life of the server.
+  /// Registers a heartbeat of the incarnation Id.
   void sendHeartbeat(const std::string &Id, std::uint64_t Sequence) {
     jobs::ServerReport Heartbeat;
     Heartbeat.Facts_.Id_ = Id;
@@ -216,7 +216,7 @@
   ASSERT_TRUE(waitFor([this] { return Server_.countCalls() > 0; }));
   Clock_.advance(60s);
   ASSERT_TRUE(call(jobs::CallKind::Submit));
-  // Whatever was under way is over once two further calls did not come.
+  // Pending calls have ended once two successive counts agree.
   std::size_t Before = 0;
   ASSERT_TRUE(waitFor([&] {
     const std::size_t Now = Server_.countCalls();
--- a/tests/platform/SettingsTest.cpp
+++ b/tests/platform/SettingsTest.cpp
@@ -1,5 +1,4 @@
-//===- SettingsTest.cpp
-//-----------------------------------------------------===//
+//===- SettingsTest.cpp - Tests of the settings parser --------------------===//
 
 #include "platform/Settings.h"
 
@@ -59,8 +58,8 @@
 
 TEST(SettingsTest, ErrorsNameTheInvalidField) {
   const std::pair<const char *, const char *> Cases[] = {
-      {"", "no JSON object"},
-      {"[]", "no JSON object"},
+      {"", "not a JSON object"},
+      {"[]", "not a JSON object"},
       {R"({"ip":"a","zone":"z"})", "/node"},
       {R"({"node":7,"ip":"a","zone":"z"})", "/node"},
       {R"({"node":"n","ip":"a","zone":"z","listen":{"front":"x"}})", "front"},
--- a/tests/platform/VmClientTest.cpp
+++ b/tests/platform/VmClientTest.cpp
@@ -1,4 +1,4 @@
-//===- VmClientTest.cpp - Against a stand-in for the provider of VMs ------===//
+//===- VmClientTest.cpp - Tests against a fake provider of VMs ------------===//
 
 #include "platform/VmClient.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Answers calls with what it is given, in turn.
+/// Answers requests with the given responses, in order.
 class VmClientTest : public ::testing::Test {
 protected:
   VmClientTest()
@@ -27,10 +27,10 @@
                   Responses_.pop_front();
                   Respond(Next);
                 }),
-        Calls_(Pool_.context(), net::HttpClientSettings()) {
+        Http_(Pool_.context(), net::HttpClientSettings()) {
     const auto Bound = Server_.start();
     EXPECT_TRUE(Bound);
-    Client_ = std::make_unique<VmClient>(Calls_, Bound.value(), "me", Time_);
+    Client_ = std::make_unique<VmClient>(Http_, Bound.value(), "me", Time_);
   }
   ~VmClientTest() override { Pool_.stop(); }
 
@@ -60,7 +60,7 @@
   std::deque<net::HttpResponse> Responses_;
   std::vector<net::HttpRequest> Requests_;
   net::HttpServer Server_;
-  net::HttpClient Calls_;
+  net::HttpClient Http_;
   std::unique_ptr<VmClient> Client_;
 };
 
@@ -141,7 +141,7 @@
   EXPECT_EQ(maintain().error().Code_, ErrorCode::Timeout);
   answer(409, R"({"reason":"new"})");
   EXPECT_EQ(maintain().error().Code_, ErrorCode::Malformed);
-  Client_ = std::make_unique<VmClient>(Calls_, net::Endpoint{"127.0.0.1", 1},
+  Client_ = std::make_unique<VmClient>(Http_, net::Endpoint{"127.0.0.1", 1},
                                        "me", Time_);
   EXPECT_EQ(maintain().error().Code_, ErrorCode::Unavailable);
 }
--- a/tests/platform/WireTest.cpp
+++ b/tests/platform/WireTest.cpp
@@ -1,5 +1,4 @@
-//===- WireTest.cpp - The platform's bodies, and hostile ones
-//---------------===//
+//===- WireTest.cpp - Tests of the platform's message formats -------------===//
 
 #include "platform/AdviceWire.h"
 #include "platform/JobWire.h"
@@ -41,7 +40,7 @@
         "services":[{"name":"s","healthPath":"/healthz","maxConns":64,
         "preconditions":true,"standby":false}],"limits":{}})";
 
-/// The heartbeat with one field instead of its own.
+/// Returns the heartbeat with one field replaced.
 static std::string change(const std::string &Field) {
   Json Value = Json::parse(Heartbeat);
   Value.update(Json::parse("{" + Field + "}"));
--- a/tests/platform/soak/SoakClients.cpp
+++ b/tests/platform/soak/SoakClients.cpp
@@ -8,7 +8,7 @@
 static constexpr auto JobDelay = 120ms;
 static constexpr auto PutDelay = 500ms;
 static constexpr auto ReadDelay = 100ms;
-/// A client gives a job up after so many tries without a clear answer.
+/// Attempts before a client gives up on an unclear answer.
 static constexpr int MaxAttempts = 8;
 
 SoakClients::SoakClients(PlatformCluster &Cluster, std::uint64_t Seed)
@@ -31,23 +31,23 @@
     std::this_thread::sleep_for(10ms);
 }
 
-void SoakClients::submitJobs(Random Draw) {
+void SoakClients::submitJobs(Random Generator) {
   for (int Number = 0; !Stopping_; ++Number) {
-    submitJob("j" + std::to_string(Number), Draw);
+    submitJob("j" + std::to_string(Number), Generator);
     auto It = Histories_.begin();
-    std::advance(It, Draw() % Histories_.size());
-    checkJob(It->first, It->second, Draw);
+    std::advance(It, Generator() % Histories_.size());
+    checkJob(It->first, It->second, Generator);
     pause(JobDelay);
   }
 }
 
-void SoakClients::submitJob(const std::string &Id, Random &Draw) {
+void SoakClients::submitJob(const std::string &Id, Random &Generator) {
   const std::string Body =
-      PlatformCluster::makeJob("ms=" + std::to_string(50 + Draw() % 550) +
+      PlatformCluster::makeJob("ms=" + std::to_string(50 + Generator() % 550) +
                                ";cpu=1000;mem=500")
           .dump();
   JobHistory &History = Histories_[Id];
-  const int Entry = static_cast<int>(Draw() % Entries);
+  const int Entry = static_cast<int>(Generator() % Entries);
   for (int Attempt = 0; Attempt < MaxAttempts && !Stopping_; ++Attempt) {
     const unsigned Status =
         Cluster_
@@ -59,18 +59,19 @@
       History.IsAccepted_ = true;
       break;
     }
-    // Said to be not taken, and never to run. 502 and 504 leave it open.
+    // These codes mean that the job was rejected and will never run. After 502
+    // and 504 the outcome is unknown.
     if (Status == 429 || Status == 503) {
       History.IsRefused_ = true;
       return;
     }
     pause(50ms);
   }
-  if (History.IsAccepted_ && Draw() % 10 == 0)
+  if (History.IsAccepted_ && Generator() % 10 == 0)
     cancel(Id, History, Entry);
 }
 
-/// Sends it again until the answer is clear, as clients do.
+/// Retries the cancellation until its outcome is known, as clients do.
 void SoakClients::cancel(const std::string &Id, JobHistory &History,
                          int Entry) {
   for (int Attempt = 0;
@@ -90,11 +91,11 @@
 }
 
 void SoakClients::checkJob(const std::string &Id, JobHistory &History,
-                           Random &Draw) {
+                           Random &Generator) {
   if (!History.IsAccepted_)
     return;
   const HttpAnswer Answer = Cluster_.callEntry(
-      "GET", "/q/" + Id, "", static_cast<int>(Draw() % Entries));
+      "GET", "/q/" + Id, "", static_cast<int>(Generator() % Entries));
   if (Answer.Status_ == 410)
     Cluster_.Audit_.reportViolation(Id + " was accepted and is not known");
   if (Answer.Status_ != 200)
@@ -111,14 +112,15 @@
   History.WasCompleted_ = History.WasCompleted_ || IsCompleted;
 }
 
-void SoakClients::putConfigurations(Random Draw) {
+void SoakClients::putConfigurations(Random Generator) {
   std::uint64_t Version = 1;
   while (!Stopping_) {
-    // Two that race, to two controls, in either order.
-    for (const std::uint64_t Next : {Version + 1 + Draw() % 2, Version + 2}) {
+    // Sends two competing versions, each to a random control, in either order.
+    for (const std::uint64_t Next :
+         {Version + 1 + Generator() % 2, Version + 2}) {
       const unsigned Status =
           Cluster_
-              .tryControl(static_cast<int>(Draw() % Controls), "PUT",
+              .tryControl(static_cast<int>(Generator() % Controls), "PUT",
                           "/api/config",
                           PlatformCluster::makeConfiguration(Next).dump())
               .Status_;
@@ -133,11 +135,11 @@
   }
 }
 
-void SoakClients::readConfigurations(Random Draw) {
+void SoakClients::readConfigurations(Random Generator) {
   while (!Stopping_) {
     const std::uint64_t Floor = AckedVersion_;
     const HttpAnswer Answer = Cluster_.tryControl(
-        static_cast<int>(Draw() % Controls), "GET", "/api/config");
+        static_cast<int>(Generator() % Controls), "GET", "/api/config");
     if (Answer.Status_ == 200) {
       const auto Version = Answer.json().value("version", std::uint64_t(0));
       if (Version < Floor)
--- a/tests/platform/soak/SoakClients.h
+++ b/tests/platform/soak/SoakClients.h
@@ -1,8 +1,8 @@
-//===- SoakClients.h - Clients and operators during a soak ----------------===//
+//===- SoakClients.h - Clients and operators during a soak test -----------===//
 //
-// Hand jobs in, cancel some, look at them, put configurations and read them
-// back, and write down whatever must never be seen. What holds at all times is
-// checked here; what has to come true once the faults are over, by the test.
+// They submit, cancel and query jobs, write and read configurations, and
+// record violations. Guarantees that hold at all times are checked here; those
+// that hold once all faults are repaired, in SoakTest.cpp.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,23 +17,24 @@
 
 namespace tulipweir::platform_test {
 
-/// What its client was told of a job.
+/// The answers that a client received about a job.
 struct JobHistory {
   bool IsAccepted_ = false;
-  bool IsRefused_ = false;   ///< It was said never to run.
+  bool IsRefused_ = false;   ///< The job will never run.
   bool IsCancelled_ = false; ///< The cancellation was acknowledged.
-  /// One was sent and has no clear answer: it holds, or it was never taken.
+  /// A cancellation with unknown outcome was sent: it may or may not take
+  /// effect.
   bool MayBeCancelled_ = false;
   bool WasCompleted_ = false;
 
-  /// Whether the job may be in this state once all is over.
+  /// Returns whether the job may finally be in this state.
   bool canEndAs(const std::string &State) const {
     const bool MayBeCancelled = IsCancelled_ || MayBeCancelled_;
     return State == "completed" || (MayBeCancelled && State == "cancelled");
   }
 };
 
-/// Runs threads of its own from construction to stop().
+/// Runs its own threads from construction to stop().
 class SoakClients {
 public:
   SoakClients(PlatformCluster &Cluster, std::uint64_t Seed);
@@ -43,7 +44,7 @@
 
   void stop();
 
-  // After stop().
+  // The following functions are called after stop().
 
   const std::map<std::string, JobHistory> &histories() const {
     return Histories_;
@@ -52,20 +53,20 @@
 
 private:
   using Random = std::mt19937_64;
-  void submitJobs(Random Draw);
-  void submitJob(const std::string &Id, Random &Draw);
+  void submitJobs(Random Generator);
+  void submitJob(const std::string &Id, Random &Generator);
   void cancel(const std::string &Id, JobHistory &History, int Entry);
-  void checkJob(const std::string &Id, JobHistory &History, Random &Draw);
-  void putConfigurations(Random Draw);
-  void readConfigurations(Random Draw);
+  void checkJob(const std::string &Id, JobHistory &History, Random &Generator);
+  void putConfigurations(Random Generator);
+  void readConfigurations(Random Generator);
   void pause(std::chrono::milliseconds Time) const;
 
   PlatformCluster &Cluster_;
   std::atomic<bool> Stopping_{false};
   std::atomic<std::uint64_t> AckedVersion_{
       0}; ///< The newest acknowledged version.
-  std::map<std::string, JobHistory>
-      Histories_; ///< Of the thread that hands in.
+  /// Used by the submitting thread.
+  std::map<std::string, JobHistory> Histories_;
   std::vector<std::thread> Threads_;
 };
 
--- a/tests/platform/soak/SoakPlan.cpp
+++ b/tests/platform/soak/SoakPlan.cpp
@@ -8,10 +8,10 @@
 using namespace tulipweir::platform_test;
 using tulipweir::system_test::Milliseconds;
 
-/// Several within an election, and some far apart.
+/// Delays range from several faults during one election to faults far apart.
 static constexpr int MinDelayMs = 100;
 static constexpr int MaxDelayMs = 2500;
-/// From less than a heartbeat to more than a lease of two seconds.
+/// Faults last from less than a heartbeat to more than a lease of two seconds.
 static constexpr int MinFaultMs = 100;
 static constexpr int MaxFaultMs = 4000;
 
@@ -40,7 +40,7 @@
       "control0", "control1", "control2", "entry0", "entry1"};
   std::mt19937_64 Random(Seed);
   const auto Draw = [&Random](std::uint64_t Min, std::uint64_t Max) {
-    // Not a distribution of the library's: those differ between libraries.
+    // Distributions of the standard library differ between implementations.
     return Min + Random() % (Max - Min + 1);
   };
   std::vector<SoakFault> Plan;
--- a/tests/platform/soak/SoakPlan.h
+++ b/tests/platform/soak/SoakPlan.h
@@ -1,7 +1,7 @@
-//===- SoakPlan.h - Random faults, the same for the same seed -------------===//
+//===- SoakPlan.h - Reproducible random faults ----------------------------===//
 //
-// Which faults strike which process of a PlatformCluster, and when. At most one
-// disk is lost in a run: that is what the group is set up to bear.
+// Plans which faults affect which process of a PlatformCluster, and when. At
+// most one disk is lost in a run, as the group tolerates only one loss.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,30 +17,30 @@
 namespace tulipweir::platform_test {
 
 enum class FaultKind : std::uint8_t {
-  Kill,         ///< SIGKILL, and started again.
+  Kill,         ///< SIGKILL and restart.
   Freeze,       ///< SIGSTOP, then SIGCONT.
-  Stop,         ///< SIGTERM, and started again once it has ended.
-  LoseDisk,     ///< Killed, and started again with an empty folder.
-  KillControls, ///< All of them at once.
-  Cut,          ///< Its links pass nothing on, either way.
-  CutOut,       ///< Only those that it opened.
-  CutIn,        ///< Only those that others opened to it.
-  Silence,      ///< Its open links go silent for good; new ones work.
-  Reset,        ///< Its open links are reset.
-  CrashWorker,  ///< A worker ends and comes back as another life.
-  CutWorker,    ///< A worker is not heard, and hears nothing.
-  CutAndCrash,  ///< Both; a report from before arrives after its next life.
+  Stop,         ///< SIGTERM and restart after the exit.
+  LoseDisk,     ///< SIGKILL and restart with an empty data folder.
+  KillControls, ///< SIGKILL and restart of all controls at once.
+  Cut,          ///< Drops traffic on all links of a process.
+  CutOut,       ///< Only on links that the process opened.
+  CutIn,        ///< Only on links that others opened to it.
+  Silence,      ///< Open links stay silent; new ones work.
+  Reset,        ///< Open links are reset.
+  CrashWorker,  ///< A worker crashes and returns as a new incarnation.
+  CutWorker,    ///< A worker is partitioned from the controls.
+  CutAndCrash,  ///< Both; a delayed heartbeat arrives after a newer one.
 };
 
 struct SoakFault {
   FaultKind Kind_ = FaultKind::Kill;
   system_test::Milliseconds At_{};
   system_test::Milliseconds Length_{};
-  std::string Process_;    ///< Empty for faults of workers.
-  std::size_t Worker_ = 0; ///< Its number.
+  std::string Process_;    ///< Empty for worker faults.
+  std::size_t Worker_ = 0; ///< Number of the worker, for worker faults.
 };
 
-/// In order of time, all over before Length is.
+/// Returns faults in order of time, all of which end before Length.
 std::vector<SoakFault> planFaults(std::uint64_t Seed,
                                   system_test::Milliseconds Length,
                                   std::size_t Workers);
--- a/tests/platform/soak/SoakTest.cpp
+++ b/tests/platform/soak/SoakTest.cpp
@@ -1,7 +1,7 @@
 //===- SoakTest.cpp - Random faults on the platform's programs ------------===//
 //
 // TULIPWEIR_SOAK_SEEDS   "FIRST-LAST", the seeds to run (1-2)
-// TULIPWEIR_SOAK_SECONDS for how long faults strike in each (10)
+// TULIPWEIR_SOAK_SECONDS duration of the faults for each seed (10)
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,12 +25,13 @@
 
 namespace {
 
-/// Carries a plan's faults out on a cluster.
+/// Injects the faults of a plan into a cluster.
 class FaultDriver {
 public:
   FaultDriver(PlatformCluster &Cluster, const std::vector<SoakFault> &Plan);
 
-  /// Strikes and mends at the planned times; at the end all is mended.
+  /// Injects and repairs faults at the planned times. All are repaired at the
+  /// end.
   void run();
 
 private:
@@ -45,8 +46,8 @@
 
   PlatformCluster &Cluster_;
   std::multimap<Milliseconds, Action> Actions_;
-  std::set<std::string>
-      FaultyProcesses_; ///< Processes that are down or frozen.
+  /// Processes that are stopped or frozen.
+  std::set<std::string> FaultyProcesses_;
   std::map<std::size_t, int> Incarnations_;
 };
 
@@ -65,7 +66,7 @@
   }
 }
 
-/// A process that another fault has struck is left alone.
+/// Schedules a fault, which is skipped while the process has another one.
 void FaultDriver::scheduleProcessFault(const SoakFault &Fault,
                                        const Action &Inject,
                                        const Action &Repair) {
@@ -163,7 +164,8 @@
   }
 }
 
-/// After a planned stop, which must end by itself and well.
+/// Waits for a planned stop, which must exit with code 0, and restarts the
+/// process.
 void FaultDriver::restartAfterStop(const std::string &Name) {
   Child &Process = Cluster_.process(Name);
   if (Process.wait(60s) != 0)
@@ -183,12 +185,12 @@
   std::swap(Slot, Replacement);
   if (!DeliversDelayedHeartbeat)
     return;
-  // The new life was heard first.
+  // The first heartbeat of the new incarnation arrives before the delayed one.
   std::this_thread::sleep_for(300ms);
   Replacement->deliverDelayedHeartbeat();
 }
 
-/// Everything that must be true of one seed.
+/// Runs one seed and checks all guarantees.
 void runSoak(std::uint64_t Seed, Milliseconds Length) {
   const std::vector<SoakFault> Plan = planFaults(Seed, Length, Workers);
   PlatformCluster Cluster(PlatformCluster::Links::Forwarded);
@@ -202,7 +204,7 @@
   FaultDriver(Cluster, Plan).run();
   Clients.stop();
 
-  // All faults are over: what was promised comes true.
+  // All faults are repaired, so all guarantees must be met.
   const std::uint64_t Acked = Clients.getAckedVersion();
   EXPECT_TRUE(waitFor(Timeout,
                       [&] {
@@ -246,11 +248,10 @@
 
 } // namespace
 
-// What happened: seed 902 (12 s) failed with "j15 is cancelled" where it should
-// be completed. The leader logged its cancellation 3 ms after its acceptance;
-// the entry that had passed it on was cut off just then, and told the client
-// after 1,040 ms that the outcome is unknown and the same may be sent again.
-// The soak's client sent nothing again and took the cancellation for not taken.
+// Guards against a false failure of the soak test: a cancellation that the
+// leader had accepted got the answer "outcome unknown", because the entry lost
+// its link at that time. The client did not retry it, and the test wrongly
+// expected the job to complete.
 TEST(JobHistoryTest, CancellationWithUnknownOutcomeMayTakeEffect) {
   JobHistory History;
   History.IsAccepted_ = true;
--- a/tests/platform/system/PlatformCluster.cpp
+++ b/tests/platform/system/PlatformCluster.cpp
@@ -11,8 +11,8 @@
 using namespace tulipweir::system_test;
 using Json = nlohmann::json;
 
-/// Addresses of this process alone, so that tests that run side by side don't
-/// meet: 127.A.B.N with A from 32 on.
+/// Returns an address of this process only, so that parallel tests do not
+/// interfere: 127.A.B.Number, where A is at least 32.
 static std::string makeAddress(int Number) {
   const auto Process = static_cast<unsigned>(::getpid());
   return "127." + std::to_string(32 + (Process >> 8) % 200) + "." +
@@ -21,17 +21,17 @@
 
 PlatformCluster::PlatformCluster(Links Mode) : Mode_(Mode) {
   const std::uint16_t Shared = pickPort();
-  const auto addEndpoint = [&](const std::string &Role, int I) {
-    // A process calls others at the port of its own links: with one of its own
-    // for each, a forwarder can stand there.
+  const auto AddEndpoint = [&](const std::string &Role, int I) {
+    // A process calls others at the port of its own links. If each process has
+    // a different port, forwarders can listen there.
     Endpoints_[Role + std::to_string(I)] = {
         makeAddress(static_cast<int>(Endpoints_.size()) + 1),
         Mode == Links::Forwarded ? pickPort() : Shared};
   };
   for (int I = 0; I < Controls; ++I)
-    addEndpoint("control", I);
+    AddEndpoint("control", I);
   for (int I = 0; I < Entries; ++I)
-    addEndpoint("entry", I);
+    AddEndpoint("entry", I);
   if (Mode == Links::Forwarded)
     addForwarders();
   for (const auto &[Name, Where] : Endpoints_) {
--- a/tests/platform/system/PlatformCluster.h
+++ b/tests/platform/system/PlatformCluster.h
@@ -1,8 +1,8 @@
 //===- PlatformCluster.h - The platform's programs as processes -----------===//
 //
-// Three controls, two entries and stand-in workers on loopback addresses.
-// Wired, all links between processes run through forwarders, one for each
-// direction of each pair, so that a test can cut them.
+// A cluster of three controls, two entries and fake workers on loopback
+// addresses. With Links::Forwarded, all links to controls run through
+// forwarders, one for each direction of a pair, so that a test can cut them.
 //
 //===----------------------------------------------------------------------===//
 
@@ -31,12 +31,12 @@
   enum class Links : std::uint8_t { Direct, Forwarded };
 
   explicit PlatformCluster(Links Mode);
-  /// Ends what it started.
+  /// Ends the workers and the processes.
   ~PlatformCluster();
   PlatformCluster(const PlatformCluster &) = delete;
   PlatformCluster &operator=(const PlatformCluster &) = delete;
 
-  // Processes, named "control0" and so on.
+  // Processes are named "control0", "entry0" and so on.
 
   system_test::Child &process(const std::string &Name) {
     return *Processes_.at(Name);
@@ -45,21 +45,22 @@
   processes() const {
     return Processes_;
   }
-  /// Of a control that does not run: its disk is lost, as is its part in
-  /// founding the group.
+  /// Deletes the data of a stopped control and clears its first-start flag, so
+  /// that it does not found a new group.
   void loseDisk(const std::string &Name);
   void printLogs() const;
-  /// Calls Act for each forwarder from or to the process; all are wired.
+  /// Calls Act for each forwarder from or to the process. Requires
+  /// Links::Forwarded.
   void
   forEachForwarder(const std::string &Name, bool From, bool To,
                    const std::function<void(system_test::Forwarder &)> &Act);
 
-  // Calls. Tries each control until one answers for itself.
+  // Tries the controls in turn until one of them answers the call itself.
 
   system_test::HttpAnswer callControl(const std::string &Method,
                                       const std::string &Path,
                                       const std::string &Body = "");
-  /// One call to one control, whatever it answers.
+  /// Makes a single call to one control and returns any answer.
   system_test::HttpAnswer tryControl(int Control, const std::string &Method,
                                      const std::string &Path,
                                      const std::string &Body = "");
@@ -68,13 +69,11 @@
                                     const std::string &Body = "",
                                     int Entry = 0);
   static Json makeConfiguration(std::uint64_t Version);
-  /// Two steps of four tasks each.
+  /// Returns a job of two steps with four tasks each.
   static Json makeJob(const std::string &Payload);
-  /// The name of the control that leads; empty if none says so.
+  /// Returns the name of the leading control; empty if there is none.
   std::string findLeader();
 
-  // Workers.
-
   void addWorkers(int Count);
   std::unique_ptr<Worker> makeWorker(const std::string &Id,
                                      const std::string &Address = "");
@@ -83,7 +82,7 @@
   std::vector<std::unique_ptr<Worker>> Workers_;
 
 private:
-  /// Where a process is, and the port of its links there.
+  /// Address of a process and port of its links.
   struct ProcessEndpoint {
     std::string Address_;
     std::uint16_t LinkPort_ = 0;
@@ -103,7 +102,7 @@
   const std::uint16_t ReadyPort_ = system_test::pickPort();
   std::map<std::string, ProcessEndpoint> Endpoints_;
   std::map<std::string, std::unique_ptr<system_test::Child>> Processes_;
-  /// By the names of the calling and the called process.
+  /// Forwarders by the names of caller and callee.
   std::map<std::pair<std::string, std::string>,
            std::unique_ptr<system_test::Forwarder>>
       Forwarders_;
--- a/tests/platform/system/WholePathTest.cpp
+++ b/tests/platform/system/WholePathTest.cpp
@@ -1,4 +1,4 @@
-//===- WholePathTest.cpp - The platform's programs as processes -----------===//
+//===- WholePathTest.cpp - System tests of the platform's programs --------===//
 
 #include "platform/system/PlatformCluster.h"
 
@@ -30,7 +30,7 @@
             .Status_,
         200);
   }
-  /// Hands a job in until it is accepted, as clients do.
+  /// Submits a job until it is accepted, as clients do.
   void submit(const std::string &Id, const Json &Job) {
     EXPECT_TRUE(waitFor(Timeout, [&] {
       for (int Entry = 0; Entry < Entries; ++Entry)
@@ -113,7 +113,7 @@
   process(Leader).kill();
   process(Leader).start();
   submit("waits", makeJob("ms=50;cpu=1000;mem=500"));
-  // Some rounds of reports at the next leader.
+  // Waits for several reports to the next leader.
   std::this_thread::sleep_for(1500ms);
   EXPECT_EQ(Audit_.countStarts(), Before);
   EXPECT_EQ(stateOf("waits"), "queued");
@@ -143,7 +143,7 @@
   submit("first", makeJob("ms=50;cpu=1000;mem=500"));
   EXPECT_TRUE(waitForState("first", "completed"));
   Workers_[0]->drain();
-  // Two reports later everybody knows it.
+  // Waits for two reports, after which the leader knows that the worker drains.
   std::this_thread::sleep_for(1500ms);
   submit("second", makeJob("ms=50;cpu=1000;mem=500"));
   const std::uint64_t Before = Audit_.countStarts();
--- a/tests/platform/system/Worker.cpp
+++ b/tests/platform/system/Worker.cpp
@@ -46,8 +46,8 @@
       if (Runs[I].Begin_ < Runs[J].End_ && Runs[J].Begin_ < Runs[I].End_)
         Violations.push_back(Task + " runs twice, on " + Runs[J].Worker_ +
                              " and on " + Runs[I].Worker_);
-      // Before the system took note, nobody could know; but an end that it
-      // believed in the end must not be followed by a start.
+      // A task must not be started again after a completed run whose end the
+      // leader has acknowledged.
       if (Runs[J].IsDone_ && Runs[J].IsEndAcknowledged_ &&
           Runs[I].Begin_ >= Runs[J].End_)
         Violations.push_back(Task + " was started after it was done");
@@ -125,7 +125,7 @@
   }
 }
 
-/// Beside the heartbeats, as one may wait long for its answer.
+/// Runs in a thread of its own, as a heartbeat may wait long for its answer.
 void Worker::watchLeases() {
   while (!Stopping_) {
     endDueTasks(std::chrono::steady_clock::now());
@@ -139,7 +139,7 @@
       return;
 }
 
-/// Until the next heartbeat, or a little after an end.
+/// Waits for the next heartbeat, or until a task ends.
 void Worker::pause(milliseconds Max) {
   const Instant Until = std::chrono::steady_clock::now() + Max;
   while (!Stopping_ && std::chrono::steady_clock::now() < Until) {
@@ -175,7 +175,7 @@
     LastLeaseExpiry_ = LeaseEnd_;
   std::vector<std::pair<std::string, std::string>> Ends;
   for (const auto &[Name, Active] : Running_) {
-    // Both at once, as this thread was late: the lease goes first.
+    // If both are due because this thread was late, the lease expires first.
     if (Now >= LeaseEnd_)
       Ends.emplace_back(Name, "lapsed");
     else if (getProgressMs(Active, Now) >= Active.TotalMs_)
@@ -235,7 +235,7 @@
     const system_test::HttpAnswer Answer =
         system_test::call(Target.Port_, Call);
     if (Answer.Status_ == 200) {
-      // Answers that come later than a second are dropped.
+      // Answers are dropped after a second.
       if (std::chrono::steady_clock::now() - SentAt < 1s && !IsCut_)
         applyOrders(Answer.json(), SentAt);
       return true;
--- a/tests/platform/system/Worker.h
+++ b/tests/platform/system/Worker.h
@@ -1,9 +1,9 @@
-//===- Worker.h - A stand-in for the platform's workers
-//-----------------------===//
+//===- Worker.h - Fake of the platform's workers --------------------------===//
 //
 // Speaks the platform's protocol to the controls: heartbeats, starts, stops,
-// leases, fencing tokens, checkpoints. A task's payload says what it does:
-// "ms=N;cpu=N;mem=N[;fail]". Whatever must never happen is written down.
+// leases, fencing tokens and checkpoints. The payload of a task defines what it
+// does: "ms=N;cpu=N;mem=N[;fail]". Violations of the protocol's guarantees are
+// recorded.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,22 +26,23 @@
 
 using Instant = std::chrono::steady_clock::time_point;
 
-/// What all workers of a test see together. Thread-safe.
+/// Record of the runs on all workers of a test. Thread-safe.
 class Audit {
 public:
   void recordStart(const std::string &Task, std::uint64_t Run,
                    const std::string &Worker, Instant At);
-  /// At: when it really ended, which may be earlier than it is noticed.
+  /// At is the time when the run ended, which may be before this call.
   void recordEnd(const std::string &Task, std::uint64_t Run,
                  const std::string &Outcome, Instant At);
-  /// The system took note of the run's end, and no lease had run out since:
-  /// from then on, and for what was started before, the end stands.
+  /// Records that the leader has acknowledged the run's end and no lease had
+  /// expired since the end. No run of the task may begin after this end, not
+  /// even one that began before the acknowledgement.
   void recordEndAcknowledged(const std::string &Task, std::uint64_t Run);
   void reportViolation(const std::string &What);
   std::vector<std::string> listViolations() const;
   std::uint64_t countDone() const;
   std::uint64_t countStarts() const;
-  /// Whether any task of the job was ever started.
+  /// Returns whether any task of the job was ever started.
   bool hasStarted(const std::string &Job) const;
 
 private:
@@ -51,14 +52,14 @@
     Instant Begin_;
     Instant End_ = Instant::max();
     bool IsDone_ = false;
-    bool IsEndAcknowledged_ =
-        false; ///< The end, as recordEndAcknowledged says.
+    bool IsEndAcknowledged_ = false; ///< See recordEndAcknowledged().
   };
   static void checkRuns(const std::string &Task, const std::vector<Run> &Runs,
                         std::vector<std::string> &Violations);
 
   mutable std::mutex Lock_;
-  std::map<std::string, std::vector<Run>> Runs_; ///< By task, as they began.
+  /// Runs by task, in the order of their starts.
+  std::map<std::string, std::vector<Run>> Runs_;
   std::uint64_t Starts_ = 0;
   std::vector<std::string> Violations_;
 };
@@ -69,19 +70,20 @@
     std::string Address_;
     std::uint16_t Port_ = 0;
   };
-  /// Address: of its machine, which lives on when it crashes; its own without.
+  /// Address is that of the worker's machine, which survives a crash. If it is
+  /// empty, the worker gets an address of its own.
   Worker(std::string Id, std::vector<Endpoint> Controls, Audit &SharedAudit,
          const std::string &Address = "");
   ~Worker();
   Worker(const Worker &) = delete;
   Worker &operator=(const Worker &) = delete;
 
-  /// Ends everything that runs, without a word: a crash.
+  /// Ends all tasks without reporting them.
   void crash();
   void drain() { IsDraining_ = true; }
-  /// While cut off, its heartbeats go nowhere and its leases run out.
+  /// While cut off, the worker sends no heartbeats, and its leases expire.
   void setCut(bool Cut) { IsCut_ = Cut; }
-  /// After a crash: the last heartbeat that was held up by a cut arrives.
+  /// Delivers the last heartbeat that a cut has delayed. Called after a crash.
   void deliverDelayedHeartbeat();
   std::uint64_t countRunning() const;
 
@@ -89,7 +91,7 @@
   struct Task {
     std::uint64_t Run_ = 0;
     std::uint64_t TotalMs_ = 0;
-    std::uint64_t CheckpointMs_ = 0; ///< Work done before this run.
+    std::uint64_t CheckpointMs_ = 0; ///< Progress before this run.
     std::int64_t Cpu_ = 0;
     std::int64_t Memory_ = 0;
     bool Fails_ = false;
@@ -123,12 +125,13 @@
   Instant LeaseEnd_{};
   Instant LastLeaseExpiry_{}; ///< Guarded by Lock_, as is LeaseEnd_.
   std::chrono::milliseconds HeartbeatDelay_{100};
-  mutable std::mutex Lock_; ///< Guards all below.
+  mutable std::mutex Lock_; ///< Guards all members below.
   std::map<std::string, Task> Running_;
   std::vector<nlohmann::json> Ended_;
-  std::map<std::uint64_t, Instant> EndedAt_; ///< By number, of these.
-  std::map<std::string, std::uint64_t>
-      HighestRejectedRun_; ///< Highest run refused.
+  /// Time of each end in Ended_, by number.
+  std::map<std::uint64_t, Instant> EndedAt_;
+  /// Runs up to this number are rejected.
+  std::map<std::string, std::uint64_t> HighestRejectedRun_;
   std::thread HeartbeatThread_;
   std::thread LeaseThread_;
 };
