--- a/bench/fleet/FleetBench.cpp
+++ b/bench/fleet/FleetBench.cpp
@@ -143,10 +143,10 @@
 
 /// One round of the leader with Open jobs held by four data centres.
 static void decideAssignments(benchmark::State &State) {
-  JobBook Jobs;
+  JobRegistry Jobs;
   JobAssigner Assigner((AssignmentTimes()));
   TimePoint Now(std::chrono::hours(1));
-  Assigner.noteLeading(Now);
+  Assigner.startLeading(Now);
   Now += std::chrono::seconds(3);
   for (std::int64_t I = 0; I < State.range(0); ++I) {
     const DataCentreId Holder("dc" + std::to_string(I % 4));
--- a/include/tulipweir/fleet/HeldBundle.h
+++ b/include/tulipweir/fleet/ActiveBundle.h
@@ -1,12 +1,12 @@
-//===- HeldBundle.h - The bundle that a process acts by --------*- C++ -*-===//
+//===- ActiveBundle.h - Bundle that a process uses --------------*- C++ -*-===//
 //
 // Its version only rises: whatever arrives late, twice or out of order, a
 // process never goes back to an older bundle.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_FLEET_HELDBUNDLE_H
-#define TULIPWEIR_FLEET_HELDBUNDLE_H
+#ifndef TULIPWEIR_FLEET_ACTIVEBUNDLE_H
+#define TULIPWEIR_FLEET_ACTIVEBUNDLE_H
 
 #include "tulipweir/core/Error.h"
 #include "tulipweir/fleet/Bundle.h"
@@ -18,7 +18,7 @@
 namespace tulipweir::fleet {
 
 /// Thread-safe.
-class HeldBundle {
+class ActiveBundle {
 public:
   /// Takes the bundle if it is newer than the one held and says whether it
   /// did. Fails, and changes nothing, when the text does not fit its digest or
@@ -41,4 +41,4 @@
 
 } // namespace tulipweir::fleet
 
-#endif // TULIPWEIR_FLEET_HELDBUNDLE_H
+#endif // TULIPWEIR_FLEET_ACTIVEBUNDLE_H
--- a/include/tulipweir/fleet/AssignmentLease.h
+++ b/include/tulipweir/fleet/AssignmentLease.h
@@ -28,26 +28,26 @@
 
   /// The fleet's leader answered the report that was SENT at SentAt, by this
   /// process's clock. Renewals of an earlier assignment of a job are ignored.
-  void noteRenewed(const AssignmentReply &Reply, TimePoint SentAt);
+  void recordRenewals(const AssignmentReply &Reply, TimePoint SentAt);
 
   /// Forgets what is no longer in Standing: the assignments that this
   /// process's own fleet replica shows for its data centre.
-  void retain(const std::vector<AssignmentHeld> &Standing);
+  void retain(const std::vector<HeldAssignment> &Standing);
 
   // Queries.
 
   /// Whether the job may be run here until Until. Ask with the end of each
   /// task lease before granting or renewing it.
-  bool covers(const AssignmentHeld &Held, TimePoint Until) const;
+  bool covers(const HeldAssignment &Held, TimePoint Until) const;
 
-  /// Whether it is time to checkpoint and stop: less than StopBefore_ is left,
-  /// or nothing was ever renewed.
-  bool isEnding(const AssignmentHeld &Held, TimePoint Now) const;
+  /// Whether it is time to checkpoint and stop: less than StopLeadTime_ is
+  /// left, or nothing was ever renewed.
+  bool isExpiring(const HeldAssignment &Held, TimePoint Now) const;
 
   /// Those of Standing to put into the next report, at most Limit; those that
   /// end first come first.
-  std::vector<AssignmentHeld>
-  listDue(const std::vector<AssignmentHeld> &Standing, TimePoint Now,
+  std::vector<HeldAssignment>
+  listDue(const std::vector<HeldAssignment> &Standing, TimePoint Now,
           std::size_t Limit) const;
 
 private:
@@ -55,7 +55,7 @@
     std::uint64_t Assignment_ = 0;
     TimePoint SentAt_{};
   };
-  const Renewal *find(const AssignmentHeld &Held) const;
+  const Renewal *find(const HeldAssignment &Held) const;
 
   AssignmentTimes Times_;
   mutable std::mutex Mutex_;
--- a/include/tulipweir/fleet/AssignmentTimes.h
+++ b/include/tulipweir/fleet/AssignmentTimes.h
@@ -14,7 +14,7 @@
 //     the report was sent. A new leader counts every assignment as renewed at
 //     its election. One that lost its term and was elected again is a new one:
 //     what it knew is of an earlier time, and another may have led between.
-//  4. A leader begins (JobAssigner::noteLeading) only once
+//  4. A leader begins (JobAssigner::startLeading) only once
 //     Replica::confirmLeadership has said that everything committed is applied
 //     here, so it never renews what an earlier leader moved.
 //  5. Once a leader has proposed to take an assignment back, it renews that
@@ -35,10 +35,10 @@
 namespace tulipweir::fleet {
 
 /// One job under one assignment.
-struct AssignmentHeld {
+struct HeldAssignment {
   JobId Job_;
   std::uint64_t Assignment_ = 0;
-  auto operator<=>(const AssignmentHeld &) const = default;
+  auto operator<=>(const HeldAssignment &) const = default;
 };
 
 /// How busy a data centre is, by its leader.
@@ -50,17 +50,17 @@
 };
 
 /// What every control process tells the fleet's leader, about once a second.
-/// Due_ is short: each assignment is renewed every RenewEvery_ only.
+/// Due_ is short: each assignment is renewed every RenewInterval_ only.
 struct AssignmentReport {
   DataCentreId DataCentre_;
   bool HasLoad_ = false; ///< Set by the data centre's leader.
   DataCentreLoad Load_;
-  std::vector<AssignmentHeld> Due_;
+  std::vector<HeldAssignment> Due_;
   bool operator==(const AssignmentReport &) const = default;
 };
 
 struct AssignmentReply {
-  std::vector<AssignmentHeld> Renewed_;
+  std::vector<HeldAssignment> Renewed_;
   bool operator==(const AssignmentReply &) const = default;
 };
 
@@ -71,14 +71,14 @@
   Duration Margin_ = std::chrono::minutes(3);
   /// The data centre begins to checkpoint and stop this long before its own
   /// expiry.
-  Duration StopBefore_ = std::chrono::minutes(5);
-  Duration RenewEvery_ = std::chrono::minutes(15);
+  Duration StopLeadTime_ = std::chrono::minutes(5);
+  Duration RenewInterval_ = std::chrono::minutes(15);
   /// A data centre that was heard within this time may be given jobs.
-  Duration ReachableWithin_ = std::chrono::seconds(10);
+  Duration ReachableTimeout_ = std::chrono::seconds(10);
   /// A new leader listens this long before it assigns anything.
-  Duration Settle_ = std::chrono::seconds(2);
+  Duration NewLeaderDelay_ = std::chrono::seconds(2);
   /// A proposal whose effect is not seen is proposed again after this time.
-  Duration ProposeAgain_ = std::chrono::seconds(5);
+  Duration RetryInterval_ = std::chrono::seconds(5);
 
   /// The same proportions for another lease.
   static AssignmentTimes makeFor(Duration Ttl);
--- a/include/tulipweir/fleet/Bundle.h
+++ b/include/tulipweir/fleet/Bundle.h
@@ -73,8 +73,8 @@
 
 /// One thing wrong with a bundle's text.
 struct BundleProblem {
-  std::string Place_; ///< A JSON pointer, or "line:column" for syntax.
-  std::string Text_;  ///< What was found and what is allowed.
+  std::string Location_; ///< A JSON pointer, or "line:column" for syntax.
+  std::string Text_;     ///< What was found and what is allowed.
   bool operator==(const BundleProblem &) const = default;
 };
 
--- a/include/tulipweir/fleet/BundleHistory.h
+++ b/include/tulipweir/fleet/BundleHistory.h
@@ -43,8 +43,8 @@
 /// Not thread-safe.
 class BundleHistory {
 public:
-  static constexpr std::size_t TextsKept = 50;
-  static constexpr std::size_t DetailsKept = 10'000;
+  static constexpr std::size_t MaxTexts = 50;
+  static constexpr std::size_t MaxDetailedRecords = 10'000;
 
   BundleHistory() = default;
   /// From a snapshot; both in rising order of versions.
--- a/include/tulipweir/fleet/BundleBook.h
+++ b/include/tulipweir/fleet/BundleRegistry.h
@@ -1,4 +1,4 @@
-//===- BundleBook.h - Proposals, sign-offs and the one in force -*- C++ -*-===//
+//===- BundleRegistry.h - Bundle proposals and sign-offs --------*- C++ -*-===//
 //
 // The bundle part of the fleet's state. A bundle is accepted once k operators
 // named by the bundle in force have signed it, and only while its parent is
@@ -7,8 +7,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_FLEET_BUNDLEBOOK_H
-#define TULIPWEIR_FLEET_BUNDLEBOOK_H
+#ifndef TULIPWEIR_FLEET_BUNDLEREGISTRY_H
+#define TULIPWEIR_FLEET_BUNDLEREGISTRY_H
 
 #include "tulipweir/fleet/Bundle.h"
 #include "tulipweir/fleet/BundleHistory.h"
@@ -41,11 +41,11 @@
 };
 
 /// Not thread-safe.
-class BundleBook {
+class BundleRegistry {
 public:
   /// Waiting proposals of one operator; the oldest gives way to a new one.
-  static constexpr std::size_t ProposalsPerOperator = 4;
-  static constexpr std::size_t SupersededKept = 1000;
+  static constexpr std::size_t MaxProposalsPerOperator = 4;
+  static constexpr std::size_t MaxSuperseded = 1000;
 
   // Commands.
 
@@ -61,24 +61,23 @@
   const std::deque<SupersededBundle> &superseded() const { return Superseded_; }
   /// The bundle in force; a default one before the first.
   const Bundle &inForce() const { return InForce_; }
-  bool operator==(const BundleBook &) const = default;
+  bool operator==(const BundleRegistry &) const = default;
 
   /// From a snapshot; Malformed if the parts do not fit each other.
-  static Outcome<BundleBook> restore(BundleHistory History,
-                                     std::map<Digest, ProposedBundle> Proposals,
-                                     std::deque<SupersededBundle> Superseded,
-                                     std::uint64_t NextSequence);
+  static Outcome<BundleRegistry>
+  restore(BundleHistory History, std::map<Digest, ProposedBundle> Proposals,
+          std::deque<SupersededBundle> Superseded, std::uint64_t NextSequence);
   std::uint64_t nextSequence() const { return NextSequence_; }
 
 private:
-  const Bundle &findSigners(const Bundle &Proposed) const;
+  const Bundle &getDecidingBundle(const Bundle &Proposed) const;
   CommandResult addSignOff(const Digest &Value, Bundle Proposed,
                            const SignOff &Added, std::uint64_t WallMs);
-  CommandResult makeLost(BundleVersion Version) const;
+  CommandResult makeConflict(BundleVersion Version) const;
   CommandResult accept(const Digest &Value, Bundle Accepted,
                        std::uint64_t WallMs);
   void supersede(const Digest &Value);
-  void makeRoomFor(const OperatorId &Proposer);
+  void evictOldestProposal(const OperatorId &Proposer);
 
   BundleHistory History_;
   std::map<Digest, ProposedBundle> Proposals_;
@@ -89,4 +88,4 @@
 
 } // namespace tulipweir::fleet
 
-#endif // TULIPWEIR_FLEET_BUNDLEBOOK_H
+#endif // TULIPWEIR_FLEET_BUNDLEREGISTRY_H
--- a/include/tulipweir/fleet/FleetState.h
+++ b/include/tulipweir/fleet/FleetState.h
@@ -8,9 +8,9 @@
 #ifndef TULIPWEIR_FLEET_FLEETSTATE_H
 #define TULIPWEIR_FLEET_FLEETSTATE_H
 
-#include "tulipweir/fleet/BundleBook.h"
+#include "tulipweir/fleet/BundleRegistry.h"
 #include "tulipweir/fleet/Commands.h"
-#include "tulipweir/fleet/JobBook.h"
+#include "tulipweir/fleet/JobRegistry.h"
 
 #include <utility>
 
@@ -21,19 +21,19 @@
 public:
   FleetState() = default;
   /// From a snapshot.
-  FleetState(BundleBook Bundles, JobBook Jobs)
+  FleetState(BundleRegistry Bundles, JobRegistry Jobs)
       : Bundles_(std::move(Bundles)), Jobs_(std::move(Jobs)) {}
 
   /// Applies one command. A refused one changes nothing.
   CommandResult apply(const Command &Value);
 
-  const BundleBook &bundles() const { return Bundles_; }
-  const JobBook &jobs() const { return Jobs_; }
+  const BundleRegistry &bundles() const { return Bundles_; }
+  const JobRegistry &jobs() const { return Jobs_; }
   bool operator==(const FleetState &) const = default;
 
 private:
-  BundleBook Bundles_;
-  JobBook Jobs_;
+  BundleRegistry Bundles_;
+  JobRegistry Jobs_;
 };
 
 } // namespace tulipweir::fleet
--- a/include/tulipweir/fleet/FleetMachine.h
+++ b/include/tulipweir/fleet/FleetStateMachine.h
@@ -1,11 +1,11 @@
-//===- FleetMachine.h - The fleet's state behind a log ---------*- C++ -*-===//
+//===- FleetStateMachine.h - Replicated fleet state machine -----*- C++ -*-===//
 //
 // What a Replica of group "fleet" drives. Answers queries from any thread.
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_FLEET_FLEETMACHINE_H
-#define TULIPWEIR_FLEET_FLEETMACHINE_H
+#ifndef TULIPWEIR_FLEET_FLEETSTATEMACHINE_H
+#define TULIPWEIR_FLEET_FLEETSTATEMACHINE_H
 
 #include "tulipweir/fleet/FleetState.h"
 #include "tulipweir/replication/StateMachine.h"
@@ -30,7 +30,7 @@
 };
 
 /// Thread-safe: one lock around the state.
-class FleetMachine final : public replication::StateMachine {
+class FleetStateMachine final : public replication::StateMachine {
 public:
   /// Told each applied command and its result, on the replica's thread, outside
   /// the lock and after the batch that it is part of. It must not block.
@@ -39,8 +39,8 @@
   /// Told that the state was replaced by a snapshot's.
   using RestoredListener = std::function<void()>;
 
-  explicit FleetMachine(AppliedListener OnApplied = nullptr,
-                        RestoredListener OnRestored = nullptr);
+  explicit FleetStateMachine(AppliedListener OnApplied = nullptr,
+                             RestoredListener OnRestored = nullptr);
 
   // Called by the replica.
 
@@ -80,7 +80,7 @@
   }
 
 private:
-  struct Told {
+  struct AppliedCommand {
     Command Command_;
     CommandResult Result_;
   };
@@ -92,11 +92,11 @@
   mutable std::mutex Mutex_;
   /// Only the replica's thread uses these two.
   std::unique_lock<std::mutex> Batch_{Mutex_, std::defer_lock};
-  std::vector<Told> ToldLater_;
+  std::vector<AppliedCommand> PendingNotifications_;
   FleetState State_;
   std::shared_ptr<const Bundle> Bundle_;
 };
 
 } // namespace tulipweir::fleet
 
-#endif // TULIPWEIR_FLEET_FLEETMACHINE_H
+#endif // TULIPWEIR_FLEET_FLEETSTATEMACHINE_H
--- a/include/tulipweir/fleet/JobAssigner.h
+++ b/include/tulipweir/fleet/JobAssigner.h
@@ -11,7 +11,7 @@
 
 #include "tulipweir/fleet/AssignmentTimes.h"
 #include "tulipweir/fleet/Commands.h"
-#include "tulipweir/fleet/JobBook.h"
+#include "tulipweir/fleet/JobRegistry.h"
 
 #include <cstddef>
 #include <map>
@@ -30,21 +30,21 @@
   /// This replica leads the fleet log and has applied all that was committed
   /// before (Replica::confirmLeadership). Forgets all that was known. Call it
   /// for every term, also when this replica led the one before last.
-  void noteLeading(TimePoint Now);
-  void noteFollowing();
+  void startLeading(TimePoint Now);
+  void stopLeading();
 
   /// Answers a control process's report. Call it only directly after
   /// Replica::findLeaseTerm answered with the term of the latest
-  /// noteLeading, with the state applied here. While not leading nothing is
+  /// startLeading, with the state applied here. While not leading nothing is
   /// renewed.
-  AssignmentReply renew(const AssignmentReport &Report, const JobBook &Jobs,
+  AssignmentReply renew(const AssignmentReport &Report, const JobRegistry &Jobs,
                         TimePoint Now);
 
   /// At most Budget commands to propose now: assignments of unassigned jobs
   /// and releases of expired ones. The same one comes again only after
-  /// ProposeAgain_ without effect. Work is proportional to Budget and the
+  /// RetryInterval_ without effect. Work is proportional to Budget and the
   /// number of data centres.
-  std::vector<Command> decide(const JobBook &Jobs, TimePoint Now,
+  std::vector<Command> decide(const JobRegistry &Jobs, TimePoint Now,
                               std::size_t Budget);
 
   // Queries.
@@ -55,33 +55,34 @@
   std::optional<TimePoint> getExpiry(const DataCentreId &DataCentre) const;
 
 private:
-  struct Contact {
+  struct DataCentreStatus {
     TimePoint AnsweredAt_{};
     DataCentreLoad Load_;
     bool HasLoad_ = false;
     std::uint32_t AssignedSince_ = 0; ///< Since that load was reported.
   };
-  struct Releasing {
+  struct PendingRelease {
     std::uint64_t Assignment_ = 0;
     TimePoint ProposedAt_{};
   };
 
-  void repeatReleases(const JobBook &Jobs, TimePoint Now, std::size_t Budget,
-                      std::vector<Command> &Out);
-  void releaseExpired(const JobBook &Jobs, TimePoint Now, std::size_t Budget,
-                      std::vector<Command> &Out);
-  void forgetAssigned(const JobBook &Jobs, TimePoint Now);
-  void assignWaiting(const JobBook &Jobs, TimePoint Now, std::size_t Budget,
+  void retryReleases(const JobRegistry &Jobs, TimePoint Now, std::size_t Budget,
                      std::vector<Command> &Out);
-  std::optional<DataCentreId>
-  choose(const JobBook &Jobs, const FleetJob &Record, TimePoint Now) const;
-  double scoreOf(const Contact &Known) const;
+  void releaseExpired(const JobRegistry &Jobs, TimePoint Now,
+                      std::size_t Budget, std::vector<Command> &Out);
+  void prunePendingAssignments(const JobRegistry &Jobs, TimePoint Now);
+  void assignWaitingJobs(const JobRegistry &Jobs, TimePoint Now,
+                         std::size_t Budget, std::vector<Command> &Out);
+  std::optional<DataCentreId> chooseDataCentre(const JobRegistry &Jobs,
+                                               const FleetJob &Record,
+                                               TimePoint Now) const;
+  double computeScore(const DataCentreStatus &Known) const;
 
   AssignmentTimes Times_;
   std::optional<TimePoint> LeadingSince_;
-  std::map<DataCentreId, Contact> Contacts_;
-  std::map<JobId, Releasing> Releasing_;
-  std::map<JobId, TimePoint> Assigning_; ///< When each was proposed.
+  std::map<DataCentreId, DataCentreStatus> DataCentres_;
+  std::map<JobId, PendingRelease> PendingReleases_;
+  std::map<JobId, TimePoint> PendingAssignments_; ///< When each was proposed.
 };
 
 } // namespace tulipweir::fleet
--- a/include/tulipweir/fleet/JobBook.h
+++ b/include/tulipweir/fleet/JobRegistry.h
@@ -1,4 +1,4 @@
-//===- JobBook.h - Batch jobs and which data centre holds them -*- C++ -*-===//
+//===- JobRegistry.h - Batch jobs and their assignments ---------*- C++ -*-===//
 //
 // The job part of the fleet's state. A job is held by one data centre at a
 // time, under an assignment number that rises with each assignment of the
@@ -7,8 +7,8 @@
 //
 //===----------------------------------------------------------------------===//
 
-#ifndef TULIPWEIR_FLEET_JOBBOOK_H
-#define TULIPWEIR_FLEET_JOBBOOK_H
+#ifndef TULIPWEIR_FLEET_JOBREGISTRY_H
+#define TULIPWEIR_FLEET_JOBREGISTRY_H
 
 #include "tulipweir/core/Error.h"
 #include "tulipweir/core/Ids.h"
@@ -41,13 +41,13 @@
 };
 
 /// Not thread-safe.
-class JobBook {
+class JobRegistry {
 public:
   /// Ended jobs that are kept: over a day at 8,000 a day. A job resent after
   /// that counts as new.
-  static constexpr std::size_t EndedKept = 10'000;
+  static constexpr std::size_t MaxEndedJobs = 10'000;
   /// Jobs that have not ended; beyond it new ones are refused.
-  static constexpr std::size_t MaxOpen = 100'000;
+  static constexpr std::size_t MaxOpenJobs = 100'000;
   static constexpr std::size_t MaxSpecBytes = std::size_t(64) << 10U;
   /// Longer specs of ended jobs are dropped.
   static constexpr std::size_t MaxEndedSpecBytes = 2048;
@@ -73,19 +73,19 @@
   /// Ended jobs, the earliest end first.
   const std::deque<JobId> &ended() const { return Ended_; }
   std::size_t countOpen() const { return Jobs_.size() - Ended_.size(); }
-  bool operator==(const JobBook &) const = default;
+  bool operator==(const JobRegistry &) const = default;
 
   /// From a snapshot; the sets are built from the jobs. Malformed if Ended
   /// does not name just the ended jobs.
-  static Outcome<JobBook> restore(std::map<JobId, FleetJob> Jobs,
-                                  std::deque<JobId> Ended);
+  static Outcome<JobRegistry> restore(std::map<JobId, FleetJob> Jobs,
+                                      std::deque<JobId> Ended);
 
 private:
   /// A job that has not ended; nullptr with the Refusal when there is none.
   FleetJob *findOpen(const JobId &Job, CommandResult &Refusal);
-  void finish(const JobId &Job, FleetJob &Record, JobEnd End,
-              std::string Message, std::uint64_t WallMs);
-  void giveBack(const JobId &Job, FleetJob &Record);
+  void finishJob(const JobId &Job, FleetJob &Record, JobEnd End,
+                 std::string Message, std::uint64_t WallMs);
+  void unassign(const JobId &Job, FleetJob &Record);
 
   std::map<JobId, FleetJob> Jobs_;
   std::set<JobId> Unassigned_;
@@ -95,4 +95,4 @@
 
 } // namespace tulipweir::fleet
 
-#endif // TULIPWEIR_FLEET_JOBBOOK_H
+#endif // TULIPWEIR_FLEET_JOBREGISTRY_H
--- a/include/tulipweir/fleet/Signing.h
+++ b/include/tulipweir/fleet/Signing.h
@@ -28,7 +28,7 @@
 KeyPair makeKeyPair();
 
 /// Derives the pair from its secret key; InvalidArgument if that is not one.
-Outcome<KeyPair> readKeyPair(std::string_view SecretKey);
+Outcome<KeyPair> deriveKeyPair(std::string_view SecretKey);
 
 /// Signs the digest's hexadecimal text; InvalidArgument for a bad key.
 Outcome<std::string> signDigest(const Digest &Value,
--- a/src/control/BundleJson.cpp
+++ b/src/control/BundleJson.cpp
@@ -57,7 +57,7 @@
                             const std::string &Text) {
   Json Problems = Json::array();
   for (const fleet::BundleProblem &Problem : Check.Problems_)
-    Problems.push_back({{"place", Problem.Place_}, {"text", Problem.Text_}});
+    Problems.push_back({{"place", Problem.Location_}, {"text", Problem.Text_}});
   Json Result = {{"ok", Check.Problems_.empty()},
                  {"digest", fleet::computeDigest(Text).value()},
                  {"problems", std::move(Problems)}};
--- a/src/control/BundleJson.h
+++ b/src/control/BundleJson.h
@@ -10,7 +10,7 @@
 #include "control/FleetSurvey.h"
 #include "control/JsonFields.h"
 #include "tulipweir/fleet/Bundle.h"
-#include "tulipweir/fleet/BundleBook.h"
+#include "tulipweir/fleet/BundleRegistry.h"
 #include "tulipweir/fleet/Commands.h"
 
 #include <string>
--- a/src/control/BundleKeeper.cpp
+++ b/src/control/BundleKeeper.cpp
@@ -16,7 +16,7 @@
 /// Checks text, digest and version against each other.
 static Outcome<std::shared_ptr<const fleet::Bundle>>
 readBundle(const SignedBundle &Value) {
-  fleet::HeldBundle Held;
+  fleet::ActiveBundle Held;
   if (const auto Adopted = Held.adopt(Value); !Adopted)
     return Adopted.as_failure();
   return Held.getBundle();
--- a/src/control/BundleKeeper.h
+++ b/src/control/BundleKeeper.h
@@ -12,8 +12,8 @@
 
 #include "control/BundleFile.h"
 #include "tulipweir/core/Executor.h"
+#include "tulipweir/fleet/ActiveBundle.h"
 #include "tulipweir/fleet/BundleHistory.h"
-#include "tulipweir/fleet/HeldBundle.h"
 #include "tulipweir/net/Metrics.h"
 
 #include <functional>
--- a/src/control/BundleRoutes.cpp
+++ b/src/control/BundleRoutes.cpp
@@ -24,7 +24,7 @@
     {"GET", "/limits", &BundleRoutes::showLimits},
     {"GET", "/passed-on/report", &BundleRoutes::showReport}};
 
-BundleRoutes::BundleRoutes(const fleet::FleetMachine &Fleet,
+BundleRoutes::BundleRoutes(const fleet::FleetStateMachine &Fleet,
                            BundleKeeper &Keeper, FleetProposer &Proposer,
                            FleetSurvey &Survey, const Clock &Time)
     : Fleet_(Fleet), Keeper_(Keeper), Proposer_(Proposer), Survey_(Survey),
--- a/src/control/BundleRoutes.h
+++ b/src/control/BundleRoutes.h
@@ -11,14 +11,14 @@
 #include "control/FleetProposer.h"
 #include "control/FleetSurvey.h"
 #include "control/RouteTable.h"
-#include "tulipweir/fleet/FleetMachine.h"
+#include "tulipweir/fleet/FleetStateMachine.h"
 
 namespace tulipweir::control {
 
 /// Thread-safe.
 class BundleRoutes final : public RouteSet {
 public:
-  BundleRoutes(const fleet::FleetMachine &Fleet, BundleKeeper &Keeper,
+  BundleRoutes(const fleet::FleetStateMachine &Fleet, BundleKeeper &Keeper,
                FleetProposer &Proposer, FleetSurvey &Survey, const Clock &Time);
 
   RouteMatch handle(const wire::OperatorCall &Call,
@@ -38,7 +38,7 @@
 
   static const RouteEntry<BundleRoutes> Table[];
 
-  const fleet::FleetMachine &Fleet_;
+  const fleet::FleetStateMachine &Fleet_;
   BundleKeeper &Keeper_;
   FleetProposer &Proposer_;
   FleetSurvey &Survey_;
--- a/src/control/ControlCore.cpp
+++ b/src/control/ControlCore.cpp
@@ -44,7 +44,7 @@
 }
 
 static std::optional<fleet::AcceptedBundle>
-findLatest(const fleet::FleetMachine &Machine) {
+findLatest(const fleet::FleetStateMachine &Machine) {
   std::vector<fleet::AcceptedBundle> Latest = Machine.listHistory(1);
   if (Latest.empty())
     return std::nullopt;
--- a/src/control/ControlCore.h
+++ b/src/control/ControlCore.h
@@ -28,7 +28,7 @@
   PeerCaller &Peers_;
   ChangeFeed &Feed_;
   const datacentre::DataCentreMachine &DataCentreMachine_;
-  const fleet::FleetMachine &FleetMachine_;
+  const fleet::FleetStateMachine &FleetMachine_;
   replication::Replica &DataCentreGroup_;
   replication::Replica &FleetGroup_;
   net::Metrics &Metrics_;
--- a/src/control/ControlMetrics.cpp
+++ b/src/control/ControlMetrics.cpp
@@ -81,7 +81,7 @@
 }
 
 void control::addBundleMetrics(net::Metrics &To, const BundleKeeper &Keeper,
-                               const fleet::FleetMachine &Fleet) {
+                               const fleet::FleetStateMachine &Fleet) {
   To.addGauge("tulipweir_bundle_version", "Version of the bundle in force",
               [&Keeper] { return double(Keeper.getVersion().value()); });
   To.addGauge("tulipweir_bundle_log_version",
--- a/src/control/ControlMetrics.h
+++ b/src/control/ControlMetrics.h
@@ -9,7 +9,7 @@
 
 #include "control/BundleKeeper.h"
 #include "control/ReplicationTransport.h"
-#include "tulipweir/fleet/FleetMachine.h"
+#include "tulipweir/fleet/FleetStateMachine.h"
 #include "tulipweir/net/Link.h"
 #include "tulipweir/net/Metrics.h"
 #include "tulipweir/replication/Replica.h"
@@ -24,7 +24,7 @@
                      const ReplicationTransport &Out);
 void addLinkMetrics(net::Metrics &To, const net::LinkServer &Server);
 void addBundleMetrics(net::Metrics &To, const BundleKeeper &Keeper,
-                      const fleet::FleetMachine &Fleet);
+                      const fleet::FleetStateMachine &Fleet);
 
 } // namespace tulipweir::control
 
--- a/src/control/ControlProcess.cpp
+++ b/src/control/ControlProcess.cpp
@@ -126,7 +126,7 @@
   /// Set once Core_ stands; the machines apply entries before that.
   std::atomic<ControlCore *> Ready_{nullptr};
   datacentre::DataCentreMachine DataCentreMachine_;
-  fleet::FleetMachine FleetMachine_;
+  fleet::FleetStateMachine FleetMachine_;
   std::unique_ptr<Replica> DataCentreGroup_;
   std::unique_ptr<Replica> FleetGroup_;
   replication::PosixFileSystem Files_;
--- a/src/control/DataCentreLeadership.cpp
+++ b/src/control/DataCentreLeadership.cpp
@@ -217,7 +217,7 @@
   TimePoint &Known = CoveredUntil_[Job];
   if (Until <= Known)
     return true;
-  const fleet::AssignmentHeld Held{Job, Planning_.findAssignment(Job)};
+  const fleet::HeldAssignment Held{Job, Planning_.findAssignment(Job)};
   if (Parts_.Lease_.covers(Held, Until + CoverAhead)) {
     Known = Until + CoverAhead;
     return true;
--- a/src/control/DataCentreLeadership.h
+++ b/src/control/DataCentreLeadership.h
@@ -52,7 +52,7 @@
 struct LeadershipParts {
   replication::Replica &Group_;
   const datacentre::DataCentreMachine &Machine_;
-  const fleet::FleetMachine &Fleet_;
+  const fleet::FleetStateMachine &Fleet_;
   const BundleKeeper &Keeper_;
   const fleet::AssignmentLease &Lease_;
   FleetProposer &FleetProposals_;
--- a/src/control/FleetDuties.cpp
+++ b/src/control/FleetDuties.cpp
@@ -35,12 +35,12 @@
                 spdlog::info("leads the fleet in term {}", Term);
                 Leading_ = true;
                 Term_ = Term;
-                Assigner_.noteLeading(Parts_.Time_.now());
+                Assigner_.startLeading(Parts_.Time_.now());
               },
               [this] {
                 spdlog::info("leads the fleet no more");
                 Leading_ = false;
-                Assigner_.noteFollowing();
+                Assigner_.stopLeading();
               }}),
       Assigner_(Times) {}
 
@@ -52,7 +52,7 @@
   Parts_.Strand_.post([this, Stopped = std::move(Stopped)] {
     Stopped_ = true;
     Leading_ = false;
-    Assigner_.noteFollowing();
+    Assigner_.stopLeading();
     Stopped();
   });
 }
@@ -107,7 +107,7 @@
 void FleetDuties::refreshStanding() {
   JobsChanged_ = false;
   Standing_ = Parts_.Machine_.read([&](const fleet::FleetState &State) {
-    std::vector<fleet::AssignmentHeld> Result;
+    std::vector<fleet::HeldAssignment> Result;
     const auto Held = State.jobs().held().find(DataCentre_);
     if (Held == State.jobs().held().end())
       return Result;
@@ -159,8 +159,8 @@
     Parts_.Counters_.ReportsFailed_.add();
     return;
   }
-  Parts_.Lease_.noteRenewed(Reply.value(), SentAt);
-  for (const fleet::AssignmentHeld &Held : Reply.value().Renewed_)
+  Parts_.Lease_.recordRenewals(Reply.value(), SentAt);
+  for (const fleet::HeldAssignment &Held : Reply.value().Renewed_)
     OnRenewed_(Held.Job_);
 }
 
--- a/src/control/FleetDuties.h
+++ b/src/control/FleetDuties.h
@@ -12,7 +12,7 @@
 #include "control/PeerCaller.h"
 #include "replication/LeaderWatch.h"
 #include "tulipweir/fleet/AssignmentLease.h"
-#include "tulipweir/fleet/FleetMachine.h"
+#include "tulipweir/fleet/FleetStateMachine.h"
 #include "tulipweir/fleet/JobAssigner.h"
 #include "tulipweir/net/Metrics.h"
 
@@ -33,7 +33,7 @@
 /// What the duties work with; all outlive them.
 struct FleetParts {
   replication::Replica &Group_;
-  const fleet::FleetMachine &Machine_;
+  const fleet::FleetStateMachine &Machine_;
   fleet::AssignmentLease &Lease_;
   PeerCaller &Peers_;
   Executor &Strand_;
@@ -79,7 +79,7 @@
   const Renewed OnRenewed_;
   replication::LeaderWatch Watch_;
   fleet::JobAssigner Assigner_;
-  std::vector<fleet::AssignmentHeld> Standing_;
+  std::vector<fleet::HeldAssignment> Standing_;
   std::atomic<bool> JobsChanged_{true};
   std::atomic<bool> Leading_{false};
   std::uint64_t Term_ = 0;   ///< The one that Assigner_ leads under.
--- a/src/control/JobReconciler.cpp
+++ b/src/control/JobReconciler.cpp
@@ -83,7 +83,7 @@
 }
 
 JobReconciler::JobReconciler(DataCentreId DataCentre,
-                             const fleet::FleetMachine &Fleet,
+                             const fleet::FleetStateMachine &Fleet,
                              const datacentre::DataCentreMachine &Machine,
                              const fleet::AssignmentLease &Lease,
                              CommandProposer &Proposer,
@@ -187,10 +187,10 @@
   const FleetSide Fleet = readFleet(Job);
   const LocalSide Local = readLocal(Job);
   const TimePoint Now = Time_.now();
-  const fleet::AssignmentHeld Held{Job, Fleet.Assignment_};
+  const fleet::HeldAssignment Held{Job, Fleet.Assignment_};
   const bool Settled = Now - BeganAt_ >= SettleTime;
   const LeaseSide Lease{Lease_.covers(Held, Now + LongestTaskLease_),
-                        Settled && Lease_.isEnding(Held, Now)};
+                        Settled && Lease_.isExpiring(Held, Now)};
   const JobStep Next = chooseStep(Fleet, Local, Lease);
   (this->*Steps[static_cast<std::size_t>(Next)])(Job, Fleet, Local);
 }
--- a/src/control/JobReconciler.h
+++ b/src/control/JobReconciler.h
@@ -14,7 +14,7 @@
 #include "control/FleetProposer.h"
 #include "tulipweir/datacentre/DataCentreMachine.h"
 #include "tulipweir/fleet/AssignmentLease.h"
-#include "tulipweir/fleet/FleetMachine.h"
+#include "tulipweir/fleet/FleetStateMachine.h"
 
 #include <deque>
 #include <memory>
@@ -71,7 +71,7 @@
 /// Lives on the leader's strand, as long as one leadership.
 class JobReconciler {
 public:
-  JobReconciler(DataCentreId DataCentre, const fleet::FleetMachine &Fleet,
+  JobReconciler(DataCentreId DataCentre, const fleet::FleetStateMachine &Fleet,
                 const datacentre::DataCentreMachine &Machine,
                 const fleet::AssignmentLease &Lease, CommandProposer &Proposer,
                 FleetProposer &FleetProposals, Executor &Strand,
@@ -122,7 +122,7 @@
   void onFleetResult(const JobId &Job, const Outcome<std::string> &Bytes);
 
   const DataCentreId DataCentre_;
-  const fleet::FleetMachine &Fleet_;
+  const fleet::FleetStateMachine &Fleet_;
   const datacentre::DataCentreMachine &Machine_;
   const fleet::AssignmentLease &Lease_;
   CommandProposer &Proposer_;
--- a/src/control/JobRoutes.cpp
+++ b/src/control/JobRoutes.cpp
@@ -84,7 +84,8 @@
   return {200, renderJson(Extra)};
 }
 
-JobRoutes::JobRoutes(DataCentreId DataCentre, const fleet::FleetMachine &Fleet,
+JobRoutes::JobRoutes(DataCentreId DataCentre,
+                     const fleet::FleetStateMachine &Fleet,
                      const BundleKeeper &Keeper,
                      const datacentre::DataCentreMachine &Machine,
                      FleetProposer &Proposer, FleetSurvey &Survey,
--- a/src/control/JobRoutes.h
+++ b/src/control/JobRoutes.h
@@ -16,7 +16,7 @@
 /// Thread-safe.
 class JobRoutes final : public RouteSet {
 public:
-  JobRoutes(DataCentreId DataCentre, const fleet::FleetMachine &Fleet,
+  JobRoutes(DataCentreId DataCentre, const fleet::FleetStateMachine &Fleet,
             const BundleKeeper &Keeper,
             const datacentre::DataCentreMachine &Machine,
             FleetProposer &Proposer, FleetSurvey &Survey,
@@ -45,7 +45,7 @@
   static const RouteEntry<JobRoutes> Table[];
 
   const DataCentreId DataCentre_;
-  const fleet::FleetMachine &Fleet_;
+  const fleet::FleetStateMachine &Fleet_;
   const BundleKeeper &Keeper_;
   const datacentre::DataCentreMachine &Machine_;
   FleetProposer &Proposer_;
--- a/src/ctl/BundleCommands.cpp
+++ b/src/ctl/BundleCommands.cpp
@@ -31,7 +31,7 @@
                           const std::string &Text) {
   json Problems = json::array();
   for (const fleet::BundleProblem &Problem : Check.Problems_)
-    Problems.push_back({{"place", Problem.Place_}, {"text", Problem.Text_}});
+    Problems.push_back({{"place", Problem.Location_}, {"text", Problem.Text_}});
   return {{"ok", Check.Problems_.empty()},
           {"digest", fleet::computeDigest(Text).value()},
           {"problems", std::move(Problems)}};
@@ -41,7 +41,7 @@
 static bool reportCheck(CtlContext &Context, const std::string &File,
                         const fleet::BundleCheck &Check) {
   for (const fleet::BundleProblem &Problem : Check.Problems_)
-    Context.Err_ << File << ": " << Problem.Place_ << " " << Problem.Text_
+    Context.Err_ << File << ": " << Problem.Location_ << " " << Problem.Text_
                  << "\n";
   if (Check.Problems_.empty())
     return true;
--- a/src/entry/Configuration.cpp
+++ b/src/entry/Configuration.cpp
@@ -12,7 +12,7 @@
   fleet::BundleCheck Check = fleet::checkBundle(Signed.Text_);
   if (Check.Bundle_.empty()) {
     const std::string Place =
-        Check.Problems_.empty() ? "" : Check.Problems_.front().Place_;
+        Check.Problems_.empty() ? "" : Check.Problems_.front().Location_;
     return fail(ErrorCode::InvalidArgument, "the bundle is wrong at " + Place);
   }
   Configuration Result;
--- a/src/fleet/HeldBundle.cpp
+++ b/src/fleet/ActiveBundle.cpp
@@ -1,6 +1,6 @@
-//===- HeldBundle.cpp - The bundle that a process acts by -----------------===//
+//===- ActiveBundle.cpp - Bundle that a process uses ----------------------===//
 
-#include "tulipweir/fleet/HeldBundle.h"
+#include "tulipweir/fleet/ActiveBundle.h"
 
 #include <utility>
 
@@ -14,7 +14,7 @@
                     Offered.Digest_.value());
   BundleCheck Check = checkBundle(Offered.Text_);
   if (Check.Bundle_.empty())
-    return fail(ErrorCode::InvalidArgument, Check.Problems_.front().Place_ +
+    return fail(ErrorCode::InvalidArgument, Check.Problems_.front().Location_ +
                                                 " " +
                                                 Check.Problems_.front().Text_);
   if (Check.Bundle_.front().Version_ != Offered.Version_)
@@ -22,7 +22,7 @@
   return std::move(Check.Bundle_.front());
 }
 
-Outcome<bool> HeldBundle::adopt(const wire::SignedBundle &Offered) {
+Outcome<bool> ActiveBundle::adopt(const wire::SignedBundle &Offered) {
   {
     const std::lock_guard Lock(Mutex_);
     if (Offered.Version_ < Version_)
@@ -47,17 +47,17 @@
   return true;
 }
 
-BundleVersion HeldBundle::getVersion() const {
+BundleVersion ActiveBundle::getVersion() const {
   const std::lock_guard Lock(Mutex_);
   return Version_;
 }
 
-Digest HeldBundle::getDigest() const {
+Digest ActiveBundle::getDigest() const {
   const std::lock_guard Lock(Mutex_);
   return Digest_;
 }
 
-std::shared_ptr<const Bundle> HeldBundle::getBundle() const {
+std::shared_ptr<const Bundle> ActiveBundle::getBundle() const {
   const std::lock_guard Lock(Mutex_);
   return Bundle_;
 }
--- a/src/fleet/AssignmentLease.cpp
+++ b/src/fleet/AssignmentLease.cpp
@@ -8,10 +8,10 @@
 using namespace tulipweir;
 using namespace tulipweir::fleet;
 
-void AssignmentLease::noteRenewed(const AssignmentReply &Reply,
-                                  TimePoint SentAt) {
+void AssignmentLease::recordRenewals(const AssignmentReply &Reply,
+                                     TimePoint SentAt) {
   const std::lock_guard Lock(Mutex_);
-  for (const AssignmentHeld &Held : Reply.Renewed_) {
+  for (const HeldAssignment &Held : Reply.Renewed_) {
     Renewal &Known = Renewals_[Held.Job_];
     if (Held.Assignment_ < Known.Assignment_)
       continue;
@@ -21,52 +21,52 @@
   }
 }
 
-void AssignmentLease::retain(const std::vector<AssignmentHeld> &Standing) {
+void AssignmentLease::retain(const std::vector<HeldAssignment> &Standing) {
   std::map<JobId, Renewal> Kept;
   const std::lock_guard Lock(Mutex_);
-  for (const AssignmentHeld &Held : Standing)
+  for (const HeldAssignment &Held : Standing)
     if (const Renewal *Known = find(Held))
       Kept.emplace(Held.Job_, *Known);
   Renewals_ = std::move(Kept);
 }
 
 const AssignmentLease::Renewal *
-AssignmentLease::find(const AssignmentHeld &Held) const {
+AssignmentLease::find(const HeldAssignment &Held) const {
   const auto Found = Renewals_.find(Held.Job_);
   if (Found == Renewals_.end() || Found->second.Assignment_ != Held.Assignment_)
     return nullptr;
   return &Found->second;
 }
 
-bool AssignmentLease::covers(const AssignmentHeld &Held,
+bool AssignmentLease::covers(const HeldAssignment &Held,
                              TimePoint Until) const {
   const std::lock_guard Lock(Mutex_);
   const Renewal *Known = find(Held);
   return Known && Until < Known->SentAt_ + Times_.Ttl_;
 }
 
-bool AssignmentLease::isEnding(const AssignmentHeld &Held,
-                               TimePoint Now) const {
-  return !covers(Held, Now + Times_.StopBefore_);
+bool AssignmentLease::isExpiring(const HeldAssignment &Held,
+                                 TimePoint Now) const {
+  return !covers(Held, Now + Times_.StopLeadTime_);
 }
 
-std::vector<AssignmentHeld>
-AssignmentLease::listDue(const std::vector<AssignmentHeld> &Standing,
+std::vector<HeldAssignment>
+AssignmentLease::listDue(const std::vector<HeldAssignment> &Standing,
                          TimePoint Now, std::size_t Limit) const {
-  std::vector<std::pair<TimePoint, const AssignmentHeld *>> Due;
+  std::vector<std::pair<TimePoint, const HeldAssignment *>> Due;
   {
     const std::lock_guard Lock(Mutex_);
-    for (const AssignmentHeld &Held : Standing) {
+    for (const HeldAssignment &Held : Standing) {
       const Renewal *Known = find(Held);
       const TimePoint SentAt = Known ? Known->SentAt_ : TimePoint::min();
-      if (!Known || Now >= SentAt + Times_.RenewEvery_)
+      if (!Known || Now >= SentAt + Times_.RenewInterval_)
         Due.emplace_back(SentAt, &Held);
     }
   }
   const std::size_t Count = std::min(Limit, Due.size());
   std::partial_sort(Due.begin(), Due.begin() + static_cast<long>(Count),
                     Due.end());
-  std::vector<AssignmentHeld> Listed;
+  std::vector<HeldAssignment> Listed;
   for (std::size_t I = 0; I < Count; ++I)
     Listed.push_back(*Due[I].second);
   return Listed;
--- a/src/fleet/AssignmentTimes.cpp
+++ b/src/fleet/AssignmentTimes.cpp
@@ -16,10 +16,10 @@
   AssignmentTimes Times;
   Times.Ttl_ = Ttl;
   Times.Margin_ = Ttl / MarginParts;
-  Times.StopBefore_ = Ttl / StopParts;
-  Times.RenewEvery_ = Ttl / RenewParts;
-  Times.ReachableWithin_ = std::min(Times.ReachableWithin_, Ttl);
-  Times.Settle_ = std::min(Times.Settle_, Ttl / RenewParts);
-  Times.ProposeAgain_ = std::min(Times.ProposeAgain_, Ttl / RenewParts);
+  Times.StopLeadTime_ = Ttl / StopParts;
+  Times.RenewInterval_ = Ttl / RenewParts;
+  Times.ReachableTimeout_ = std::min(Times.ReachableTimeout_, Ttl);
+  Times.NewLeaderDelay_ = std::min(Times.NewLeaderDelay_, Ttl / RenewParts);
+  Times.RetryInterval_ = std::min(Times.RetryInterval_, Ttl / RenewParts);
   return Times;
 }
--- a/src/fleet/BundleCheck.cpp
+++ b/src/fleet/BundleCheck.cpp
@@ -13,7 +13,7 @@
 using namespace tulipweir::fleet;
 using nlohmann::json;
 
-using Problems = std::vector<BundleProblem>;
+using ProblemList = std::vector<BundleProblem>;
 
 static constexpr std::size_t MaxNoteBytes = 1000;
 static constexpr std::size_t MaxOperators = 64;
@@ -21,7 +21,7 @@
 static constexpr std::size_t MaxCallers = 10'000;
 static constexpr std::size_t MaxTeams = 2000;
 static constexpr std::int64_t MaxVersion = 1'000'000'000'000;
-static constexpr std::size_t DigestLetters = 64;
+static constexpr std::size_t DigestHexDigits = 64;
 static constexpr std::size_t MaxProblems = 100;
 
 static constexpr std::int64_t SecondMs = 1000;
@@ -33,18 +33,19 @@
 
 /// Calls ReadOne for each entry with the entry's place.
 template <class Entry>
-static void readList(FieldReader &Reader, const std::string &Name, Need Needed,
-                     std::size_t MaxEntries, std::vector<Entry> &Target,
-                     Problems &Found, Entry (*ReadOne)(FieldReader &)) {
-  const json *List = Reader.findArray(Name, Needed, MaxEntries);
+static void readList(FieldReader &Reader, const std::string &Name,
+                     Presence Expected, std::size_t MaxEntries,
+                     std::vector<Entry> &Target, ProblemList &Found,
+                     Entry (*ReadOne)(FieldReader &)) {
+  const json *List = Reader.findArray(Name, Expected, MaxEntries);
   if (!List)
     return;
   for (std::size_t Index = 0; Index < List->size(); ++Index) {
     const auto Place =
-        appendPointer(Reader.placeOf(Name), std::to_string(Index));
+        appendPointer(Reader.makePointer(Name), std::to_string(Index));
     FieldReader EntryReader((*List)[Index], Place, Found);
     Target.push_back(ReadOne(EntryReader));
-    EntryReader.refuseUnknown();
+    EntryReader.reportUnknownFields();
   }
 }
 
@@ -52,8 +53,8 @@
 /// were reported already.
 template <class Entry, class KeyOf>
 static void
-refuseRepeats(const std::string &Place, const std::vector<Entry> &Entries,
-              const std::string &What, KeyOf GetKey, Problems &Found) {
+reportDuplicates(const std::string &Place, const std::vector<Entry> &Entries,
+                 const std::string &What, KeyOf GetKey, ProblemList &Found) {
   std::set<std::string> Seen;
   for (std::size_t Index = 0; Index < Entries.size(); ++Index) {
     const std::string &Key = GetKey(Entries[Index]);
@@ -79,7 +80,8 @@
   std::string Name;
   if (Reader.readName("operator", Name))
     Key.Operator_ = OperatorId(Name);
-  Reader.readText("publicKey", Key.PublicKey_, Need::Required, DigestLetters);
+  Reader.readText("publicKey", Key.PublicKey_, Presence::Required,
+                  DigestHexDigits);
   if (!Key.PublicKey_.empty() && !isPublicKey(Key.PublicKey_))
     Reader.addProblem("publicKey", "is no Ed25519 public key; 64 lower-case "
                                    "hexadecimal digits as printed by "
@@ -97,7 +99,7 @@
   Reader.readMillis("targetP99Ms", Service.TargetP99_, {1, HourMs});
   Reader.readInteger("queueLimit", Service.QueueLimit_, {0, 100'000});
   Reader.readInteger("maxBodyBytes", Service.MaxBodyBytes_, {0, 64LL << 20});
-  Reader.readSwitch("hedgingAllowed", Service.HedgingAllowed_);
+  Reader.readBool("hedgingAllowed", Service.HedgingAllowed_);
   return Service;
 }
 
@@ -111,14 +113,14 @@
   static constexpr double MaxRate = 10'000'000;
   CallerLimit Limit;
   std::string Name;
-  Reader.readText("caller", Name, Need::Required, 128);
+  Reader.readText("caller", Name, Presence::Required, 128);
   Limit.Caller_ = CallerId(Name);
   if (Name.empty())
     Reader.addProblem("caller", "is empty; a caller's name is allowed, or "
                                 "\"*\" for every caller not named");
   Reader.readNumber("requestsPerSecond", Limit.RequestsPerSecond_, {0, MaxRate},
-                    Need::Required);
-  Reader.readNumber("burst", Limit.Burst_, {0, MaxRate}, Need::Required);
+                    Presence::Required);
+  Reader.readNumber("burst", Limit.Burst_, {0, MaxRate}, Presence::Required);
   return Limit;
 }
 
@@ -142,7 +144,7 @@
                                     "least one above 0 is needed");
 }
 
-static decide::Policy readPolicy(FieldReader &Reader, Problems &Found) {
+static decide::Policy readPolicy(FieldReader &Reader, ProblemList &Found) {
   decide::Policy Policy;
   readWeights(Reader, Policy);
   Reader.readInteger("urgentPriority", Policy.UrgentPriority_, {1, 1'000'000});
@@ -154,10 +156,10 @@
   Reader.readInteger("quarantineJobs", Policy.QuarantineJobs_, {2, 20});
   Reader.readMillis("quarantineMs", Policy.QuarantineTime_, {SecondMs, DayMs});
   Reader.readMillis("ageingStepMs", Policy.AgeingStep_, {SecondMs, HourMs});
-  readList(Reader, "quotas", Need::Optional, MaxTeams, Policy.Quotas_, Found,
-           readQuota);
-  refuseRepeats(
-      Reader.placeOf("quotas"), Policy.Quotas_, "team",
+  readList(Reader, "quotas", Presence::Optional, MaxTeams, Policy.Quotas_,
+           Found, readQuota);
+  reportDuplicates(
+      Reader.makePointer("quotas"), Policy.Quotas_, "team",
       [](const decide::TeamQuota &Quota) -> const std::string & {
         return Quota.Team_.value();
       },
@@ -166,7 +168,7 @@
 }
 
 static bool isDigest(std::string_view Text) {
-  return Text.size() == DigestLetters &&
+  return Text.size() == DigestHexDigits &&
          Text.find_first_not_of("0123456789abcdef") == std::string_view::npos;
 }
 
@@ -174,9 +176,11 @@
   std::int64_t Version = 0;
   std::int64_t Parent = 0;
   std::string ParentDigest;
-  Reader.readInteger("version", Version, {1, MaxVersion}, Need::Required);
-  Reader.readInteger("parentVersion", Parent, {0, MaxVersion}, Need::Required);
-  Reader.readText("parentDigest", ParentDigest, Need::Required, DigestLetters);
+  Reader.readInteger("version", Version, {1, MaxVersion}, Presence::Required);
+  Reader.readInteger("parentVersion", Parent, {0, MaxVersion},
+                     Presence::Required);
+  Reader.readText("parentDigest", ParentDigest, Presence::Required,
+                  DigestHexDigits);
   if (Version > 0 && Version <= Parent)
     Reader.addProblem("version",
                       "is not above parentVersion; versions only rise");
@@ -193,18 +197,18 @@
 }
 
 static void readOperators(FieldReader &Reader, Bundle &Target,
-                          Problems &Found) {
-  readList(Reader, "operators", Need::Required, MaxOperators, Target.Operators_,
-           Found, readOperator);
-  const auto Place = Reader.placeOf("operators");
-  refuseRepeats(
+                          ProblemList &Found) {
+  readList(Reader, "operators", Presence::Required, MaxOperators,
+           Target.Operators_, Found, readOperator);
+  const auto Place = Reader.makePointer("operators");
+  reportDuplicates(
       Place, Target.Operators_, "operator",
       [](const OperatorKey &Key) -> const std::string & {
         return Key.Operator_.value();
       },
       Found);
   // One person under two names would count twice.
-  refuseRepeats(
+  reportDuplicates(
       Place, Target.Operators_, "public key",
       [](const OperatorKey &Key) -> const std::string & {
         return Key.PublicKey_;
@@ -220,26 +224,28 @@
                           " operators; no bundle could follow this one");
 }
 
-static void readServices(FieldReader &Reader, Bundle &Target, Problems &Found) {
-  const json *List = Reader.findArray("services", Need::Required, MaxServices);
+static void readServices(FieldReader &Reader, Bundle &Target,
+                         ProblemList &Found) {
+  const json *List =
+      Reader.findArray("services", Presence::Required, MaxServices);
   if (!List)
     return;
   for (std::size_t Index = 0; Index < List->size(); ++Index) {
     const auto Place =
-        appendPointer(Reader.placeOf("services"), std::to_string(Index));
+        appendPointer(Reader.makePointer("services"), std::to_string(Index));
     FieldReader Entry((*List)[Index], Place, Found);
     ServiceConfig Service = readService(Entry);
     checkDeadlines(Entry, Service);
     if (const json *Share = Entry.findObject("share")) {
-      FieldReader ShareReader(*Share, Entry.placeOf("share"), Found);
+      FieldReader ShareReader(*Share, Entry.makePointer("share"), Found);
       Service.Share_ = readResources(ShareReader);
-      ShareReader.refuseUnknown();
+      ShareReader.reportUnknownFields();
     }
-    Entry.refuseUnknown();
+    Entry.reportUnknownFields();
     Target.Services_.push_back(std::move(Service));
   }
-  refuseRepeats(
-      Reader.placeOf("services"), Target.Services_, "service",
+  reportDuplicates(
+      Reader.makePointer("services"), Target.Services_, "service",
       [](const ServiceConfig &Service) -> const std::string & {
         return Service.Service_.value();
       },
@@ -247,21 +253,21 @@
 }
 
 static void readCallerLimits(FieldReader &Reader, Bundle &Target,
-                             Problems &Found) {
-  readList(Reader, "callerLimits", Need::Optional, MaxCallers,
+                             ProblemList &Found) {
+  readList(Reader, "callerLimits", Presence::Optional, MaxCallers,
            Target.CallerLimits_, Found, readCallerLimit);
-  refuseRepeats(
-      Reader.placeOf("callerLimits"), Target.CallerLimits_, "caller",
+  reportDuplicates(
+      Reader.makePointer("callerLimits"), Target.CallerLimits_, "caller",
       [](const CallerLimit &Limit) -> const std::string & {
         return Limit.Caller_.value();
       },
       Found);
 }
 
-static Bundle readBundle(FieldReader &Reader, Problems &Found) {
+static Bundle readBundle(FieldReader &Reader, ProblemList &Found) {
   Bundle Target;
   readVersions(Reader, Target);
-  Reader.readText("note", Target.Note_, Need::Required, MaxNoteBytes);
+  Reader.readText("note", Target.Note_, Presence::Required, MaxNoteBytes);
   readOperators(Reader, Target, Found);
   readServices(Reader, Target, Found);
   readCallerLimits(Reader, Target, Found);
@@ -269,17 +275,17 @@
   Reader.readMillis("requestRetentionMs", Target.RequestRetention_,
                     {60 * SecondMs, 30 * DayMs});
   if (const json *Policy = Reader.findObject("policy")) {
-    FieldReader PolicyReader(*Policy, Reader.placeOf("policy"), Found);
+    FieldReader PolicyReader(*Policy, Reader.makePointer("policy"), Found);
     Target.Policy_ = readPolicy(PolicyReader, Found);
-    PolicyReader.refuseUnknown();
+    PolicyReader.reportUnknownFields();
   }
   for (const ServiceConfig &Service : Target.Services_)
     Target.Policy_.Targets_.push_back({Service.Service_, Service.TargetP99_});
-  Reader.refuseUnknown();
+  Reader.reportUnknownFields();
   return Target;
 }
 
-static void limitProblems(Problems &Found) {
+static void truncateProblems(ProblemList &Found) {
   if (Found.size() <= MaxProblems)
     return;
   const std::size_t Left = Found.size() - MaxProblems;
@@ -300,7 +306,7 @@
     return Check;
   FieldReader Reader(*Value, "", Check.Problems_);
   Bundle Checked = readBundle(Reader, Check.Problems_);
-  limitProblems(Check.Problems_);
+  truncateProblems(Check.Problems_);
   if (Check.Problems_.empty())
     Check.Bundle_.push_back(std::move(Checked));
   return Check;
--- a/src/fleet/BundleHistory.cpp
+++ b/src/fleet/BundleHistory.cpp
@@ -11,7 +11,7 @@
 
 static constexpr int HexBase = 16;
 
-static ArchivedBundle makeArchived(const AcceptedBundle &Full) {
+static ArchivedBundle archiveRecord(const AcceptedBundle &Full) {
   ArchivedBundle Short;
   Short.Version_ = Full.Version_.value();
   Short.WallMs_ = Full.WallMs_;
@@ -24,7 +24,7 @@
   return Short;
 }
 
-static AcceptedBundle makeAccepted(const ArchivedBundle &Short) {
+static AcceptedBundle expandRecord(const ArchivedBundle &Short) {
   static constexpr char Digits[] = "0123456789abcdef";
   AcceptedBundle Full;
   Full.Version_ = BundleVersion(Short.Version_);
@@ -42,11 +42,11 @@
   assert((!latest() || latest()->Version_ < Accepted.Version_) &&
          "bundle versions only rise");
   Recent_.push_back(std::move(Accepted));
-  if (Recent_.size() > TextsKept)
-    Recent_[Recent_.size() - 1 - TextsKept].Text_.clear();
-  if (Recent_.size() <= DetailsKept)
+  if (Recent_.size() > MaxTexts)
+    Recent_[Recent_.size() - 1 - MaxTexts].Text_.clear();
+  if (Recent_.size() <= MaxDetailedRecords)
     return;
-  Archive_.push_back(makeArchived(Recent_.front()));
+  Archive_.push_back(archiveRecord(Recent_.front()));
   Recent_.pop_front();
 }
 
@@ -63,7 +63,7 @@
   const auto Old = std::ranges::lower_bound(Archive_, Version.value(), {},
                                             &ArchivedBundle::Version_);
   if (Old != Archive_.end() && Old->Version_ == Version.value())
-    return makeAccepted(*Old);
+    return expandRecord(*Old);
   return std::nullopt;
 }
 
@@ -81,6 +81,6 @@
     Listed.push_back(*One);
   for (auto One = Archive_.rbegin();
        One != Archive_.rend() && Listed.size() < Limit; ++One)
-    Listed.push_back(makeAccepted(*One));
+    Listed.push_back(expandRecord(*One));
   return Listed;
 }
--- a/src/fleet/BundleBook.cpp
+++ b/src/fleet/BundleRegistry.cpp
@@ -1,6 +1,6 @@
-//===- BundleBook.cpp - Proposals, sign-offs and the one in force ---------===//
+//===- BundleRegistry.cpp - Bundle proposals and sign-offs ----------------===//
 
-#include "tulipweir/fleet/BundleBook.h"
+#include "tulipweir/fleet/BundleRegistry.h"
 #include "Results.h"
 #include "tulipweir/fleet/Signing.h"
 
@@ -10,24 +10,25 @@
 using namespace tulipweir;
 using namespace tulipweir::fleet;
 
-static constexpr std::size_t ProblemsShown = 5;
+static constexpr std::size_t MaxProblemsShown = 5;
 
-static CommandResult about(CommandResult Result, BundleVersion Version,
-                           const Digest &Value) {
+static CommandResult withBundle(CommandResult Result, BundleVersion Version,
+                                const Digest &Value) {
   Result.Version_ = Version;
   Result.Digest_ = Value;
   return Result;
 }
 
-static std::string showVersion(BundleVersion Version) {
+static std::string formatVersion(BundleVersion Version) {
   return "version " + std::to_string(Version.value());
 }
 
-static CommandResult refuseText(const std::vector<BundleProblem> &Problems) {
+static CommandResult
+refuseInvalidText(const std::vector<BundleProblem> &Problems) {
   std::string Message = "the bundle has " + std::to_string(Problems.size()) +
                         " problem(s); 'tulipweirctl bundle check' shows all:";
-  for (std::size_t I = 0; I < Problems.size() && I < ProblemsShown; ++I)
-    Message += "\n" + Problems[I].Place_ + " " + Problems[I].Text_;
+  for (std::size_t I = 0; I < Problems.size() && I < MaxProblemsShown; ++I)
+    Message += "\n" + Problems[I].Location_ + " " + Problems[I].Text_;
   return refuse(ErrorCode::InvalidArgument, std::move(Message));
 }
 
@@ -35,13 +36,13 @@
                                          BundleVersion InForce) {
   std::string Message = "already accepted";
   if (Accepted.Version_ < InForce)
-    Message += "; " + showVersion(InForce) + " followed it and is in force";
+    Message += "; " + formatVersion(InForce) + " followed it and is in force";
   CommandResult Result = refuse(ErrorCode::AlreadyExists, std::move(Message));
   Result.Accepted_ = true;
-  return about(std::move(Result), Accepted.Version_, Accepted.Digest_);
+  return withBundle(std::move(Result), Accepted.Version_, Accepted.Digest_);
 }
 
-static std::string showSigners(const std::vector<OperatorId> &Signers) {
+static std::string formatSigners(const std::vector<OperatorId> &Signers) {
   std::string Text;
   for (const OperatorId &Signer : Signers)
     Text += (Text.empty() ? "" : ", ") + Signer.value();
@@ -56,8 +57,8 @@
 }
 
 /// An empty message means that the sign-off holds.
-static std::string findFault(const Bundle &Signers, const Digest &Value,
-                             const SignOff &Added) {
+static std::string findSignOffError(const Bundle &Signers, const Digest &Value,
+                                    const SignOff &Added) {
   const OperatorKey *Key = findKey(Signers, Added.Operator_);
   if (!Key)
     return "'" + Added.Operator_.value() +
@@ -75,17 +76,17 @@
          Proposal.SignOffs_.end();
 }
 
-static Bundle readChecked(std::string_view Text) {
+static Bundle parseAccepted(std::string_view Text) {
   BundleCheck Check = checkBundle(Text);
   assert(Check.Bundle_.size() == 1 && "a kept text was checked before");
   return std::move(Check.Bundle_.front());
 }
 
-const Bundle &BundleBook::findSigners(const Bundle &Proposed) const {
+const Bundle &BundleRegistry::getDecidingBundle(const Bundle &Proposed) const {
   return History_.latest() ? InForce_ : Proposed;
 }
 
-CommandResult BundleBook::makeLost(BundleVersion Version) const {
+CommandResult BundleRegistry::makeConflict(BundleVersion Version) const {
   const AcceptedBundle *Latest = History_.latest();
   if (!Latest)
     return refuse(ErrorCode::Conflict,
@@ -93,21 +94,21 @@
                   "0 and parentDigest \"\"");
   const auto Same = History_.findVersion(Version);
   const AcceptedBundle &Winner = Same ? *Same : *Latest;
-  std::string Message = showVersion(Winner.Version_) + " was accepted with " +
+  std::string Message = formatVersion(Winner.Version_) + " was accepted with " +
                         "digest " + Winner.Digest_.value();
   if (!Winner.SignedBy_.empty())
-    Message += ", signed by " + showSigners(Winner.SignedBy_);
-  Message += "; in force is " + showVersion(Latest->Version_) + ", digest " +
+    Message += ", signed by " + formatSigners(Winner.SignedBy_);
+  Message += "; in force is " + formatVersion(Latest->Version_) + ", digest " +
              Latest->Digest_.value() +
              ": take that as the parent, raise the version, propose again";
-  return about(refuse(ErrorCode::Conflict, std::move(Message)), Winner.Version_,
-               Winner.Digest_);
+  return withBundle(refuse(ErrorCode::Conflict, std::move(Message)),
+                    Winner.Version_, Winner.Digest_);
 }
 
-CommandResult BundleBook::propose(const ProposeBundle &Value) {
+CommandResult BundleRegistry::propose(const ProposeBundle &Value) {
   BundleCheck Check = checkBundle(Value.Text_);
   if (Check.Bundle_.empty())
-    return refuseText(Check.Problems_);
+    return refuseInvalidText(Check.Problems_);
   Bundle &Proposed = Check.Bundle_.front();
   const Digest Named = computeDigest(Value.Text_);
   const auto Same = History_.findVersion(Proposed.Version_);
@@ -117,14 +118,15 @@
   const Digest InForceDigest = Parent ? Parent->Digest_ : Digest();
   if (Proposed.ParentVersion_ != InForce_.Version_ ||
       Proposed.ParentDigest_ != InForceDigest)
-    return makeLost(Proposed.Version_);
+    return makeConflict(Proposed.Version_);
 
-  const auto Fault = findFault(findSigners(Proposed), Named, Value.SignOff_);
+  const auto Fault =
+      findSignOffError(getDecidingBundle(Proposed), Named, Value.SignOff_);
   if (!Fault.empty())
-    return about(refuse(ErrorCode::PermissionDenied, Fault), Proposed.Version_,
-                 Named);
+    return withBundle(refuse(ErrorCode::PermissionDenied, Fault),
+                      Proposed.Version_, Named);
   if (!Proposals_.contains(Named)) {
-    makeRoomFor(Value.SignOff_.Operator_);
+    evictOldestProposal(Value.SignOff_.Operator_);
     ProposedBundle Proposal;
     Proposal.Version_ = Proposed.Version_;
     Proposal.Text_ = Value.Text_;
@@ -134,55 +136,57 @@
   return addSignOff(Named, std::move(Proposed), Value.SignOff_, Value.WallMs_);
 }
 
-CommandResult BundleBook::sign(const SignBundle &Value) {
+CommandResult BundleRegistry::sign(const SignBundle &Value) {
   if (const AcceptedBundle *Accepted = History_.findDigest(Value.Digest_))
     return makeAlreadyAccepted(*Accepted, InForce_.Version_);
   const auto Lost =
       std::ranges::find(Superseded_, Value.Digest_, &SupersededBundle::Digest_);
   if (Lost != Superseded_.end())
-    return makeLost(Lost->Version_);
+    return makeConflict(Lost->Version_);
   const auto Found = Proposals_.find(Value.Digest_);
   if (Found == Proposals_.end())
     return refuse(ErrorCode::NotFound,
                   "no proposal has digest " + Value.Digest_.value() +
                       "; propose its file with 'tulipweirctl bundle propose'");
   const ProposedBundle &Proposal = Found->second;
-  Bundle Proposed = readChecked(Proposal.Text_);
-  const auto Fault =
-      findFault(findSigners(Proposed), Value.Digest_, Value.SignOff_);
+  Bundle Proposed = parseAccepted(Proposal.Text_);
+  const auto Fault = findSignOffError(getDecidingBundle(Proposed),
+                                      Value.Digest_, Value.SignOff_);
   if (!Fault.empty())
-    return about(refuse(ErrorCode::PermissionDenied, Fault), Proposal.Version_,
-                 Value.Digest_);
+    return withBundle(refuse(ErrorCode::PermissionDenied, Fault),
+                      Proposal.Version_, Value.Digest_);
   return addSignOff(Value.Digest_, std::move(Proposed), Value.SignOff_,
                     Value.WallMs_);
 }
 
-CommandResult BundleBook::addSignOff(const Digest &Value, Bundle Proposed,
-                                     const SignOff &Added,
-                                     std::uint64_t WallMs) {
+CommandResult BundleRegistry::addSignOff(const Digest &Value, Bundle Proposed,
+                                         const SignOff &Added,
+                                         std::uint64_t WallMs) {
   ProposedBundle &Proposal = Proposals_.at(Value);
   const BundleVersion Version = Proposal.Version_;
   const bool Repeated = hasSigned(Proposal, Added.Operator_);
   if (!Repeated)
     Proposal.SignOffs_.push_back(Added);
-  const std::size_t Needed = findSigners(Proposed).SignOffsNeeded_;
+  const std::size_t Needed = getDecidingBundle(Proposed).SignOffsNeeded_;
   if (Proposal.SignOffs_.size() >= Needed)
     return accept(Value, std::move(Proposed), WallMs);
   const auto Count = std::to_string(Proposal.SignOffs_.size()) + " of " +
                      std::to_string(Needed) + " sign-offs";
   if (Repeated)
-    return about(refuse(ErrorCode::AlreadyExists,
-                        "'" + Added.Operator_.value() +
-                            "' has signed this one already; it has " + Count),
-                 Version, Value);
-  return about(confirm("kept with " + Count +
-                       "; the others sign with 'tulipweirctl bundle sign " +
-                       Value.value() + "'"),
-               Version, Value);
+    return withBundle(refuse(ErrorCode::AlreadyExists,
+                             "'" + Added.Operator_.value() +
+                                 "' has signed this one already; it has " +
+                                 Count),
+                      Version, Value);
+  return withBundle(
+      confirm("kept with " + Count +
+              "; the others sign with 'tulipweirctl bundle sign " +
+              Value.value() + "'"),
+      Version, Value);
 }
 
-CommandResult BundleBook::accept(const Digest &Value, Bundle Accepted,
-                                 std::uint64_t WallMs) {
+CommandResult BundleRegistry::accept(const Digest &Value, Bundle Accepted,
+                                     std::uint64_t WallMs) {
   auto Node = Proposals_.extract(Value);
   AcceptedBundle Record;
   Record.Version_ = Accepted.Version_;
@@ -200,17 +204,17 @@
     supersede(Proposals_.begin()->first);
   CommandResult Result = confirm("accepted; rolling out to every process");
   Result.Accepted_ = true;
-  return about(std::move(Result), InForce_.Version_, Value);
+  return withBundle(std::move(Result), InForce_.Version_, Value);
 }
 
-void BundleBook::supersede(const Digest &Value) {
+void BundleRegistry::supersede(const Digest &Value) {
   auto Node = Proposals_.extract(Value);
   Superseded_.push_back({Node.key(), Node.mapped().Version_});
-  if (Superseded_.size() > SupersededKept)
+  if (Superseded_.size() > MaxSuperseded)
     Superseded_.pop_front();
 }
 
-void BundleBook::makeRoomFor(const OperatorId &Proposer) {
+void BundleRegistry::evictOldestProposal(const OperatorId &Proposer) {
   std::size_t Count = 0;
   auto Oldest = Proposals_.end();
   for (auto One = Proposals_.begin(); One != Proposals_.end(); ++One) {
@@ -221,7 +225,7 @@
         One->second.Sequence_ < Oldest->second.Sequence_)
       Oldest = One;
   }
-  if (Count >= ProposalsPerOperator)
+  if (Count >= MaxProposalsPerOperator)
     Proposals_.erase(Oldest);
 }
 
@@ -233,7 +237,7 @@
 }
 
 /// Versions rise, from the archive on, and digests are digests.
-static bool isSound(const BundleHistory &History) {
+static bool isConsistent(const BundleHistory &History) {
   std::uint64_t Last = 0;
   for (const ArchivedBundle &One : History.archive()) {
     if (One.Version_ <= Last)
@@ -248,7 +252,7 @@
   return History.latest() || History.archive().empty();
 }
 
-static bool isSound(const Digest &Value, const ProposedBundle &Proposal) {
+static bool isConsistent(const Digest &Value, const ProposedBundle &Proposal) {
   if (Proposal.SignOffs_.empty() || computeDigest(Proposal.Text_) != Value)
     return false;
   const BundleCheck Check = checkBundle(Proposal.Text_);
@@ -256,15 +260,15 @@
          Check.Bundle_.front().Version_ == Proposal.Version_;
 }
 
-Outcome<BundleBook> BundleBook::restore(
+Outcome<BundleRegistry> BundleRegistry::restore(
     BundleHistory History, std::map<Digest, ProposedBundle> Proposals,
     std::deque<SupersededBundle> Superseded, std::uint64_t NextSequence) {
-  BundleBook Book;
+  BundleRegistry Book;
   Book.History_ = std::move(History);
   Book.Proposals_ = std::move(Proposals);
   Book.Superseded_ = std::move(Superseded);
   Book.NextSequence_ = NextSequence;
-  if (!isSound(Book.History_))
+  if (!isConsistent(Book.History_))
     return fail(ErrorCode::Malformed,
                 "the snapshot's history of bundles is not in order");
   if (const AcceptedBundle *Latest = Book.History_.latest()) {
@@ -277,7 +281,7 @@
     Book.InForce_ = std::move(Check.Bundle_.front());
   }
   for (const auto &[Key, Proposal] : Book.Proposals_)
-    if (!isSound(Key, Proposal))
+    if (!isConsistent(Key, Proposal))
       return fail(ErrorCode::Malformed,
                   "the snapshot's proposal " + Key.value() + " is not whole");
   return Book;
--- a/src/fleet/FieldReader.cpp
+++ b/src/fleet/FieldReader.cpp
@@ -14,24 +14,24 @@
 using nlohmann::json;
 
 static constexpr std::size_t MaxNameBytes = 64;
-static constexpr std::size_t MaxShownBytes = 40;
+static constexpr std::size_t MaxValueBytes = 40;
 
 /// The value as found, shortened so that one problem stays one line.
-static std::string showValue(const json &Value) {
+static std::string formatValue(const json &Value) {
   std::string Shown =
       Value.dump(-1, ' ', false, json::error_handler_t::replace);
-  if (Shown.size() > MaxShownBytes)
-    Shown = Shown.substr(0, MaxShownBytes) + "...";
+  if (Shown.size() > MaxValueBytes)
+    Shown = Shown.substr(0, MaxValueBytes) + "...";
   return Shown;
 }
 
-template <class Number> static std::string showRange(Range<Number> Allowed) {
+template <class Number> static std::string formatRange(Range<Number> Allowed) {
   std::ostringstream Out;
-  Out << Allowed.Least_ << " to " << Allowed.Most_;
+  Out << Allowed.Min_ << " to " << Allowed.Max_;
   return Out.str();
 }
 
-static bool isNameLetter(char Letter) {
+static bool isAlphanumeric(char Letter) {
   const bool IsDigit = Letter >= '0' && Letter <= '9';
   const bool IsSmall = Letter >= 'a' && Letter <= 'z';
   const bool IsLarge = Letter >= 'A' && Letter <= 'Z';
@@ -39,61 +39,62 @@
 }
 
 static bool isName(std::string_view Text) {
-  if (Text.empty() || Text.size() > MaxNameBytes || !isNameLetter(Text[0]))
+  if (Text.empty() || Text.size() > MaxNameBytes || !isAlphanumeric(Text[0]))
     return false;
   return std::ranges::all_of(Text, [](char Letter) {
-    return isNameLetter(Letter) || Letter == '.' || Letter == '_' ||
+    return isAlphanumeric(Letter) || Letter == '.' || Letter == '_' ||
            Letter == '-';
   });
 }
 
 FieldReader::FieldReader(const json &Value, std::string Place,
                          std::vector<BundleProblem> &Problems)
-    : Value_(Value), Place_(std::move(Place)), Problems_(Problems) {
+    : Value_(Value), Pointer_(std::move(Place)), Problems_(Problems) {
   if (!Value_.is_object())
     Problems_.push_back(
-        {Place_, "is " + showValue(Value_) + "; an object is allowed"});
+        {Pointer_, "is " + formatValue(Value_) + "; an object is allowed"});
 }
 
-std::string FieldReader::placeOf(const std::string &Name) const {
-  return appendPointer(Place_, Name);
+std::string FieldReader::makePointer(const std::string &Name) const {
+  return appendPointer(Pointer_, Name);
 }
 
 void FieldReader::addProblem(const std::string &Name, std::string Text) {
-  Problems_.push_back({placeOf(Name), std::move(Text)});
+  Problems_.push_back({makePointer(Name), std::move(Text)});
 }
 
-const json *FieldReader::find(const std::string &Name, Need Needed) {
-  Asked_.insert(Name);
+const json *FieldReader::find(const std::string &Name, Presence Expected) {
+  KnownNames_.insert(Name);
   if (!Value_.is_object())
     return nullptr;
   const auto Found = Value_.find(Name);
   if (Found != Value_.end())
     return &*Found;
-  if (Needed == Need::Required)
+  if (Expected == Presence::Required)
     addProblem(Name, "is missing; it is required");
   return nullptr;
 }
 
 void FieldReader::readText(const std::string &Name, std::string &Target,
-                           Need Needed, std::size_t MaxBytes) {
-  const json *Found = find(Name, Needed);
+                           Presence Expected, std::size_t MaxBytes) {
+  const json *Found = find(Name, Expected);
   if (!Found)
     return;
   const auto *Text = Found->get_ptr<const std::string *>();
   if (!Text || Text->size() > MaxBytes)
-    return addProblem(Name, "is " + showValue(*Found) + "; a text of at most " +
+    return addProblem(Name, "is " + formatValue(*Found) +
+                                "; a text of at most " +
                                 std::to_string(MaxBytes) + " bytes is allowed");
   Target = *Text;
 }
 
 bool FieldReader::readName(const std::string &Name, std::string &Target) {
-  const json *Found = find(Name, Need::Required);
+  const json *Found = find(Name, Presence::Required);
   if (!Found)
     return false;
   const auto *Text = Found->get_ptr<const std::string *>();
   if (!Text || !isName(*Text)) {
-    addProblem(Name, "is " + showValue(*Found) +
+    addProblem(Name, "is " + formatValue(*Found) +
                          "; a name of 1 to 64 letters, digits, '.', '_' or "
                          "'-' is allowed, beginning with a letter or digit");
     return false;
@@ -102,31 +103,31 @@
   return true;
 }
 
-void FieldReader::readWide(const std::string &Name, std::int64_t &Target,
-                           Range<std::int64_t> Allowed, Need Needed) {
-  const json *Found = find(Name, Needed);
+void FieldReader::readInt64(const std::string &Name, std::int64_t &Target,
+                            Range<std::int64_t> Allowed, Presence Expected) {
+  const json *Found = find(Name, Expected);
   if (!Found)
     return;
   const bool Fits = Found->is_number_integer() &&
                     (!Found->is_number_unsigned() ||
                      std::in_range<std::int64_t>(Found->get<std::uint64_t>()));
   const std::int64_t Number = Fits ? Found->get<std::int64_t>() : 0;
-  if (!Fits || Number < Allowed.Least_ || Number > Allowed.Most_)
-    return addProblem(Name, "is " + showValue(*Found) +
-                                "; a whole number from " + showRange(Allowed) +
-                                " is allowed");
+  if (!Fits || Number < Allowed.Min_ || Number > Allowed.Max_)
+    return addProblem(Name, "is " + formatValue(*Found) +
+                                "; a whole number from " +
+                                formatRange(Allowed) + " is allowed");
   Target = Number;
 }
 
 void FieldReader::readNumber(const std::string &Name, double &Target,
-                             Range<double> Allowed, Need Needed) {
-  const json *Found = find(Name, Needed);
+                             Range<double> Allowed, Presence Expected) {
+  const json *Found = find(Name, Expected);
   if (!Found)
     return;
   const double Number = Found->is_number() ? Found->get<double>() : NAN;
-  if (!(Number >= Allowed.Least_ && Number <= Allowed.Most_))
-    return addProblem(Name, "is " + showValue(*Found) + "; a number from " +
-                                showRange(Allowed) + " is allowed");
+  if (!(Number >= Allowed.Min_ && Number <= Allowed.Max_))
+    return addProblem(Name, "is " + formatValue(*Found) + "; a number from " +
+                                formatRange(Allowed) + " is allowed");
   Target = Number;
 }
 
@@ -135,48 +136,48 @@
   using std::chrono::milliseconds;
   std::int64_t Millis =
       std::chrono::duration_cast<milliseconds>(Target).count();
-  readWide(Name, Millis, Allowed, Need::Optional);
+  readInt64(Name, Millis, Allowed, Presence::Optional);
   Target = milliseconds(Millis);
 }
 
-void FieldReader::readSwitch(const std::string &Name, bool &Target) {
-  const json *Found = find(Name, Need::Optional);
+void FieldReader::readBool(const std::string &Name, bool &Target) {
+  const json *Found = find(Name, Presence::Optional);
   if (!Found)
     return;
   if (!Found->is_boolean())
-    return addProblem(Name,
-                      "is " + showValue(*Found) + "; true or false is allowed");
+    return addProblem(Name, "is " + formatValue(*Found) +
+                                "; true or false is allowed");
   Target = Found->get<bool>();
 }
 
-const json *FieldReader::findArray(const std::string &Name, Need Needed,
+const json *FieldReader::findArray(const std::string &Name, Presence Expected,
                                    std::size_t MaxEntries) {
-  const json *Found = find(Name, Needed);
+  const json *Found = find(Name, Expected);
   if (!Found)
     return nullptr;
   if (Found->is_array() && Found->size() <= MaxEntries)
     return Found;
-  addProblem(Name, "is " + showValue(*Found) + "; a list of at most " +
+  addProblem(Name, "is " + formatValue(*Found) + "; a list of at most " +
                        std::to_string(MaxEntries) + " entries is allowed");
   return nullptr;
 }
 
 const json *FieldReader::findObject(const std::string &Name) {
-  const json *Found = find(Name, Need::Optional);
+  const json *Found = find(Name, Presence::Optional);
   if (!Found || Found->is_object())
     return Found;
-  addProblem(Name, "is " + showValue(*Found) + "; an object is allowed");
+  addProblem(Name, "is " + formatValue(*Found) + "; an object is allowed");
   return nullptr;
 }
 
-void FieldReader::refuseUnknown() {
+void FieldReader::reportUnknownFields() {
   if (!Value_.is_object())
     return;
   for (const auto &Field : Value_.items()) {
-    if (Asked_.contains(Field.key()))
+    if (KnownNames_.contains(Field.key()))
       continue;
     std::string Allowed;
-    for (const std::string &Name : Asked_)
+    for (const std::string &Name : KnownNames_)
       Allowed += (Allowed.empty() ? "" : ", ") + Name;
     addProblem(Field.key(), "is unknown here; allowed are " + Allowed);
   }
--- a/src/fleet/FieldReader.h
+++ b/src/fleet/FieldReader.h
@@ -21,12 +21,12 @@
 
 namespace tulipweir::fleet {
 
-enum class Need : std::uint8_t { Required, Optional };
+enum class Presence : std::uint8_t { Required, Optional };
 
 /// Both ends are allowed.
 template <class Number> struct Range {
-  Number Least_;
-  Number Most_;
+  Number Min_;
+  Number Max_;
 };
 
 /// Not thread-safe; the JSON value and the problems must outlive it.
@@ -36,45 +36,47 @@
               std::vector<BundleProblem> &Problems);
 
   /// A text of at most MaxBytes.
-  void readText(const std::string &Name, std::string &Target, Need Needed,
+  void readText(const std::string &Name, std::string &Target, Presence Expected,
                 std::size_t MaxBytes);
   /// A name: 1 to 64 letters, digits, '.', '_' or '-', the first a letter or
   /// digit. Also says whether Target was set.
   bool readName(const std::string &Name, std::string &Target);
   void readNumber(const std::string &Name, double &Target,
-                  Range<double> Allowed, Need Needed = Need::Optional);
+                  Range<double> Allowed,
+                  Presence Expected = Presence::Optional);
   void readMillis(const std::string &Name, Duration &Target,
                   Range<std::int64_t> Allowed);
-  void readSwitch(const std::string &Name, bool &Target);
+  void readBool(const std::string &Name, bool &Target);
 
   template <class Integer>
   void readInteger(const std::string &Name, Integer &Target,
-                   Range<std::int64_t> Allowed, Need Needed = Need::Optional) {
+                   Range<std::int64_t> Allowed,
+                   Presence Expected = Presence::Optional) {
     auto Wide = static_cast<std::int64_t>(Target);
-    readWide(Name, Wide, Allowed, Needed);
+    readInt64(Name, Wide, Allowed, Expected);
     Target = static_cast<Integer>(Wide);
   }
 
   /// The value, or nullptr if it is absent or no array of that many entries.
-  const nlohmann::json *findArray(const std::string &Name, Need Needed,
+  const nlohmann::json *findArray(const std::string &Name, Presence Expected,
                                   std::size_t MaxEntries);
   const nlohmann::json *findObject(const std::string &Name);
 
   /// Notes each field that no read asked for.
-  void refuseUnknown();
+  void reportUnknownFields();
 
   void addProblem(const std::string &Name, std::string Text);
-  std::string placeOf(const std::string &Name) const;
+  std::string makePointer(const std::string &Name) const;
 
 private:
-  const nlohmann::json *find(const std::string &Name, Need Needed);
-  void readWide(const std::string &Name, std::int64_t &Target,
-                Range<std::int64_t> Allowed, Need Needed);
+  const nlohmann::json *find(const std::string &Name, Presence Expected);
+  void readInt64(const std::string &Name, std::int64_t &Target,
+                 Range<std::int64_t> Allowed, Presence Expected);
 
   const nlohmann::json &Value_;
-  std::string Place_;
+  std::string Pointer_;
   std::vector<BundleProblem> &Problems_;
-  std::set<std::string> Asked_;
+  std::set<std::string> KnownNames_;
 };
 
 } // namespace tulipweir::fleet
--- a/src/fleet/FleetCodec.cpp
+++ b/src/fleet/FleetCodec.cpp
@@ -62,7 +62,7 @@
       V.Message_, V.EndedWallMs_);
 }
 
-template <class F> static void forEachField(AssignmentHeld &V, F Use) {
+template <class F> static void forEachField(HeldAssignment &V, F Use) {
   Use(V.Job_, V.Assignment_);
 }
 template <class F> static void forEachField(DataCentreLoad &V, F Use) {
@@ -187,7 +187,7 @@
 
 std::string fleet::encodeState(const FleetState &Value) {
   Snapshot Parts;
-  const BundleBook &Bundles = Value.bundles();
+  const BundleRegistry &Bundles = Value.bundles();
   Parts.Archive_ = Bundles.history().archive();
   Parts.Recent_ = Bundles.history().recent();
   Parts.Proposals_ = Bundles.proposals();
@@ -222,13 +222,14 @@
   if (!Decoded)
     return std::move(Decoded).as_failure();
   Snapshot &Parts = Decoded.value();
-  auto Bundles = BundleBook::restore(
+  auto Bundles = BundleRegistry::restore(
       BundleHistory(std::move(Parts.Archive_), std::move(Parts.Recent_)),
       std::move(Parts.Proposals_), std::move(Parts.Superseded_),
       Parts.NextSequence_);
   if (!Bundles)
     return std::move(Bundles).as_failure();
-  auto Jobs = JobBook::restore(std::move(Parts.Jobs_), std::move(Parts.Ended_));
+  auto Jobs =
+      JobRegistry::restore(std::move(Parts.Jobs_), std::move(Parts.Ended_));
   if (!Jobs)
     return std::move(Jobs).as_failure();
   return FleetState(std::move(Bundles.value()), std::move(Jobs.value()));
--- a/src/fleet/FleetState.cpp
+++ b/src/fleet/FleetState.cpp
@@ -11,8 +11,8 @@
 
 /// Hands each kind of command to the part that it is about.
 struct Applier {
-  BundleBook &Bundles_;
-  JobBook &Jobs_;
+  BundleRegistry &Bundles_;
+  JobRegistry &Jobs_;
 
   CommandResult operator()(const ProposeBundle &Value) {
     return Bundles_.propose(Value);
--- a/src/fleet/FleetMachine.cpp
+++ b/src/fleet/FleetStateMachine.cpp
@@ -1,6 +1,6 @@
-//===- FleetMachine.cpp - The fleet's state behind a log ------------------===//
+//===- FleetStateMachine.cpp - Replicated fleet state machine -------------===//
 
-#include "tulipweir/fleet/FleetMachine.h"
+#include "tulipweir/fleet/FleetStateMachine.h"
 #include "Results.h"
 #include "tulipweir/fleet/FleetCodec.h"
 
@@ -9,15 +9,16 @@
 using namespace tulipweir;
 using namespace tulipweir::fleet;
 
-static std::shared_ptr<const Bundle> shareInForce(const FleetState &State) {
+static std::shared_ptr<const Bundle> copyInForce(const FleetState &State) {
   if (!State.bundles().history().latest())
     return nullptr;
   return std::make_shared<const Bundle>(State.bundles().inForce());
 }
 
 template <class Names>
-static std::vector<NamedJob> collect(const JobBook &Book, const Names &Wanted,
-                                     std::size_t Limit, const JobId &After) {
+static std::vector<NamedJob> collectJobs(const JobRegistry &Book,
+                                         const Names &Wanted, std::size_t Limit,
+                                         const JobId &After) {
   std::vector<NamedJob> Listed;
   for (auto Next = Wanted.upper_bound(After);
        Next != Wanted.end() && Listed.size() < Limit; ++Next)
@@ -25,63 +26,64 @@
   return Listed;
 }
 
-FleetMachine::FleetMachine(AppliedListener OnApplied,
-                           RestoredListener OnRestored)
+FleetStateMachine::FleetStateMachine(AppliedListener OnApplied,
+                                     RestoredListener OnRestored)
     : OnApplied_(std::move(OnApplied)), OnRestored_(std::move(OnRestored)) {}
 
-std::string FleetMachine::apply(const replication::CommittedEntry &Entry) {
+std::string FleetStateMachine::apply(const replication::CommittedEntry &Entry) {
   const auto Decoded = decodeCommand(Entry.Command_);
   if (!Decoded)
     return encodeResult(
         refuse(Decoded.error().Code_, Decoded.error().Message_));
   if (Batch_.owns_lock()) {
-    ToldLater_.push_back({Decoded.value(), applyLocked(Decoded.value())});
-    return encodeResult(ToldLater_.back().Result_);
+    PendingNotifications_.push_back(
+        {Decoded.value(), applyLocked(Decoded.value())});
+    return encodeResult(PendingNotifications_.back().Result_);
   }
   beginBatch();
   const CommandResult Result = applyLocked(Decoded.value());
-  ToldLater_.push_back({Decoded.value(), Result});
+  PendingNotifications_.push_back({Decoded.value(), Result});
   endBatch();
   return encodeResult(Result);
 }
 
-CommandResult FleetMachine::applyLocked(const Command &Value) {
+CommandResult FleetStateMachine::applyLocked(const Command &Value) {
   const BundleVersion Before = State_.bundles().inForce().Version_;
   CommandResult Result = State_.apply(Value);
   if (Before != State_.bundles().inForce().Version_)
-    Bundle_ = shareInForce(State_);
+    Bundle_ = copyInForce(State_);
   return Result;
 }
 
-void FleetMachine::beginBatch() { Batch_.lock(); }
+void FleetStateMachine::beginBatch() { Batch_.lock(); }
 
-void FleetMachine::endBatch() {
+void FleetStateMachine::endBatch() {
   Batch_.unlock();
-  for (const Told &Each : std::exchange(ToldLater_, {}))
+  for (const AppliedCommand &Each : std::exchange(PendingNotifications_, {}))
     if (OnApplied_)
       OnApplied_(Each.Command_, Each.Result_);
 }
 
-std::string FleetMachine::takeSnapshot() const {
+std::string FleetStateMachine::takeSnapshot() const {
   const std::lock_guard Lock(Mutex_);
   return encodeState(State_);
 }
 
-Outcome<void> FleetMachine::restoreSnapshot(std::string_view Snapshot) {
+Outcome<void> FleetStateMachine::restoreSnapshot(std::string_view Snapshot) {
   auto Decoded = decodeState(Snapshot);
   if (!Decoded)
     return std::move(Decoded).as_failure();
   {
     const std::lock_guard Lock(Mutex_);
     State_ = std::move(Decoded.value());
-    Bundle_ = shareInForce(State_);
+    Bundle_ = copyInForce(State_);
   }
   if (OnRestored_)
     OnRestored_();
   return succeed();
 }
 
-std::optional<wire::SignedBundle> FleetMachine::getInForce() const {
+std::optional<wire::SignedBundle> FleetStateMachine::getInForce() const {
   const std::lock_guard Lock(Mutex_);
   const AcceptedBundle *Latest = State_.bundles().history().latest();
   if (!Latest)
@@ -89,23 +91,24 @@
   return wire::SignedBundle{Latest->Version_, Latest->Digest_, Latest->Text_};
 }
 
-std::shared_ptr<const Bundle> FleetMachine::getBundle() const {
+std::shared_ptr<const Bundle> FleetStateMachine::getBundle() const {
   const std::lock_guard Lock(Mutex_);
   return Bundle_;
 }
 
 std::optional<AcceptedBundle>
-FleetMachine::findBundle(BundleVersion Version) const {
+FleetStateMachine::findBundle(BundleVersion Version) const {
   const std::lock_guard Lock(Mutex_);
   return State_.bundles().history().findVersion(Version);
 }
 
-std::vector<AcceptedBundle> FleetMachine::listHistory(std::size_t Limit) const {
+std::vector<AcceptedBundle>
+FleetStateMachine::listHistory(std::size_t Limit) const {
   const std::lock_guard Lock(Mutex_);
   return State_.bundles().history().list(Limit);
 }
 
-std::optional<NamedJob> FleetMachine::findJob(const JobId &Job) const {
+std::optional<NamedJob> FleetStateMachine::findJob(const JobId &Job) const {
   const std::lock_guard Lock(Mutex_);
   const FleetJob *Found = State_.jobs().find(Job);
   if (!Found)
@@ -113,23 +116,24 @@
   return NamedJob{Job, *Found};
 }
 
-std::vector<NamedJob> FleetMachine::listHeld(const DataCentreId &DataCentre,
-                                             std::size_t Limit,
-                                             const JobId &After) const {
+std::vector<NamedJob>
+FleetStateMachine::listHeld(const DataCentreId &DataCentre, std::size_t Limit,
+                            const JobId &After) const {
   const std::lock_guard Lock(Mutex_);
   const auto Found = State_.jobs().held().find(DataCentre);
   if (Found == State_.jobs().held().end())
     return {};
-  return collect(State_.jobs(), Found->second, Limit, After);
+  return collectJobs(State_.jobs(), Found->second, Limit, After);
 }
 
-std::vector<NamedJob> FleetMachine::listUnassigned(std::size_t Limit) const {
+std::vector<NamedJob>
+FleetStateMachine::listUnassigned(std::size_t Limit) const {
   const std::lock_guard Lock(Mutex_);
-  return collect(State_.jobs(), State_.jobs().unassigned(), Limit, JobId());
+  return collectJobs(State_.jobs(), State_.jobs().unassigned(), Limit, JobId());
 }
 
-std::vector<NamedJob> FleetMachine::listJobs(std::size_t Limit,
-                                             const JobId &After) const {
+std::vector<NamedJob> FleetStateMachine::listJobs(std::size_t Limit,
+                                                  const JobId &After) const {
   const std::lock_guard Lock(Mutex_);
   const auto &Jobs = State_.jobs().jobs();
   std::vector<NamedJob> Listed;
--- a/src/fleet/JobAssigner.cpp
+++ b/src/fleet/JobAssigner.cpp
@@ -8,16 +8,16 @@
 using namespace tulipweir;
 using namespace tulipweir::fleet;
 
-static bool stands(const JobBook &Jobs, const JobId &Job,
-                   std::uint64_t Assignment) {
+static bool isCurrent(const JobRegistry &Jobs, const JobId &Job,
+                      std::uint64_t Assignment) {
   const FleetJob *Record = Jobs.find(Job);
   return Record && !Record->DataCentre_.value().empty() &&
          Record->Assignment_ == Assignment;
 }
 
-static bool isHeldBy(const JobBook &Jobs, const AssignmentHeld &Held,
+static bool isHeldBy(const JobRegistry &Jobs, const HeldAssignment &Held,
                      const DataCentreId &DataCentre) {
-  return stands(Jobs, Held.Job_, Held.Assignment_) &&
+  return isCurrent(Jobs, Held.Job_, Held.Assignment_) &&
          Jobs.find(Held.Job_)->DataCentre_ == DataCentre;
 }
 
@@ -29,59 +29,58 @@
   return Release;
 }
 
-void JobAssigner::noteLeading(TimePoint Now) {
-  noteFollowing();
+void JobAssigner::startLeading(TimePoint Now) {
+  stopLeading();
   LeadingSince_ = Now;
 }
 
-void JobAssigner::noteFollowing() {
+void JobAssigner::stopLeading() {
   LeadingSince_.reset();
-  Contacts_.clear();
-  Releasing_.clear();
-  Assigning_.clear();
+  DataCentres_.clear();
+  PendingReleases_.clear();
+  PendingAssignments_.clear();
 }
 
 AssignmentReply JobAssigner::renew(const AssignmentReport &Report,
-                                   const JobBook &Jobs, TimePoint Now) {
+                                   const JobRegistry &Jobs, TimePoint Now) {
   AssignmentReply Reply;
   if (!LeadingSince_)
     return Reply;
-  Contact &Known = Contacts_[Report.DataCentre_];
+  DataCentreStatus &Known = DataCentres_[Report.DataCentre_];
   Known.AnsweredAt_ = std::max(Known.AnsweredAt_, Now);
   if (Report.HasLoad_) {
     Known.Load_ = Report.Load_;
     Known.HasLoad_ = true;
     Known.AssignedSince_ = 0;
   }
-  for (const AssignmentHeld &Held : Report.Due_)
+  for (const HeldAssignment &Held : Report.Due_)
     if (isHeldBy(Jobs, Held, Report.DataCentre_) &&
-        !Releasing_.contains(Held.Job_))
+        !PendingReleases_.contains(Held.Job_))
       Reply.Renewed_.push_back(Held);
   return Reply;
 }
 
-std::vector<Command> JobAssigner::decide(const JobBook &Jobs, TimePoint Now,
+std::vector<Command> JobAssigner::decide(const JobRegistry &Jobs, TimePoint Now,
                                          std::size_t Budget) {
   std::vector<Command> Out;
-  if (!LeadingSince_ || Now < *LeadingSince_ + Times_.Settle_)
+  if (!LeadingSince_ || Now < *LeadingSince_ + Times_.NewLeaderDelay_)
     return Out;
-  repeatReleases(Jobs, Now, Budget, Out);
+  retryReleases(Jobs, Now, Budget, Out);
   releaseExpired(Jobs, Now, Budget, Out);
-  forgetAssigned(Jobs, Now);
-  assignWaiting(Jobs, Now, Budget, Out);
+  prunePendingAssignments(Jobs, Now);
+  assignWaitingJobs(Jobs, Now, Budget, Out);
   return Out;
 }
 
-void JobAssigner::repeatReleases(const JobBook &Jobs, TimePoint Now,
-                                 std::size_t Budget,
-                                 std::vector<Command> &Out) {
-  for (auto Next = Releasing_.begin(); Next != Releasing_.end();) {
+void JobAssigner::retryReleases(const JobRegistry &Jobs, TimePoint Now,
+                                std::size_t Budget, std::vector<Command> &Out) {
+  for (auto Next = PendingReleases_.begin(); Next != PendingReleases_.end();) {
     auto &[Job, Release] = *Next;
-    if (!stands(Jobs, Job, Release.Assignment_)) {
-      Next = Releasing_.erase(Next);
+    if (!isCurrent(Jobs, Job, Release.Assignment_)) {
+      Next = PendingReleases_.erase(Next);
       continue;
     }
-    const bool IsDue = Now >= Release.ProposedAt_ + Times_.ProposeAgain_;
+    const bool IsDue = Now >= Release.ProposedAt_ + Times_.RetryInterval_;
     if (IsDue && Out.size() < Budget) {
       Release.ProposedAt_ = Now;
       Out.push_back(makeRelease(Job, Release.Assignment_));
@@ -90,7 +89,7 @@
   }
 }
 
-void JobAssigner::releaseExpired(const JobBook &Jobs, TimePoint Now,
+void JobAssigner::releaseExpired(const JobRegistry &Jobs, TimePoint Now,
                                  std::size_t Budget,
                                  std::vector<Command> &Out) {
   for (const auto &[DataCentre, Held] : Jobs.held()) {
@@ -99,52 +98,54 @@
     for (const JobId &Job : Held) {
       // Those proposed and not yet applied stay few, so that one long outage
       // does not fill this table.
-      if (Out.size() >= Budget || Releasing_.size() >= Budget)
+      if (Out.size() >= Budget || PendingReleases_.size() >= Budget)
         return;
-      if (Releasing_.contains(Job))
+      if (PendingReleases_.contains(Job))
         continue;
       const std::uint64_t Assignment = Jobs.find(Job)->Assignment_;
-      Releasing_[Job] = {Assignment, Now};
+      PendingReleases_[Job] = {Assignment, Now};
       Out.push_back(makeRelease(Job, Assignment));
     }
   }
 }
 
-void JobAssigner::forgetAssigned(const JobBook &Jobs, TimePoint Now) {
-  std::erase_if(Assigning_, [&](const auto &Entry) {
+void JobAssigner::prunePendingAssignments(const JobRegistry &Jobs,
+                                          TimePoint Now) {
+  std::erase_if(PendingAssignments_, [&](const auto &Entry) {
     return !Jobs.unassigned().contains(Entry.first) ||
-           Now >= Entry.second + Times_.ProposeAgain_;
+           Now >= Entry.second + Times_.RetryInterval_;
   });
 }
 
-void JobAssigner::assignWaiting(const JobBook &Jobs, TimePoint Now,
-                                std::size_t Budget, std::vector<Command> &Out) {
+void JobAssigner::assignWaitingJobs(const JobRegistry &Jobs, TimePoint Now,
+                                    std::size_t Budget,
+                                    std::vector<Command> &Out) {
   for (const JobId &Job : Jobs.unassigned()) {
-    if (Out.size() >= Budget || Assigning_.size() >= Budget)
+    if (Out.size() >= Budget || PendingAssignments_.size() >= Budget)
       return;
-    if (Assigning_.contains(Job))
+    if (PendingAssignments_.contains(Job))
       continue;
-    const auto Chosen = choose(Jobs, *Jobs.find(Job), Now);
+    const auto Chosen = chooseDataCentre(Jobs, *Jobs.find(Job), Now);
     if (!Chosen)
       return; // No data centre can be reached at all.
-    Assigning_[Job] = Now;
-    ++Contacts_[*Chosen].AssignedSince_;
+    PendingAssignments_[Job] = Now;
+    ++DataCentres_[*Chosen].AssignedSince_;
     Out.push_back(AssignJob{Job, *Chosen});
   }
 }
 
-std::optional<DataCentreId> JobAssigner::choose(const JobBook &Jobs,
-                                                const FleetJob &Record,
-                                                TimePoint Now) const {
+std::optional<DataCentreId>
+JobAssigner::chooseDataCentre(const JobRegistry &Jobs, const FleetJob &Record,
+                              TimePoint Now) const {
   if (isReachable(Record.Preferred_, Now))
     return Record.Preferred_;
   std::optional<DataCentreId> Best;
   double BestScore = 0;
   std::size_t BestHeld = 0;
-  for (const auto &[DataCentre, Known] : Contacts_) {
+  for (const auto &[DataCentre, Known] : DataCentres_) {
     if (!isReachable(DataCentre, Now))
       continue;
-    const double Score = scoreOf(Known);
+    const double Score = computeScore(Known);
     const auto Held = Jobs.held().find(DataCentre);
     const std::size_t Count =
         Held == Jobs.held().end() ? 0 : Held->second.size();
@@ -160,7 +161,7 @@
 }
 
 /// Lower is better: the part that is set aside, and what waits per server.
-double JobAssigner::scoreOf(const Contact &Known) const {
+double JobAssigner::computeScore(const DataCentreStatus &Known) const {
   const double Waiting = Known.Load_.WaitingTasks_ + Known.AssignedSince_;
   return Known.Load_.Reserved_ +
          Waiting / std::max<std::uint32_t>(1, Known.Load_.Servers_);
@@ -168,12 +169,12 @@
 
 bool JobAssigner::isReachable(const DataCentreId &DataCentre,
                               TimePoint Now) const {
-  const auto Found = Contacts_.find(DataCentre);
-  if (Found == Contacts_.end())
+  const auto Found = DataCentres_.find(DataCentre);
+  if (Found == DataCentres_.end())
     return false;
-  const Contact &Known = Found->second;
+  const DataCentreStatus &Known = Found->second;
   return Known.HasLoad_ && Known.Load_.Servers_ > 0 &&
-         Now <= Known.AnsweredAt_ + Times_.ReachableWithin_;
+         Now <= Known.AnsweredAt_ + Times_.ReachableTimeout_;
 }
 
 std::optional<TimePoint>
@@ -181,8 +182,8 @@
   if (!LeadingSince_)
     return std::nullopt;
   TimePoint Renewed = *LeadingSince_;
-  const auto Found = Contacts_.find(DataCentre);
-  if (Found != Contacts_.end())
+  const auto Found = DataCentres_.find(DataCentre);
+  if (Found != DataCentres_.end())
     Renewed = std::max(Renewed, Found->second.AnsweredAt_);
   return Renewed + Times_.Ttl_ + Times_.Margin_;
 }
--- a/src/fleet/JobBook.cpp
+++ b/src/fleet/JobRegistry.cpp
@@ -1,6 +1,6 @@
-//===- JobBook.cpp - Batch jobs and which data centre holds them ----------===//
+//===- JobRegistry.cpp - Batch jobs and their assignments -----------------===//
 
-#include "tulipweir/fleet/JobBook.h"
+#include "tulipweir/fleet/JobRegistry.h"
 #include "Results.h"
 #include "tulipweir/fleet/Bundle.h"
 
@@ -10,11 +10,11 @@
 using namespace tulipweir;
 using namespace tulipweir::fleet;
 
-static CommandResult refuseUnknown(const JobId &Job) {
+static CommandResult refuseUnknownJob(const JobId &Job) {
   return refuse(ErrorCode::NotFound,
                 "no job '" + Job.value() +
                     "'; ended ones are kept for the last " +
-                    std::to_string(JobBook::EndedKept) + " jobs");
+                    std::to_string(JobRegistry::MaxEndedJobs) + " jobs");
 }
 
 static CommandResult withAssignment(CommandResult Result,
@@ -23,14 +23,14 @@
   return Result;
 }
 
-static std::string showEnd(JobEnd End) {
+static std::string formatEnd(JobEnd End) {
   static constexpr const char *Names[] = {"finished", "failed", "cancelled"};
   return Names[static_cast<std::size_t>(End)];
 }
 
 static CommandResult refuseEnded(const FleetJob &Record) {
   return refuse(ErrorCode::AlreadyExists,
-                "the job has ended already: " + showEnd(*Record.End_));
+                "the job has ended already: " + formatEnd(*Record.End_));
 }
 
 static CommandResult refuseStale(const FleetJob &Record,
@@ -49,31 +49,31 @@
          Record.Assignment_ == Assignment;
 }
 
-static bool isSame(const FleetJob &Record, const SubmitJob &Value) {
+static bool isSameJob(const FleetJob &Record, const SubmitJob &Value) {
   return Record.Team_ == Value.Team_ && Record.Preferred_ == Value.Preferred_ &&
          Record.SpecDigest_ == computeDigest(Value.Spec_);
 }
 
-static std::string findFault(const SubmitJob &Value) {
+static std::string findSubmitError(const SubmitJob &Value) {
   const std::size_t NameBytes = Value.Job_.value().size();
-  if (NameBytes == 0 || NameBytes > JobBook::MaxNameBytes)
+  if (NameBytes == 0 || NameBytes > JobRegistry::MaxNameBytes)
     return "the job's name has " + std::to_string(NameBytes) +
            " bytes; 1 to 128 are allowed";
-  if (Value.Spec_.size() > JobBook::MaxSpecBytes)
+  if (Value.Spec_.size() > JobRegistry::MaxSpecBytes)
     return "the job has " + std::to_string(Value.Spec_.size()) +
            " bytes; at most 65536 are allowed";
   return "";
 }
 
-const FleetJob *JobBook::find(const JobId &Job) const {
+const FleetJob *JobRegistry::find(const JobId &Job) const {
   const auto Found = Jobs_.find(Job);
   return Found == Jobs_.end() ? nullptr : &Found->second;
 }
 
-FleetJob *JobBook::findOpen(const JobId &Job, CommandResult &Refusal) {
+FleetJob *JobRegistry::findOpen(const JobId &Job, CommandResult &Refusal) {
   const auto Found = Jobs_.find(Job);
   if (Found == Jobs_.end()) {
-    Refusal = refuseUnknown(Job);
+    Refusal = refuseUnknownJob(Job);
     return nullptr;
   }
   if (Found->second.End_) {
@@ -83,20 +83,20 @@
   return &Found->second;
 }
 
-CommandResult JobBook::submit(const SubmitJob &Value) {
-  const std::string Fault = findFault(Value);
+CommandResult JobRegistry::submit(const SubmitJob &Value) {
+  const std::string Fault = findSubmitError(Value);
   if (!Fault.empty())
     return refuse(ErrorCode::InvalidArgument, Fault);
   if (const FleetJob *Known = find(Value.Job_)) {
-    if (isSame(*Known, Value))
+    if (isSameJob(*Known, Value))
       return refuse(ErrorCode::AlreadyExists, "submitted before, unchanged");
     return refuse(ErrorCode::Conflict, "another job has the name '" +
                                            Value.Job_.value() +
                                            "'; choose a new name");
   }
-  if (countOpen() >= MaxOpen)
+  if (countOpen() >= MaxOpenJobs)
     return refuse(ErrorCode::Unavailable,
-                  std::to_string(MaxOpen) +
+                  std::to_string(MaxOpenJobs) +
                       " jobs are open; submit again once some have ended");
   FleetJob Record;
   Record.Team_ = Value.Team_;
@@ -109,7 +109,7 @@
   return confirm("submitted");
 }
 
-CommandResult JobBook::assign(const AssignJob &Value) {
+CommandResult JobRegistry::assign(const AssignJob &Value) {
   CommandResult Refusal;
   FleetJob *const Open = findOpen(Value.Job_, Refusal);
   if (!Open)
@@ -131,7 +131,7 @@
   return withAssignment(confirm("assigned"), Record.Assignment_);
 }
 
-CommandResult JobBook::release(const ReleaseJob &Value) {
+CommandResult JobRegistry::release(const ReleaseJob &Value) {
   CommandResult Refusal;
   FleetJob *const Open = findOpen(Value.Job_, Refusal);
   if (!Open)
@@ -147,21 +147,21 @@
     return refuse(ErrorCode::TooLarge, "more than 1 MiB of progress");
   if (!Value.Progress_.empty())
     Record.Progress_ = Value.Progress_;
-  giveBack(Value.Job_, Record);
+  unassign(Value.Job_, Record);
   if (Record.Cancelling_)
-    finish(Value.Job_, Record, JobEnd::Cancelled, "cancelled", 0);
+    finishJob(Value.Job_, Record, JobEnd::Cancelled, "cancelled", 0);
   return confirm("given back");
 }
 
-CommandResult JobBook::cancel(const CancelJob &Value) {
+CommandResult JobRegistry::cancel(const CancelJob &Value) {
   CommandResult Refusal;
   FleetJob *const Open = findOpen(Value.Job_, Refusal);
   if (!Open)
     return Refusal;
   FleetJob &Record = *Open;
   if (Record.DataCentre_.value().empty()) {
-    finish(Value.Job_, Record, JobEnd::Cancelled,
-           "cancelled before it was assigned", 0);
+    finishJob(Value.Job_, Record, JobEnd::Cancelled,
+              "cancelled before it was assigned", 0);
     return confirm("cancelled");
   }
   if (Record.Cancelling_)
@@ -170,7 +170,7 @@
   return confirm("'" + Record.DataCentre_.value() + "' is told to cancel it");
 }
 
-CommandResult JobBook::end(const EndJob &Value) {
+CommandResult JobRegistry::end(const EndJob &Value) {
   CommandResult Refusal;
   FleetJob *const Open = findOpen(Value.Job_, Refusal);
   if (!Open)
@@ -178,13 +178,13 @@
   FleetJob &Record = *Open;
   if (!isHeldUnder(Record, Value.Assignment_))
     return refuseStale(Record, Value.Assignment_);
-  giveBack(Value.Job_, Record);
-  finish(Value.Job_, Record, Value.End_, Value.Message_, Value.WallMs_);
+  unassign(Value.Job_, Record);
+  finishJob(Value.Job_, Record, Value.End_, Value.Message_, Value.WallMs_);
   return confirm("ended");
 }
 
 /// Nobody holds the job afterwards; it is open and unassigned.
-void JobBook::giveBack(const JobId &Job, FleetJob &Record) {
+void JobRegistry::unassign(const JobId &Job, FleetJob &Record) {
   const auto Holder = Held_.find(Record.DataCentre_);
   Holder->second.erase(Job);
   if (Holder->second.empty())
@@ -193,8 +193,8 @@
   Unassigned_.insert(Job);
 }
 
-void JobBook::finish(const JobId &Job, FleetJob &Record, JobEnd End,
-                     std::string Message, std::uint64_t WallMs) {
+void JobRegistry::finishJob(const JobId &Job, FleetJob &Record, JobEnd End,
+                            std::string Message, std::uint64_t WallMs) {
   Unassigned_.erase(Job);
   Record.End_ = End;
   Record.Message_ = std::move(Message);
@@ -204,15 +204,15 @@
   if (Record.Spec_.size() > MaxEndedSpecBytes)
     Record.Spec_ = std::string();
   Ended_.push_back(Job);
-  if (Ended_.size() <= EndedKept)
+  if (Ended_.size() <= MaxEndedJobs)
     return;
   Jobs_.erase(Ended_.front());
   Ended_.pop_front();
 }
 
 /// Each ended job once, and no other.
-static bool namesEnded(const std::map<JobId, FleetJob> &Jobs,
-                       const std::deque<JobId> &Ended) {
+static bool listsExactlyEndedJobs(const std::map<JobId, FleetJob> &Jobs,
+                                  const std::deque<JobId> &Ended) {
   std::set<JobId> Named;
   for (const JobId &Job : Ended) {
     const auto Found = Jobs.find(Job);
@@ -224,12 +224,12 @@
   return static_cast<std::size_t>(Count) == Named.size();
 }
 
-Outcome<JobBook> JobBook::restore(std::map<JobId, FleetJob> Jobs,
-                                  std::deque<JobId> Ended) {
-  if (!namesEnded(Jobs, Ended))
+Outcome<JobRegistry> JobRegistry::restore(std::map<JobId, FleetJob> Jobs,
+                                          std::deque<JobId> Ended) {
+  if (!listsExactlyEndedJobs(Jobs, Ended))
     return fail(ErrorCode::Malformed,
                 "the snapshot's list of ended jobs does not fit its jobs");
-  JobBook Book;
+  JobRegistry Book;
   Book.Jobs_ = std::move(Jobs);
   Book.Ended_ = std::move(Ended);
   for (const auto &[Job, Record] : Book.Jobs_) {
--- a/src/fleet/JsonText.cpp
+++ b/src/fleet/JsonText.cpp
@@ -32,9 +32,9 @@
     std::set<std::string> Keys_;
   };
 
-  void enter(bool IsArray);
-  void noteKey(const std::string &Key);
-  std::string placeOfNext();
+  void pushLevel(bool IsArray);
+  void recordKey(const std::string &Key);
+  std::string advancePointer();
 
   std::vector<BundleProblem> &Problems_;
   std::vector<Level> Levels_;
@@ -42,7 +42,7 @@
 
 } // namespace
 
-std::string DuplicateFinder::placeOfNext() {
+std::string DuplicateFinder::advancePointer() {
   if (Levels_.empty())
     return "";
   Level &Top = Levels_.back();
@@ -51,14 +51,14 @@
   return appendPointer(Top.Pointer_, Top.Key_);
 }
 
-void DuplicateFinder::enter(bool IsArray) {
+void DuplicateFinder::pushLevel(bool IsArray) {
   Level Entered;
-  Entered.Pointer_ = placeOfNext();
+  Entered.Pointer_ = advancePointer();
   Entered.IsArray_ = IsArray;
   Levels_.push_back(std::move(Entered));
 }
 
-void DuplicateFinder::noteKey(const std::string &Key) {
+void DuplicateFinder::recordKey(const std::string &Key) {
   Level &Top = Levels_.back();
   Top.Key_ = Key;
   if (!Top.Keys_.insert(Key).second)
@@ -69,20 +69,20 @@
 bool DuplicateFinder::onEvent(json::parse_event_t Event, const json &Parsed) {
   switch (Event) {
   case json::parse_event_t::object_start:
-    enter(false);
+    pushLevel(false);
     break;
   case json::parse_event_t::array_start:
-    enter(true);
+    pushLevel(true);
     break;
   case json::parse_event_t::object_end:
   case json::parse_event_t::array_end:
     Levels_.pop_back();
     break;
   case json::parse_event_t::key:
-    noteKey(Parsed.get_ref<const std::string &>());
+    recordKey(Parsed.get_ref<const std::string &>());
     break;
   case json::parse_event_t::value:
-    placeOfNext();
+    advancePointer();
     break;
   }
   return true;
@@ -103,7 +103,8 @@
 }
 
 /// The library counts bytes from 1; operators look for a line.
-static std::string makeLineAndColumn(std::string_view Text, std::size_t Byte) {
+static std::string formatLineAndColumn(std::string_view Text,
+                                       std::size_t Byte) {
   const auto Before = Text.substr(0, Byte == 0 ? 0 : Byte - 1);
   const auto Line = 1 + std::ranges::count(Before, '\n');
   const std::size_t LineStart = Before.rfind('\n');
@@ -146,7 +147,7 @@
   try {
     return json::parse(Text, OnEvent, true, true);
   } catch (const json::parse_error &Caught) {
-    Problems.push_back({makeLineAndColumn(Text, Caught.byte),
+    Problems.push_back({formatLineAndColumn(Text, Caught.byte),
                         "is not JSON: " + shortenMessage(Caught.what())});
   } catch (const json::exception &Caught) {
     Problems.push_back({"1:1", "is not JSON that we can hold: " +
--- a/src/fleet/Pack.h
+++ b/src/fleet/Pack.h
@@ -27,14 +27,14 @@
 namespace tulipweir::fleet::pack {
 
 /// Thrown and caught inside the codec only.
-struct BadBytes {};
+struct MalformedBytes {};
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 using msgpack::object;
 
 inline void require(bool Holds) {
   if (!Holds)
-    throw BadBytes{};
+    throw MalformedBytes{};
 }
 
 /// Describes how a T is written and read; the primary one is for structs,
@@ -193,7 +193,7 @@
     require(Offset == Bytes.size());
     Read(Handle.get());
     return succeed();
-  } catch (const BadBytes &) {
+  } catch (const MalformedBytes &) {
   } catch (const msgpack::unpack_error &) {
   }
   return fail(ErrorCode::Malformed,
--- a/src/fleet/Signing.cpp
+++ b/src/fleet/Signing.cpp
@@ -25,7 +25,7 @@
 
 static constexpr std::size_t DigestBytes = 32;
 
-static void startSodium() {
+static void initSodium() {
   [[maybe_unused]] static const int Started = sodium_init();
   assert(Started >= 0 && "libsodium does not start on this machine");
 }
@@ -57,13 +57,13 @@
   return reinterpret_cast<const unsigned char *>(Text.data());
 }
 
-struct RawPair {
+struct RawKeyPair {
   PublicBytes Public_{};
   SecretBytes Secret_{};
 };
 
-static RawPair expandSeed(const SeedBytes &Seed) {
-  RawPair Pair;
+static RawKeyPair expandSeed(const SeedBytes &Seed) {
+  RawKeyPair Pair;
   crypto_sign_seed_keypair(Pair.Public_.data(), Pair.Secret_.data(),
                            Seed.data());
   return Pair;
@@ -73,7 +73,7 @@
 
 /// Keys that passed the check, which takes a scalar multiplication each, while
 /// every bundle names the same few. Thread-safe.
-class KnownKeys {
+class ValidatedKeys {
 public:
   bool contains(const PublicBytes &Key) const {
     const std::lock_guard Lock(Mutex_);
@@ -81,47 +81,47 @@
   }
   void add(const PublicBytes &Key) {
     const std::lock_guard Lock(Mutex_);
-    if (Keys_.size() >= Most)
+    if (Keys_.size() >= MaxKeys)
       Keys_.clear();
     Keys_.insert(Key);
   }
 
 private:
-  static constexpr std::size_t Most = 4096;
+  static constexpr std::size_t MaxKeys = 4096;
   mutable std::mutex Mutex_;
   std::set<PublicBytes> Keys_;
 };
 
 } // namespace
 
-static Error makeBadKey() {
+static Error makeInvalidKeyError() {
   return Error::make(ErrorCode::InvalidArgument,
                      "the secret key is not 64 lower-case hexadecimal digits; "
                      "make one with 'tulipweirctl keygen'");
 }
 
 KeyPair fleet::makeKeyPair() {
-  startSodium();
+  initSodium();
   SeedBytes Seed{};
   randombytes_buf(Seed.data(), Seed.size());
   return KeyPair{toHex(expandSeed(Seed).Public_), toHex(Seed)};
 }
 
-Outcome<KeyPair> fleet::readKeyPair(std::string_view SecretKey) {
-  startSodium();
+Outcome<KeyPair> fleet::deriveKeyPair(std::string_view SecretKey) {
+  initSodium();
   const auto Seed = fromHex<crypto_sign_SEEDBYTES>(SecretKey);
   if (!Seed)
-    return makeBadKey();
+    return makeInvalidKeyError();
   return KeyPair{toHex(expandSeed(*Seed).Public_), std::string(SecretKey)};
 }
 
 Outcome<std::string> fleet::signDigest(const Digest &Value,
                                        std::string_view SecretKey) {
-  startSodium();
+  initSodium();
   const auto Seed = fromHex<crypto_sign_SEEDBYTES>(SecretKey);
   if (!Seed)
-    return makeBadKey();
-  const RawPair Pair = expandSeed(*Seed);
+    return makeInvalidKeyError();
+  const RawKeyPair Pair = expandSeed(*Seed);
   SignatureBytes Signature{};
   crypto_sign_detached(Signature.data(), nullptr, asBytes(Value.value()),
                        Value.value().size(), Pair.Secret_.data());
@@ -130,7 +130,7 @@
 
 bool fleet::verifyDigest(const Digest &Value, std::string_view PublicKey,
                          std::string_view Signature) {
-  startSodium();
+  initSodium();
   const auto Key = fromHex<crypto_sign_PUBLICKEYBYTES>(PublicKey);
   const auto Sign = fromHex<crypto_sign_BYTES>(Signature);
   if (!Key || !Sign)
@@ -140,11 +140,11 @@
 }
 
 bool fleet::isPublicKey(std::string_view Text) {
-  startSodium();
+  initSodium();
   const auto Key = fromHex<crypto_sign_PUBLICKEYBYTES>(Text);
   if (!Key)
     return false;
-  static KnownKeys Known;
+  static ValidatedKeys Known;
   if (Known.contains(*Key))
     return true;
   if (crypto_core_ed25519_is_valid_point(Key->data()) != 1)
@@ -154,7 +154,7 @@
 }
 
 Digest fleet::computeDigest(std::string_view Text) {
-  startSodium();
+  initSodium();
   Bytes<DigestBytes> Hash{};
   crypto_generichash(Hash.data(), Hash.size(), asBytes(Text), Text.size(),
                      nullptr, 0);
--- a/tests/control/BundleKeeperTest.cpp
+++ b/tests/control/BundleKeeperTest.cpp
@@ -159,7 +159,7 @@
   }
   /// The newest bundle that the fleet's log is known to hold.
   void restoreLog(const AcceptedBundle &Value) {
-    fleet::FleetMachine Other;
+    fleet::FleetStateMachine Other;
     Other.apply(
         {1, 1,
          fleet::encodeCommand(fleet::test::makeProposal(Value.Text_, 1))});
--- a/tests/control/ControlWorld.h
+++ b/tests/control/ControlWorld.h
@@ -83,7 +83,7 @@
   FakePeers Peers_;
   ChangeFeed Feed_;
   datacentre::DataCentreMachine Machine_;
-  fleet::FleetMachine Fleet_;
+  fleet::FleetStateMachine Fleet_;
   FakeReplica Group_;
   FakeReplica FleetGroup_;
   std::unique_ptr<ControlCore> Core_;
--- a/tests/control/PartsTest.cpp
+++ b/tests/control/PartsTest.cpp
@@ -138,7 +138,7 @@
   ManualExecutor Strand(Time);
   FakePeers Peers;
   FakeLog Log;
-  fleet::FleetMachine Machine;
+  fleet::FleetStateMachine Machine;
   FakeReplica Self(Log, "c1", Machine);
   FakeReplica Other(Log, "c2", Machine);
   FleetProposer Proposer(Self, Peers, Strand, Time);
--- a/tests/ctl/BundleCommandsTest.cpp
+++ b/tests/ctl/BundleCommandsTest.cpp
@@ -194,7 +194,7 @@
   std::getline(std::ifstream(File) >> std::ws, Secret);
   const json Entry = json::parse(Out_.str());
   EXPECT_EQ(Entry.at("publicKey"),
-            fleet::readKeyPair(Secret).value().PublicKey_);
+            fleet::deriveKeyPair(Secret).value().PublicKey_);
   EXPECT_EQ(Entry.at("operator"), "ana");
   EXPECT_EQ(run({"keygen", File}), CtlExit::Failure);
   EXPECT_THAT(Err_.str(), HasSubstr("never overwritten"));
--- a/tests/fleet/AssignmentLeaseTest.cpp
+++ b/tests/fleet/AssignmentLeaseTest.cpp
@@ -9,17 +9,17 @@
 
 using std::chrono::seconds;
 
-TEST(AssignmentLeaseTest, EndsBeforeItsExpiryAndIgnoresEarlierAssignments) {
+TEST(AssignmentLeaseTest, ExpiresEarlyAndIgnoresEarlierAssignments) {
   AssignmentLease Lease(AssignmentTimes::makeFor(seconds(240)));
-  const AssignmentHeld First{JobId("a"), 1};
-  const AssignmentHeld Second{JobId("a"), 2};
+  const HeldAssignment First{JobId("a"), 1};
+  const HeldAssignment Second{JobId("a"), 2};
   const TimePoint Start(seconds(50));
-  EXPECT_TRUE(Lease.isEnding(First, Start)) << "never renewed";
-  Lease.noteRenewed({{Second}}, Start);
-  Lease.noteRenewed({{First}}, Start + seconds(100));
+  EXPECT_TRUE(Lease.isExpiring(First, Start)) << "never renewed";
+  Lease.recordRenewals({{Second}}, Start);
+  Lease.recordRenewals({{First}}, Start + seconds(100));
   EXPECT_FALSE(Lease.covers(First, Start));
-  EXPECT_FALSE(Lease.isEnding(Second, Start + seconds(229)));
-  EXPECT_TRUE(Lease.isEnding(Second, Start + seconds(230)));
+  EXPECT_FALSE(Lease.isExpiring(Second, Start + seconds(229)));
+  EXPECT_TRUE(Lease.isExpiring(Second, Start + seconds(230)));
   EXPECT_TRUE(Lease.covers(Second, Start + seconds(239)));
   EXPECT_FALSE(Lease.covers(Second, Start + seconds(240)));
   EXPECT_EQ(Lease.listDue({Second}, Start + seconds(29), 5).size(), 0U);
--- a/tests/fleet/AssignmentScheduleTest.cpp
+++ b/tests/fleet/AssignmentScheduleTest.cpp
@@ -45,7 +45,7 @@
 struct Control {
   double Rate_ = 1;
   Duration Offset_{};
-  std::size_t Believed_ = 0; ///< Who leads, as far as it heard.
+  std::size_t KnownLeader_ = 0; ///< Who leads, as far as it heard.
   std::size_t Applied_ = 0;
   FleetState State_;
   std::unique_ptr<JobAssigner> Assigner_;
@@ -65,18 +65,18 @@
     const double Local = static_cast<double>(Now_.count()) * Of.Rate_;
     return TimePoint(Of.Offset_ + Duration(static_cast<std::int64_t>(Local)));
   }
-  bool chance(unsigned Percent) { return Random_() % 100 < Percent; }
-  bool areCut(std::size_t A, std::size_t B) const {
+  bool happens(unsigned Percent) { return Random_() % 100 < Percent; }
+  bool arePartitioned(std::size_t A, std::size_t B) const {
     return A % DataCentres != B % DataCentres &&
-           (Cut_[A % DataCentres] || Cut_[B % DataCentres]);
+           (Partitioned_[A % DataCentres] || Partitioned_[B % DataCentres]);
   }
   /// Mostly short; some span an election, few span a lease.
   Duration makeDelay() {
-    const Duration Long = chance(20) ? Ttl * 2 : Ttl / 4;
-    const Duration Most = chance(10) ? Long : Ttl / 1000;
+    const Duration Long = happens(20) ? Ttl * 2 : Ttl / 4;
+    const Duration Most = happens(10) ? Long : Ttl / 1000;
     return Duration(static_cast<std::int64_t>(Random_() % Most.count()));
   }
-  void later(Duration Delay, std::function<void()> Event) {
+  void schedule(Duration Delay, std::function<void()> Event) {
     Events_.emplace(Now_ + Delay, std::move(Event));
   }
 
@@ -88,7 +88,7 @@
   void receiveReport(std::size_t From, std::size_t To,
                      const AssignmentReport &Report, TimePoint SentAt);
   void decide();
-  void releaseSome();
+  void releaseFirstHeldJob();
   void check();
   bool isHeldBy(std::size_t DataCentre, const JobId &Job) const;
 
@@ -97,13 +97,13 @@
   std::multimap<Duration, std::function<void()>> Events_;
   std::vector<Control> Controls_;
   std::vector<Command> Log_;
-  FleetState Truth_;
+  FleetState CommittedState_;
   std::size_t Leader_ = 0;
   std::uint64_t Term_ = 0;
-  bool Cut_[DataCentres] = {};
+  bool Partitioned_[DataCentres] = {};
   std::vector<Command> InFlight_; ///< Proposed by the leader of this term.
-  std::vector<std::pair<std::size_t, AssignmentHeld>> Given_; ///< Ever.
-  std::set<AssignmentHeld> Stopped_; ///< Their holder gave them back itself.
+  std::vector<std::pair<std::size_t, HeldAssignment>> Assignments_; ///< Ever.
+  std::set<HeldAssignment> Released_; ///< Their holder gave them back itself.
   std::size_t HeldChecks_ = 0;
   std::string Violation_;
 };
@@ -125,7 +125,7 @@
 }
 
 void Schedule::commit(const Command &Value) {
-  const CommandResult Result = Truth_.apply(Value);
+  const CommandResult Result = CommittedState_.apply(Value);
   Log_.push_back(Value);
   Control &Leader = Controls_[Leader_];
   if (Leader.Applied_ + 1 == Log_.size())
@@ -134,7 +134,7 @@
   if (!Assign || !Result.Error_.empty())
     return;
   const std::size_t Chosen = Assign->DataCentre_.value().back() - '0';
-  Given_.push_back({Chosen, {Assign->Job_, Result.Assignment_}});
+  Assignments_.push_back({Chosen, {Assign->Job_, Result.Assignment_}});
 }
 
 void Schedule::applyAll(Control &To) {
@@ -154,20 +154,20 @@
   Leader_ = Random_() % Controls;
   Control &New = Controls_[Leader_];
   applyAll(New);
-  New.Assigner_->noteLeading(readClock(New));
+  New.Assigner_->startLeading(readClock(New));
 }
 
 void Schedule::replicate(Control &To, std::size_t Number) {
-  if (areCut(Number, Leader_) || chance(50))
+  if (arePartitioned(Number, Leader_) || happens(50))
     return;
-  To.Believed_ = Leader_;
+  To.KnownLeader_ = Leader_;
   applyAll(To);
 }
 
 void Schedule::sendReport(std::size_t From) {
   Control &Sender = Controls_[From];
   const DataCentreId Own = nameDataCentre(From);
-  std::vector<AssignmentHeld> Standing;
+  std::vector<HeldAssignment> Standing;
   if (const auto Held = Sender.State_.jobs().held().find(Own);
       Held != Sender.State_.jobs().held().end())
     for (const JobId &Job : Held->second)
@@ -175,9 +175,9 @@
   const TimePoint SentAt = readClock(Sender);
   AssignmentReport Report{Own, true, {0.5, 0, 8}, {}};
   Report.Due_ = Sender.Lease_->listDue(Standing, SentAt, Jobs);
-  if (areCut(From, Sender.Believed_))
+  if (arePartitioned(From, Sender.KnownLeader_))
     return;
-  later(makeDelay(), [this, From, To = Sender.Believed_, Report, SentAt] {
+  schedule(makeDelay(), [this, From, To = Sender.KnownLeader_, Report, SentAt] {
     receiveReport(From, To, Report, SentAt);
   });
 }
@@ -186,15 +186,15 @@
                              const AssignmentReport &Report, TimePoint SentAt) {
   // Replica::holdsLeaderLease; a process that is frozen right after it goes on
   // long afterwards with the state of then.
-  if (To != Leader_ || areCut(From, To))
+  if (To != Leader_ || arePartitioned(From, To))
     return;
-  const Duration Frozen = chance(5) ? Ttl * 2 : Duration::zero();
-  later(Frozen, [this, From, To, Report, SentAt] {
+  const Duration Frozen = happens(5) ? Ttl * 2 : Duration::zero();
+  schedule(Frozen, [this, From, To, Report, SentAt] {
     Control &Answering = Controls_[To];
     const auto Reply = Answering.Assigner_->renew(
         Report, Answering.State_.jobs(), readClock(Answering));
-    later(makeDelay(), [this, From, Reply, SentAt] {
-      Controls_[From].Lease_->noteRenewed(Reply, SentAt);
+    schedule(makeDelay(), [this, From, Reply, SentAt] {
+      Controls_[From].Lease_->recordRenewals(Reply, SentAt);
     });
   });
 }
@@ -205,9 +205,9 @@
            Leader.State_.jobs(), readClock(Leader), Budget)) {
     InFlight_.push_back(Value);
     // The worst moment to come back: while the release is on its way.
-    if (std::holds_alternative<ReleaseJob>(Value) && chance(30))
-      std::ranges::fill(Cut_, false);
-    later(makeDelay(), [this, Value, Term = Term_] {
+    if (std::holds_alternative<ReleaseJob>(Value) && happens(30))
+      std::ranges::fill(Partitioned_, false);
+    schedule(makeDelay(), [this, Value, Term = Term_] {
       if (Term != Term_)
         return;
       std::erase(InFlight_, Value);
@@ -217,18 +217,19 @@
 }
 
 /// A data centre stops a job and gives it back of its own accord.
-void Schedule::releaseSome() {
-  for (const auto &[DataCentre, Held] : Truth_.jobs().held()) {
+void Schedule::releaseFirstHeldJob() {
+  for (const auto &[DataCentre, Held] : CommittedState_.jobs().held()) {
     const JobId Job = *Held.begin();
-    const std::uint64_t Assignment = Truth_.jobs().find(Job)->Assignment_;
-    Stopped_.insert({Job, Assignment});
+    const std::uint64_t Assignment =
+        CommittedState_.jobs().find(Job)->Assignment_;
+    Released_.insert({Job, Assignment});
     return commit(ReleaseJob{Job, Assignment, false, ""});
   }
 }
 
 bool Schedule::isHeldBy(std::size_t DataCentre, const JobId &Job) const {
-  for (const auto &[Chosen, Held] : Given_) {
-    if (Chosen != DataCentre || Held.Job_ != Job || Stopped_.contains(Held))
+  for (const auto &[Chosen, Held] : Assignments_) {
+    if (Chosen != DataCentre || Held.Job_ != Job || Released_.contains(Held))
       continue;
     for (std::size_t I = DataCentre; I < Controls; I += DataCentres)
       if (Controls_[I].Lease_->covers(Held, readClock(Controls_[I])))
@@ -267,16 +268,16 @@
     }
     decide();
     if (Random_() % 200 == 0)
-      Cut_[Random_() % DataCentres] ^= true;
+      Partitioned_[Random_() % DataCentres] ^= true;
     if (Random_() % 700 == 0)
       changeLeader();
     if (Random_() % 300 == 0)
-      releaseSome();
+      releaseFirstHeldJob();
     check();
   }
 }
 
-std::size_t Schedule::getMoves() const { return Given_.size(); }
+std::size_t Schedule::getMoves() const { return Assignments_.size(); }
 
 TEST(AssignmentScheduleTest, NoJobIsEverHeldByTwoDataCentres) {
   std::size_t Moves = 0;
--- a/tests/fleet/BundleCheckTest.cpp
+++ b/tests/fleet/BundleCheckTest.cpp
@@ -59,7 +59,7 @@
 
 TEST(BundleCheckTest, EveryFieldIsRead) {
   const BundleCheck Check = checkBundle(makeFullBundle().dump());
-  ASSERT_EQ(Check.Bundle_.size(), 1U) << Check.Problems_.front().Place_;
+  ASSERT_EQ(Check.Bundle_.size(), 1U) << Check.Problems_.front().Location_;
   const Bundle &Read = Check.Bundle_.front();
   EXPECT_EQ(Read.Version_, BundleVersion(2));
   EXPECT_EQ(Read.SignOffsNeeded_, 2U);
@@ -81,7 +81,7 @@
   EXPECT_EQ(Read.Policy_.Targets_.at(0).P99_, std::chrono::milliseconds(80));
 }
 
-TEST(BundleCheckTest, LeftOutFieldsHaveTheDocumentedDefaults) {
+TEST(BundleCheckTest, OmittedFieldsHaveDocumentedDefaults) {
   const auto Check = checkBundle(makeBundleText(1, 0, ""));
   ASSERT_EQ(Check.Bundle_.size(), 1U);
   EXPECT_EQ(Check.Bundle_[0].Policy_, decide::Policy());
@@ -101,7 +101,7 @@
 } // namespace
 
 /// Each line breaks one rule; the problem must name that very place.
-TEST(BundleCheckTest, EachBrokenRuleIsReportedAtItsPlace) {
+TEST(BundleCheckTest, EachInvalidFieldIsReportedAtItsLocation) {
   const BadField Lines[] = {
       {"/version", 0},
       {"/version", "2"},
@@ -150,30 +150,30 @@
     json Value = makeFullBundle();
     Value[json::json_pointer(Line.Pointer_)] = Line.Value_;
     EXPECT_THAT(findProblems(Value.dump()),
-                Contains(Field(&BundleProblem::Place_, Line.Pointer_)))
+                Contains(Field(&BundleProblem::Location_, Line.Pointer_)))
         << Line.Pointer_ << " = " << Line.Value_;
   }
 }
 
-TEST(BundleCheckTest, RequiredFieldsAreMissed) {
+TEST(BundleCheckTest, MissingRequiredFieldsAreReported) {
   for (const char *Name : {"version", "parentVersion", "parentDigest", "note",
                            "operators", "services"}) {
     json Value = makeFullBundle();
     Value.erase(Name);
     EXPECT_THAT(
         findProblems(Value.dump()),
-        Contains(Field(&BundleProblem::Place_, std::string("/") + Name)));
+        Contains(Field(&BundleProblem::Location_, std::string("/") + Name)));
   }
 }
 
-TEST(BundleCheckTest, RepeatedEntriesAndSharedKeysAreRefused) {
+TEST(BundleCheckTest, DuplicateEntriesAndSharedKeysAreRejected) {
   json Value = makeFullBundle();
   Value["services"][1]["service"] = "booking";
   Value["operators"][1]["operator"] = "op1";
   Value["operators"][2]["publicKey"] = Value["operators"][0]["publicKey"];
   const auto Problems = findProblems(Value.dump());
   for (const char *Place : {"/services/1", "/operators/1", "/operators/2"})
-    EXPECT_THAT(Problems, Contains(Field(&BundleProblem::Place_, Place)));
+    EXPECT_THAT(Problems, Contains(Field(&BundleProblem::Location_, Place)));
 }
 
 TEST(BundleCheckTest, AllProblemsAreReportedAtOnce) {
@@ -185,21 +185,21 @@
   EXPECT_EQ(findProblems(Value.dump()).size(), 4U);
 }
 
-TEST(BundleCheckTest, AKeyThatStandsTwiceIsRefusedAtItsPlace) {
+TEST(BundleCheckTest, DuplicateKeyIsReportedAtItsLocation) {
   std::string Text = makeFullBundle().dump();
   const std::string Once = "\"queueLimit\":32";
   Text.replace(Text.find(Once), Once.size(), Once + "," + Once);
-  EXPECT_THAT(findProblems(Text), Contains(Field(&BundleProblem::Place_,
+  EXPECT_THAT(findProblems(Text), Contains(Field(&BundleProblem::Location_,
                                                  "/services/0/queueLimit")));
 }
 
-TEST(BundleCheckTest, SyntaxErrorsCarryLineAndColumn) {
+TEST(BundleCheckTest, SyntaxErrorHasLineAndColumn) {
   const auto Problems = findProblems("{\n  \"version\": 1,\n  oops\n}");
   ASSERT_EQ(Problems.size(), 1U);
-  EXPECT_EQ(Problems[0].Place_, "3:3");
+  EXPECT_EQ(Problems[0].Location_, "3:3");
 }
 
-TEST(BundleCheckTest, HugeAndDeepTextsAreRefused) {
+TEST(BundleCheckTest, OversizedAndDeeplyNestedTextsAreRejected) {
   EXPECT_EQ(findProblems(std::string(MaxBundleBytes + 1, ' ')).size(), 1U);
   EXPECT_EQ(findProblems(std::string(200'000, '[')).size(), 1U);
   EXPECT_FALSE(findProblems("{\"version\": 1e400}").empty());
@@ -246,7 +246,7 @@
   return "";
 }
 
-static void expectSoundVerdict(const std::string &Text) {
+static void expectConsistentResult(const std::string &Text) {
   const BundleCheck Check = checkBundle(Text);
   ASSERT_NE(Check.Bundle_.empty(), Check.Problems_.empty()) << Text;
   if (Check.Bundle_.empty())
@@ -255,7 +255,7 @@
   ASSERT_EQ(findIllTyped(Read, ""), "") << Text;
 }
 
-TEST(BundleFuzzTest, MutatedBytesNeverPassIllTyped) {
+TEST(BundleFuzzTest, MutatedTextIsNeverAcceptedWithWrongTypes) {
   const std::string Whole = makeFullBundle().dump();
   static constexpr char Likely[] = "{}[]\",:0123456789.-eE/*\\ntf \xff\0";
   std::mt19937_64 Random(4711);
@@ -272,13 +272,13 @@
       else
         Text[At] = Letter;
     }
-    expectSoundVerdict(Text);
+    expectConsistentResult(Text);
     Accepted += checkBundle(Text).Bundle_.size();
   }
   EXPECT_GT(Accepted, 0U) << "the mutations never leave a valid bundle";
 }
 
-TEST(BundleFuzzTest, SwappedValuesNeverPassIllTyped) {
+TEST(BundleFuzzTest, ReplacedValueIsNeverAcceptedWithWrongType) {
   const json Flat = makeFullBundle().flatten();
   const json Values = {nullptr,
                        true,
@@ -302,11 +302,11 @@
     auto Leaf = Flat.begin();
     std::advance(Leaf, Random() % Flat.size());
     Value[json::json_pointer(Leaf.key())] = Values[Random() % Values.size()];
-    expectSoundVerdict(Value.dump());
+    expectConsistentResult(Value.dump());
   }
 }
 
-TEST(BundleFuzzTest, RandomBytesAreRefused) {
+TEST(BundleFuzzTest, RandomBytesAreRejected) {
   std::mt19937_64 Random(99);
   for (int Round = 0; Round < 2000; ++Round) {
     std::string Text(Random() % 200, '\0');
--- a/tests/fleet/BundleBookTest.cpp
+++ b/tests/fleet/BundleRegistryTest.cpp
@@ -1,6 +1,6 @@
-//===- BundleBookTest.cpp -------------------------------------------------===//
+//===- BundleRegistryTest.cpp ---------------------------------------------===//
 
-#include "tulipweir/fleet/BundleBook.h"
+#include "tulipweir/fleet/BundleRegistry.h"
 #include "FleetFixture.h"
 
 #include <gtest/gtest.h>
@@ -14,11 +14,11 @@
 
 namespace {
 /// A book in which version 1 is in force, decided by 2 of 3 operators.
-class BundleBookTest : public testing::Test {
+class BundleRegistryTest : public testing::Test {
 protected:
-  BundleBookTest() {
+  BundleRegistryTest() {
     Book_.propose(makeProposal(First_, 1));
-    EXPECT_TRUE(Book_.sign(makeSigning(First_, 2)).Accepted_);
+    EXPECT_TRUE(Book_.sign(makeSignCommand(First_, 2)).Accepted_);
   }
   std::string makeNext(const std::string &Note) const {
     return makeBundleText(2, 1, computeDigest(First_).value(), 3, 2, Note);
@@ -26,48 +26,48 @@
   std::uint64_t inForce() const { return Book_.inForce().Version_.value(); }
 
   std::string First_ = makeBundleText(1, 0, "");
-  BundleBook Book_;
+  BundleRegistry Book_;
 };
 } // namespace
 
-TEST_F(BundleBookTest, AFirstBundleIsDecidedByItsOwnOperators) {
+TEST_F(BundleRegistryTest, FirstBundleIsSignedByItsOwnOperators) {
   EXPECT_EQ(inForce(), 1U);
   EXPECT_EQ(Book_.history().latest()->SignedBy_,
             (std::vector<OperatorId>{makeOperator(1), makeOperator(2)}));
 }
 
-TEST_F(BundleBookTest, ABundleWaitsForTheLastSignOff) {
+TEST_F(BundleRegistryTest, BundleIsAcceptedWithLastSignOff) {
   const auto Next = makeNext("");
   const CommandResult Kept = Book_.propose(makeProposal(Next, 1));
   EXPECT_EQ(Kept.Error_, "");
   EXPECT_FALSE(Kept.Accepted_);
   EXPECT_EQ(inForce(), 1U);
-  EXPECT_TRUE(Book_.sign(makeSigning(Next, 3)).Accepted_);
+  EXPECT_TRUE(Book_.sign(makeSignCommand(Next, 3)).Accepted_);
   EXPECT_EQ(inForce(), 2U);
 }
 
-TEST_F(BundleBookTest, AnOperatorIsNotCountedTwice) {
+TEST_F(BundleRegistryTest, OperatorIsNotCountedTwice) {
   const auto Next = makeNext("");
   Book_.propose(makeProposal(Next, 1));
   EXPECT_EQ(Book_.propose(makeProposal(Next, 1)).Error_, "already_exists");
-  EXPECT_EQ(Book_.sign(makeSigning(Next, 1)).Error_, "already_exists");
+  EXPECT_EQ(Book_.sign(makeSignCommand(Next, 1)).Error_, "already_exists");
   EXPECT_EQ(inForce(), 1U);
 }
 
-TEST_F(BundleBookTest, StrangersAndForgedSignaturesAreRefused) {
+TEST_F(BundleRegistryTest, UnknownOperatorsAndForgedSignaturesAreRejected) {
   const auto Next = makeNext("");
   Book_.propose(makeProposal(Next, 1));
-  SignBundle Forged = makeSigning(Next, 3);
+  SignBundle Forged = makeSignCommand(Next, 3);
   Forged.SignOff_.Operator_ = makeOperator(2);
   EXPECT_EQ(Book_.sign(Forged).Error_, "permission_denied");
-  EXPECT_EQ(Book_.sign(makeSigning(Next, 9)).Error_, "permission_denied");
-  SignBundle OtherText = makeSigning(makeNext("other"), 2);
+  EXPECT_EQ(Book_.sign(makeSignCommand(Next, 9)).Error_, "permission_denied");
+  SignBundle OtherText = makeSignCommand(makeNext("other"), 2);
   OtherText.Digest_ = computeDigest(Next);
   EXPECT_EQ(Book_.sign(OtherText).Error_, "permission_denied");
   EXPECT_EQ(inForce(), 1U);
 }
 
-TEST_F(BundleBookTest, TheListInForceDecidesNotTheProposedOne) {
+TEST_F(BundleRegistryTest, OperatorsInForceDecideNotProposedOnes) {
   // Operator 4 is only on the new list, and one sign-off would do there.
   const auto Next = makeBundleText(2, 1, computeDigest(First_).value(), 4, 1);
   EXPECT_EQ(Book_.propose(makeProposal(Next, 4)).Error_, "permission_denied");
@@ -75,14 +75,14 @@
   EXPECT_EQ(inForce(), 1U);
 }
 
-TEST_F(BundleBookTest, ResendingAnAcceptedOneSaysSo) {
+TEST_F(BundleRegistryTest, ResentAcceptedBundleIsReportedAsAccepted) {
   const auto Next = makeNext("");
   Book_.propose(makeProposal(Next, 1));
-  Book_.sign(makeSigning(Next, 2));
-  for (const CommandResult &Again :
-       {Book_.propose(makeProposal(Next, 1)), Book_.sign(makeSigning(Next, 2)),
-        Book_.propose(makeProposal(First_, 1)),
-        Book_.sign(makeSigning(First_, 3))}) {
+  Book_.sign(makeSignCommand(Next, 2));
+  for (const CommandResult &Again : {Book_.propose(makeProposal(Next, 1)),
+                                     Book_.sign(makeSignCommand(Next, 2)),
+                                     Book_.propose(makeProposal(First_, 1)),
+                                     Book_.sign(makeSignCommand(First_, 3))}) {
     EXPECT_EQ(Again.Error_, "already_exists");
     EXPECT_TRUE(Again.Accepted_);
   }
@@ -90,7 +90,7 @@
   EXPECT_EQ(Book_.history().size(), 2U);
 }
 
-TEST_F(BundleBookTest, ParentVersionAndParentDigestMustBothBeInForce) {
+TEST_F(BundleRegistryTest, ParentVersionAndParentDigestMustBothBeInForce) {
   const auto Digest1 = computeDigest(First_).value();
   for (const auto &Stale : {makeBundleText(1, 0, ""), makeBundleText(2, 0, ""),
                             makeBundleText(3, 2, Digest1),
@@ -101,27 +101,27 @@
   }
 }
 
-TEST_F(BundleBookTest, SignersOfALostProposalLearnWhichOneWon) {
+TEST_F(BundleRegistryTest, SignersOfSupersededProposalReceiveAcceptedDigest) {
   const auto Lost = makeNext("lost");
   const auto Won = makeNext("won");
   Book_.propose(makeProposal(Lost, 1));
   Book_.propose(makeProposal(Won, 2));
-  Book_.sign(makeSigning(Won, 3));
-  const CommandResult Told = Book_.sign(makeSigning(Lost, 2));
+  Book_.sign(makeSignCommand(Won, 3));
+  const CommandResult Told = Book_.sign(makeSignCommand(Lost, 2));
   EXPECT_EQ(Told.Error_, "conflict");
   EXPECT_EQ(Told.Digest_, computeDigest(Won));
   EXPECT_TRUE(Book_.proposals().empty());
 }
 
-TEST_F(BundleBookTest, AnOperatorsOldestProposalGivesWay) {
+TEST_F(BundleRegistryTest, OldestProposalOfAnOperatorIsEvicted) {
   for (int I = 0; I < 10; ++I)
     Book_.propose(makeProposal(makeNext(std::to_string(I)), 1));
-  EXPECT_EQ(Book_.proposals().size(), BundleBook::ProposalsPerOperator);
-  EXPECT_EQ(Book_.sign(makeSigning(makeNext("0"), 2)).Error_, "not_found");
-  EXPECT_TRUE(Book_.sign(makeSigning(makeNext("9"), 2)).Accepted_);
+  EXPECT_EQ(Book_.proposals().size(), BundleRegistry::MaxProposalsPerOperator);
+  EXPECT_EQ(Book_.sign(makeSignCommand(makeNext("0"), 2)).Error_, "not_found");
+  EXPECT_TRUE(Book_.sign(makeSignCommand(makeNext("9"), 2)).Accepted_);
 }
 
-TEST_F(BundleBookTest, ABrokenTextIsRefusedWithItsProblems) {
+TEST_F(BundleRegistryTest, InvalidTextIsRejectedWithItsProblems) {
   const CommandResult Result = Book_.propose(makeProposal("{}", 1));
   EXPECT_EQ(Result.Error_, "invalid_argument");
   EXPECT_NE(Result.Message_.find("/version is missing"), std::string::npos);
@@ -129,12 +129,12 @@
 
 /// 50 operators change version 1 at once, each resends what it is not sure
 /// of, and everything arrives in a random order.
-TEST(BundleRaceTest, OfFiftyEqualVersionsExactlyOneWins) {
+TEST(BundleRaceTest, ExactlyOneOfFiftyEqualVersionsIsAccepted) {
   static constexpr unsigned Operators = 50;
   for (unsigned Seed = 0; Seed < 8; ++Seed) {
     std::mt19937 Random(Seed);
     const auto First = makeBundleText(1, 0, "", Operators, 1);
-    BundleBook Book;
+    BundleRegistry Book;
     ASSERT_TRUE(Book.propose(makeProposal(First, 1)).Accepted_);
     std::vector<ProposeBundle> Sent;
     for (unsigned I = 1; I <= Operators; ++I)
@@ -160,9 +160,9 @@
   }
 }
 
-TEST(BundleHistoryTest, TextsAndDetailsAgeButVersionsAndDigestsStay) {
+TEST(BundleHistoryTest, OldTextsAndDetailsAreDroppedButVersionsAndDigestsKept) {
   BundleHistory History;
-  const std::size_t Count = BundleHistory::DetailsKept + 100;
+  const std::size_t Count = BundleHistory::MaxDetailedRecords + 100;
   for (std::uint64_t Version = 1; Version <= Count; ++Version) {
     AcceptedBundle Accepted;
     Accepted.Version_ = BundleVersion(Version);
@@ -178,19 +178,19 @@
   for (std::size_t I = 0; I < Count; ++I) {
     const std::uint64_t Version = Count - I;
     EXPECT_EQ(List[I].Digest_, computeDigest(std::to_string(Version)));
-    EXPECT_EQ(List[I].Text_.empty(), I >= BundleHistory::TextsKept);
-    EXPECT_EQ(List[I].Note_.empty(), I >= BundleHistory::DetailsKept);
+    EXPECT_EQ(List[I].Text_.empty(), I >= BundleHistory::MaxTexts);
+    EXPECT_EQ(List[I].Note_.empty(), I >= BundleHistory::MaxDetailedRecords);
   }
   EXPECT_EQ(History.findVersion(BundleVersion(7))->Digest_, computeDigest("7"));
   EXPECT_FALSE(History.findVersion(BundleVersion(Count + 1)));
 }
 
-TEST_F(BundleBookTest, ASnapshotWhosePartsDoNotFitIsRefused) {
+TEST_F(BundleRegistryTest, InconsistentSnapshotIsRejected) {
   Book_.propose(makeProposal(makeNext("waits"), 1));
   const AcceptedBundle InForce = *Book_.history().latest();
   const auto Restore = [&](const std::deque<AcceptedBundle> &Recent) {
-    return BundleBook::restore(BundleHistory({}, Recent), Book_.proposals(), {},
-                               Book_.nextSequence());
+    return BundleRegistry::restore(BundleHistory({}, Recent), Book_.proposals(),
+                                   {}, Book_.nextSequence());
   };
   EXPECT_EQ(Restore({InForce}).value(), Book_);
   AcceptedBundle OtherVersion = InForce;
@@ -205,7 +205,7 @@
   EXPECT_FALSE(Restore({InForce, InForce}).has_value()) << "does not rise";
   auto Proposals = Book_.proposals();
   Proposals.begin()->second.Text_ += " ";
-  EXPECT_FALSE(BundleBook::restore(BundleHistory({}, {InForce}), Proposals, {},
-                                   Book_.nextSequence())
+  EXPECT_FALSE(BundleRegistry::restore(BundleHistory({}, {InForce}), Proposals,
+                                       {}, Book_.nextSequence())
                    .has_value());
 }
--- a/tests/fleet/ExamplesTest.cpp
+++ b/tests/fleet/ExamplesTest.cpp
@@ -22,11 +22,11 @@
 static decide::Policy checkExample(const std::string &Text) {
   const BundleCheck Check = checkBundle(Text);
   for (const BundleProblem &Problem : Check.Problems_)
-    ADD_FAILURE() << Problem.Place_ << " " << Problem.Text_;
+    ADD_FAILURE() << Problem.Location_ << " " << Problem.Text_;
   return Check.Bundle_.empty() ? decide::Policy() : Check.Bundle_[0].Policy_;
 }
 
-TEST(ExamplesTest, BothDeploymentsPassTheCheckAndWeighDifferently) {
+TEST(ExamplesTest, DeploymentExamplesAreValidAndUseDifferentWeights) {
   const auto Trust = checkExample(readExample("trust.bundle.json"));
   const auto Franchise = checkExample(readExample("franchise.bundle.json"));
   EXPECT_GT(Trust.TailWeight_, Trust.ThroughputWeight_);
@@ -34,7 +34,7 @@
   EXPECT_GT(Franchise.EvictionWeight_, Franchise.TailWeight_);
 }
 
-TEST(ExamplesTest, TheLocalTemplatePassesOnceKeysArePutIn) {
+TEST(ExamplesTest, LocalTemplateIsValidOnceKeysAreFilledIn) {
   std::string Text = readExample("local.bundle.json");
   const std::string Mark = "\"@PUBLIC_KEY@\"";
   EXPECT_FALSE(checkBundle(Text).Problems_.empty());
--- a/tests/fleet/FleetDifferentialTest.cpp
+++ b/tests/fleet/FleetDifferentialTest.cpp
@@ -44,9 +44,9 @@
   };
 
   /// Whether the bundle is in force or was.
-  bool noteSigned(const Proposal &Shape, const std::string &Signer);
+  bool addSignature(const Proposal &Shape, const std::string &Signer);
   void apply(const Command &Value);
-  bool isSame(const FleetState &Real) const;
+  bool matches(const FleetState &Real) const;
 
 private:
   Job *find(const JobId &Name) {
@@ -63,7 +63,8 @@
 
 } // namespace
 
-bool NaiveFleet::noteSigned(const Proposal &Shape, const std::string &Signer) {
+bool NaiveFleet::addSignature(const Proposal &Shape,
+                              const std::string &Signer) {
   for (const Proposal &One : Accepted_)
     if (One.Text_ == Shape.Text_)
       return true;
@@ -128,7 +129,7 @@
   }
 }
 
-bool NaiveFleet::isSame(const FleetState &Real) const {
+bool NaiveFleet::matches(const FleetState &Real) const {
   const auto History = Real.bundles().history().list(Accepted_.size() + 1);
   if (History.size() != Accepted_.size())
     return false;
@@ -176,8 +177,8 @@
 }
 
 /// A version and parent near those in force, right more often than not.
-static NaiveFleet::Proposal makeShape(const FleetState &Real,
-                                      std::mt19937_64 &Random) {
+static NaiveFleet::Proposal makeRandomProposal(const FleetState &Real,
+                                               std::mt19937_64 &Random) {
   const AcceptedBundle *Latest = Real.bundles().history().latest();
   NaiveFleet::Proposal Shape;
   Shape.Parent_ = Latest ? Latest->Version_.value() : 0;
@@ -195,7 +196,7 @@
   return Shape;
 }
 
-TEST(FleetDifferentialTest, SameAsTheNaiveOneThroughSnapshots) {
+TEST(FleetDifferentialTest, MatchesNaiveModelAcrossSnapshots) {
   for (std::uint64_t Seed = 0; Seed < 12; ++Seed) {
     std::mt19937_64 Random(Seed);
     FleetState Real;
@@ -203,10 +204,10 @@
     BundleVersion Highest;
     for (int Step = 0; Step < 300; ++Step) {
       if (Random() % 3 == 0) {
-        const auto Shape = makeShape(Real, Random);
+        const auto Shape = makeRandomProposal(Real, Random);
         const unsigned Signer = 1 + Random() % Operators;
         const bool Expected =
-            Naive.noteSigned(Shape, makeOperator(Signer).value());
+            Naive.addSignature(Shape, makeOperator(Signer).value());
         const auto Result = Real.apply(makeProposal(Shape.Text_, Signer));
         ASSERT_EQ(Result.Accepted_, Expected) << Seed << ":" << Step;
       } else {
@@ -214,7 +215,7 @@
         Naive.apply(Value);
         Real.apply(Value);
       }
-      ASSERT_TRUE(Naive.isSame(Real)) << Seed << ":" << Step;
+      ASSERT_TRUE(Naive.matches(Real)) << Seed << ":" << Step;
       if (Random() % 10 == 0) {
         const auto Restored = decodeState(encodeState(Real));
         ASSERT_TRUE(Restored.has_value());
--- a/tests/fleet/FleetFixture.h
+++ b/tests/fleet/FleetFixture.h
@@ -19,7 +19,7 @@
   std::string Seed(64, '0');
   for (std::size_t I = Seed.size(); Number > 0; Number /= 10)
     Seed[--I] = static_cast<char>('0' + Number % 10);
-  return readKeyPair(Seed).value();
+  return deriveKeyPair(Seed).value();
 }
 
 inline OperatorId makeOperator(unsigned Number) {
@@ -62,7 +62,7 @@
   return {Text, makeSignOff(computeDigest(Text), Operator), 1000};
 }
 
-inline SignBundle makeSigning(const std::string &Text, unsigned Operator) {
+inline SignBundle makeSignCommand(const std::string &Text, unsigned Operator) {
   const Digest Value = computeDigest(Text);
   return {Value, makeSignOff(Value, Operator), 1000};
 }
--- a/tests/fleet/FleetMachineTest.cpp
+++ b/tests/fleet/FleetStateMachineTest.cpp
@@ -1,9 +1,9 @@
-//===- FleetMachineTest.cpp -----------------------------------------------===//
+//===- FleetStateMachineTest.cpp ------------------------------------------===//
 
-#include "tulipweir/fleet/FleetMachine.h"
+#include "tulipweir/fleet/FleetStateMachine.h"
 #include "FleetFixture.h"
+#include "tulipweir/fleet/ActiveBundle.h"
 #include "tulipweir/fleet/FleetCodec.h"
-#include "tulipweir/fleet/HeldBundle.h"
 
 #include <gtest/gtest.h>
 
@@ -19,7 +19,7 @@
 using namespace tulipweir::fleet;
 using namespace tulipweir::fleet::test;
 
-static CommandResult applyTo(FleetMachine &Machine, const Command &Value) {
+static CommandResult applyTo(FleetStateMachine &Machine, const Command &Value) {
   const std::string Bytes = encodeCommand(Value);
   return decodeResult(Machine.apply({1, 1, Bytes})).value();
 }
@@ -37,12 +37,12 @@
           EndJob{Job, 4, JobEnd::Cancelled, "m", 5}};
 }
 
-TEST(FleetCodecTest, EveryCommandSurvivesTheRoundTrip) {
+TEST(FleetCodecTest, CommandsRoundTrip) {
   for (const Command &Value : makeOneOfEach())
     EXPECT_EQ(decodeCommand(encodeCommand(Value)).value(), Value);
 }
 
-TEST(FleetCodecTest, CutLongerAndChangedBytesNeverCrash) {
+TEST(FleetCodecTest, TruncatedExtendedAndMutatedBytesDoNotCrash) {
   std::mt19937_64 Random(7);
   for (const Command &Value : makeOneOfEach()) {
     const std::string Whole = encodeCommand(Value);
@@ -61,13 +61,13 @@
   }
 }
 
-TEST(FleetCodecTest, AClaimOfBillionsOfEntriesIsRefusedCheaply) {
+TEST(FleetCodecTest, HugeEntryCountIsRejectedWithoutAllocation) {
   const std::string Claim("\xdd\xff\xff\xff\xff", 5);
   EXPECT_EQ(decodeCommand(Claim).error().Code_, ErrorCode::Malformed);
   EXPECT_EQ(decodeState(Claim).error().Code_, ErrorCode::Malformed);
 }
 
-TEST(FleetCodecTest, TooFewAndTooManyFieldsAreRefused) {
+TEST(FleetCodecTest, WrongFieldCountIsRejected) {
   // CancelJob is kind 5 with one field; bin8 of length 1 is c4 01 61.
   const std::string Right("\x92\x05\x91\xc4\x01\x61", 6);
   const std::string Fewer("\x92\x05\x90", 3);
@@ -77,13 +77,13 @@
   EXPECT_FALSE(decodeCommand(More).has_value());
 }
 
-TEST(FleetCodecTest, AnotherSnapshotFormatIsNamedAsSuch) {
+TEST(FleetCodecTest, OtherSnapshotFormatGivesVersionMismatch) {
   std::string Bytes = encodeState(FleetState());
   Bytes[1] = 2; // After the array's header.
   EXPECT_EQ(decodeState(Bytes).error().Code_, ErrorCode::VersionMismatch);
 }
 
-TEST(FleetCodecTest, AChangedSnapshotIsRefusedOrGoesOnWorking) {
+TEST(FleetCodecTest, MutatedSnapshotIsRejectedOrUsable) {
   FleetState Whole;
   const auto First = makeBundleText(1, 0, "", 2, 1);
   const auto Next = makeBundleText(2, 1, computeDigest(First).value(), 2, 2);
@@ -111,7 +111,7 @@
       State.apply(AssignJob{JobId(Name), DataCentreId("x")});
       State.apply(ReleaseJob{JobId(Name), 1, true, ""});
     }
-    State.apply(makeSigning(Waiting, 2));
+    State.apply(makeSignCommand(Waiting, 2));
     std::size_t Open = State.jobs().unassigned().size();
     for (const auto &Entry : State.jobs().held())
       Open += Entry.second.size();
@@ -120,7 +120,7 @@
   EXPECT_GT(Taken, 0U);
 }
 
-TEST(FleetCodecTest, ReportsAndRepliesSurviveTheRoundTrip) {
+TEST(FleetCodecTest, ReportsAndRepliesRoundTrip) {
   const AssignmentReport Report{
       DataCentreId("dc"), true, {0.5, 3, 48}, {{JobId("j"), 2}}};
   EXPECT_EQ(decodeReport(encodeReport(Report)).value(), Report);
@@ -133,9 +133,9 @@
   EXPECT_EQ(decodeReply(encodeReply(Reply)).value(), Reply);
 }
 
-TEST(FleetMachineTest, TellsItsListenerAndAnswersQueries) {
+TEST(FleetStateMachineTest, NotifiesListenerAndAnswersQueries) {
   std::vector<std::string> Heard;
-  FleetMachine Machine([&](const Command &, const CommandResult &Result) {
+  FleetStateMachine Machine([&](const Command &, const CommandResult &Result) {
     Heard.push_back(Result.Error_);
   });
   EXPECT_FALSE(Machine.getInForce());
@@ -155,9 +155,9 @@
   EXPECT_EQ(Heard.size(), 5U);
 }
 
-TEST(FleetMachineTest, AReplayedHistoryShowsNoneOfItsOlderBundles) {
+TEST(FleetStateMachineTest, ReplayedBatchExposesNoOlderBundles) {
   std::size_t Heard = 0;
-  FleetMachine Machine([&](const Command &, const CommandResult &) {
+  FleetStateMachine Machine([&](const Command &, const CommandResult &) {
     // After the batch, so that a listener finds its last state.
     EXPECT_EQ(Machine.getBundle()->Version_, BundleVersion(2));
     ++Heard;
@@ -178,18 +178,18 @@
   EXPECT_EQ(Heard, 2U);
 }
 
-TEST(FleetMachineTest, BytesThatAreNoCommandChangeNothing) {
-  FleetMachine Machine;
+TEST(FleetStateMachineTest, MalformedCommandChangesNothing) {
+  FleetStateMachine Machine;
   const std::string Before = Machine.takeSnapshot();
   const auto Result = decodeResult(Machine.apply({1, 1, "rubbish"}));
   EXPECT_EQ(Result.value().Error_, "malformed");
   EXPECT_EQ(Machine.takeSnapshot(), Before);
 }
 
-TEST(FleetMachineTest, ABadSnapshotChangesNothingAndAGoodOneRestoresAll) {
+TEST(FleetStateMachineTest, OnlyWellFormedSnapshotReplacesState) {
   unsigned Restored = 0;
-  FleetMachine Machine;
-  FleetMachine Other(nullptr, [&Restored] { ++Restored; });
+  FleetStateMachine Machine;
+  FleetStateMachine Other(nullptr, [&Restored] { ++Restored; });
   applyTo(Machine, makeProposal(makeBundleText(1, 0, "", 1, 1), 1));
   applyTo(Other, SubmitJob{JobId("j"), TeamId("t"), "s", {}, 1});
   const std::string Good = Machine.takeSnapshot();
@@ -211,9 +211,9 @@
   return {BundleVersion(Version), computeDigest(Text), Text};
 }
 
-TEST(HeldBundleTest, VersionsOnlyRiseInWhateverOrderTheyArrive) {
+TEST(ActiveBundleTest, VersionNeverDecreasesWhateverTheOrder) {
   std::mt19937_64 Random(3);
-  HeldBundle Held;
+  ActiveBundle Held;
   std::uint64_t Highest = 0;
   for (int Round = 0; Round < 300; ++Round) {
     const std::uint64_t Version = 1 + Random() % 40;
@@ -227,9 +227,9 @@
 
 /// The lower version takes longer to read, so that the higher one is adopted
 /// meanwhile.
-TEST(HeldBundleTest, ALowerVersionReadBesideAHigherOneDoesNotReplaceIt) {
+TEST(ActiveBundleTest, LowerVersionAdoptedConcurrentlyDoesNotReplaceHigherOne) {
   static constexpr std::uint64_t Rounds = 40;
-  HeldBundle Held;
+  ActiveBundle Held;
   for (std::uint64_t Round = 0; Round < Rounds; ++Round) {
     auto Value = makeBundleJson(2 * Round + 1, 0, "", 1, 1);
     for (int I = 0; I < 200; ++I)
@@ -251,8 +251,8 @@
   }
 }
 
-TEST(HeldBundleTest, DamagedAndContradictingBundlesAreRefused) {
-  HeldBundle Held;
+TEST(ActiveBundleTest, CorruptAndConflictingBundlesAreRejected) {
+  ActiveBundle Held;
   ASSERT_TRUE(Held.adopt(makeOffered(2)).value());
   auto Damaged = makeOffered(3);
   Damaged.Text_ += " ";
--- a/tests/fleet/JobAssignerTest.cpp
+++ b/tests/fleet/JobAssignerTest.cpp
@@ -18,13 +18,13 @@
 /// One leader and what it is told, by hand.
 class JobAssignerTest : public testing::Test {
 protected:
-  JobAssignerTest() { Assigner_.noteLeading(at(0)); }
+  JobAssignerTest() { Assigner_.startLeading(at(0)); }
   static TimePoint at(int Second) { return TimePoint(seconds(100 + Second)); }
   void submit(const char *Job, const char *Preferred = "") {
     State_.apply(
         SubmitJob{JobId(Job), TeamId("t"), "s", DataCentreId(Preferred), 0});
   }
-  void hear(const char *DataCentre, int Second, DataCentreLoad Load) {
+  void reportLoad(const char *DataCentre, int Second, DataCentreLoad Load) {
     Assigner_.renew({DataCentreId(DataCentre), true, Load, {}}, State_.jobs(),
                     at(Second));
   }
@@ -46,55 +46,55 @@
 using Names = std::vector<std::string>;
 } // namespace
 
-TEST_F(JobAssignerTest, ANewLeaderListensBeforeItAssigns) {
+TEST_F(JobAssignerTest, NewLeaderWaitsBeforeAssigning) {
   submit("a");
-  hear("east", 0, {0, 0, 8});
+  reportLoad("east", 0, {0, 0, 8});
   EXPECT_EQ(decide(1), Names());
   EXPECT_EQ(decide(3), Names{"east"});
 }
 
-TEST_F(JobAssignerTest, PrefersTheNamedDataCentreWhileItIsReachable) {
+TEST_F(JobAssignerTest, PreferredDataCentreIsChosenWhileReachable) {
   submit("a", "west");
-  hear("east", 3, {0, 0, 8});
-  hear("west", 3, {1, 50, 8});
+  reportLoad("east", 3, {0, 0, 8});
+  reportLoad("west", 3, {1, 50, 8});
   EXPECT_EQ(decide(3), Names{"west"});
   submit("b", "west");
-  hear("east", 20, {0, 0, 8});
+  reportLoad("east", 20, {0, 0, 8});
   EXPECT_EQ(decide(20), Names{"east"}) << "west was last heard 17 s ago";
 }
 
-TEST_F(JobAssignerTest, SpreadsAWaveBetweenTwoReportsOfLoad) {
+TEST_F(JobAssignerTest, JobsAreSpreadBetweenLoadReports) {
   for (const char *Job : {"a", "b", "c", "d"})
     submit(Job);
-  hear("east", 3, {0, 0, 8});
-  hear("west", 3, {0, 0, 8});
+  reportLoad("east", 3, {0, 0, 8});
+  reportLoad("west", 3, {0, 0, 8});
   const auto Chosen = decide(3);
   EXPECT_EQ(std::ranges::count(Chosen, "east"), 2);
   EXPECT_EQ(std::ranges::count(Chosen, "west"), 2);
 }
 
-TEST_F(JobAssignerTest, TheLessLoadedOneGetsTheJobAndOneWithoutServersNone) {
+TEST_F(JobAssignerTest, LeastLoadedDataCentreWithServersIsChosen) {
   submit("a");
-  hear("east", 3, {0.9, 4, 8});
-  hear("west", 3, {0.2, 0, 8});
-  hear("empty", 3, {0, 0, 0});
+  reportLoad("east", 3, {0.9, 4, 8});
+  reportLoad("west", 3, {0.2, 0, 8});
+  reportLoad("empty", 3, {0, 0, 0});
   EXPECT_EQ(decide(3), Names{"west"});
 }
 
-TEST_F(JobAssignerTest, AJobMovesOnlyAfterTtlAndMargin) {
+TEST_F(JobAssignerTest, JobMovesOnlyAfterTtlAndMargin) {
   submit("a");
-  hear("east", 3, {0, 0, 8});
+  reportLoad("east", 3, {0, 0, 8});
   decide(3);
-  hear("west", 1027, {0, 0, 8});
+  reportLoad("west", 1027, {0, 0, 8});
   EXPECT_EQ(decide(1027), Names());
-  hear("west", 1028, {0, 0, 8});
+  reportLoad("west", 1028, {0, 0, 8});
   EXPECT_EQ(decide(1028), Names{"release"});
   EXPECT_EQ(decide(1028), Names{"west"});
 }
 
-TEST_F(JobAssignerTest, ProposesAgainOnlyAfterAWhile) {
+TEST_F(JobAssignerTest, ProposalIsRetriedOnlyAfterRetryInterval) {
   submit("a");
-  hear("east", 3, {0, 0, 8});
+  reportLoad("east", 3, {0, 0, 8});
   EXPECT_EQ(Assigner_.decide(State_.jobs(), at(3), 10).size(), 1U);
   EXPECT_EQ(Assigner_.decide(State_.jobs(), at(7), 10).size(), 0U);
   EXPECT_EQ(Assigner_.decide(State_.jobs(), at(8), 10).size(), 1U);
--- a/tests/fleet/JobBookTest.cpp
+++ b/tests/fleet/JobRegistryTest.cpp
@@ -1,6 +1,6 @@
-//===- JobBookTest.cpp ----------------------------------------------------===//
+//===- JobRegistryTest.cpp ------------------------------------------------===//
 
-#include "tulipweir/fleet/JobBook.h"
+#include "tulipweir/fleet/JobRegistry.h"
 
 #include <gtest/gtest.h>
 
@@ -24,16 +24,16 @@
   return {Job, Assignment, JobEnd::Finished, "done", 9};
 }
 
-TEST(JobBookTest, ResubmittingTheSameJobIsToldSoAndAnotherIsAConflict) {
-  JobBook Book;
+TEST(JobRegistryTest, ResubmissionIsDetectedAndReusedNameConflicts) {
+  JobRegistry Book;
   EXPECT_EQ(Book.submit(makeJob(Job)).Error_, "");
   EXPECT_EQ(Book.submit(makeJob(Job)).Error_, "already_exists");
   EXPECT_EQ(Book.submit(makeJob(Job, "other")).Error_, "conflict");
   EXPECT_EQ(Book.jobs().size(), 1U);
 }
 
-TEST(JobBookTest, AJobIsHeldByOneDataCentreAtATime) {
-  JobBook Book;
+TEST(JobRegistryTest, JobIsHeldByOneDataCentreAtATime) {
+  JobRegistry Book;
   Book.submit(makeJob(Job));
   EXPECT_EQ(Book.assign({Job, East}).Assignment_, 1U);
   EXPECT_EQ(Book.assign({Job, West}).Error_, "conflict");
@@ -44,8 +44,8 @@
   EXPECT_EQ(Book.find(Job)->Progress_, "half");
 }
 
-TEST(JobBookTest, AnEarlierHolderCanNeitherReleaseNorEnd) {
-  JobBook Book;
+TEST(JobRegistryTest, EarlierHolderCanNeitherReleaseNorEndJob) {
+  JobRegistry Book;
   Book.submit(makeJob(Job));
   Book.assign({Job, East});
   Book.release(makeRelease(1));
@@ -60,8 +60,8 @@
   EXPECT_EQ(Book.assign({Job, East}).Error_, "already_exists");
 }
 
-TEST(JobBookTest, CancellingEndsAtOnceOnlyWhatNobodyHolds) {
-  JobBook Book;
+TEST(JobRegistryTest, CancelEndsOnlyUnassignedJobsImmediately) {
+  JobRegistry Book;
   Book.submit(makeJob(Job));
   Book.assign({Job, East});
   EXPECT_EQ(Book.cancel({Job}).Error_, "");
@@ -76,47 +76,47 @@
   EXPECT_EQ(Book.find(Waiting)->End_, JobEnd::Cancelled);
 }
 
-TEST(JobBookTest, OpenAndEndedJobsAreBounded) {
-  JobBook Book;
-  for (std::size_t I = 0; I < JobBook::EndedKept + 10; ++I) {
+TEST(JobRegistryTest, NumbersOfOpenAndEndedJobsAreBounded) {
+  JobRegistry Book;
+  for (std::size_t I = 0; I < JobRegistry::MaxEndedJobs + 10; ++I) {
     const JobId Name(std::to_string(I));
     Book.submit(makeJob(Name, std::string(5000, 'x')));
     Book.cancel({Name});
   }
-  EXPECT_EQ(Book.jobs().size(), JobBook::EndedKept);
+  EXPECT_EQ(Book.jobs().size(), JobRegistry::MaxEndedJobs);
   EXPECT_EQ(Book.find(JobId("9")), nullptr);
   EXPECT_EQ(Book.find(JobId("10"))->Spec_, "") << "long specs are dropped";
   EXPECT_EQ(Book.submit(makeJob(JobId("10"), std::string(5000, 'x'))).Error_,
             "already_exists");
   EXPECT_EQ(Book.submit(makeJob(JobId("10"))).Error_, "conflict");
-  for (std::size_t I = 0; I < JobBook::MaxOpen; ++I)
+  for (std::size_t I = 0; I < JobRegistry::MaxOpenJobs; ++I)
     Book.submit(makeJob(JobId("open" + std::to_string(I)), ""));
   EXPECT_EQ(Book.submit(makeJob(JobId("more"))).Error_, "unavailable");
 }
 
-TEST(JobBookTest, AbsurdSizesAreRefused) {
-  JobBook Book;
+TEST(JobRegistryTest, OversizedFieldsAreRejected) {
+  JobRegistry Book;
   EXPECT_EQ(Book.submit(makeJob(JobId())).Error_, "invalid_argument");
   EXPECT_EQ(Book.submit(makeJob(JobId(std::string(129, 'x')))).Error_,
             "invalid_argument");
-  const std::string Long(JobBook::MaxSpecBytes + 1, 'x');
+  const std::string Long(JobRegistry::MaxSpecBytes + 1, 'x');
   EXPECT_EQ(Book.submit(makeJob(Job, Long)).Error_, "invalid_argument");
   Book.submit(makeJob(Job));
   Book.assign({Job, East});
-  const std::string LongProgress(JobBook::MaxProgressBytes + 1, 'x');
+  const std::string LongProgress(JobRegistry::MaxProgressBytes + 1, 'x');
   EXPECT_EQ(Book.release(makeRelease(1, LongProgress)).Error_, "too_large");
 }
 
-TEST(JobBookTest, ASnapshotWhoseEndedJobsDoNotFitIsRefused) {
-  JobBook Book;
+TEST(JobRegistryTest, SnapshotWithWrongEndedJobsIsRejected) {
+  JobRegistry Book;
   Book.submit(makeJob(Job));
   Book.submit(makeJob(JobId("ended")));
   Book.cancel({JobId("ended")});
   const auto Jobs = Book.jobs();
-  EXPECT_EQ(JobBook::restore(Jobs, Book.ended()).value(), Book);
+  EXPECT_EQ(JobRegistry::restore(Jobs, Book.ended()).value(), Book);
   for (const std::deque<JobId> &Wrong : {std::deque<JobId>{},
                                          {Job},
                                          {JobId("ended"), JobId("none")},
                                          {JobId("ended"), JobId("ended")}})
-    EXPECT_FALSE(JobBook::restore(Jobs, Wrong).has_value());
+    EXPECT_FALSE(JobRegistry::restore(Jobs, Wrong).has_value());
 }
