--- a/bench/fleet/FleetBench.cpp
+++ b/bench/fleet/FleetBench.cpp
@@ -1,4 +1,4 @@
-//===- FleetBench.cpp - Bundles and jobs at the target size ---------------===//
+//===- FleetBench.cpp - Bundles and jobs at full size --------------------===//
 //
 // 190 teams, 100 services, 50 operators; 8,000 jobs a day.
 //
@@ -84,7 +84,7 @@
 }
 BENCHMARK(checkTargetBundle)->Unit(benchmark::kMicrosecond);
 
-/// The first time that a process sees the keys.
+/// Checks keys that are not in the cache of validated keys yet.
 static void checkNewKeys(benchmark::State &State) {
   for (auto _ : State) {
     State.PauseTiming();
@@ -99,7 +99,7 @@
 }
 BENCHMARK(checkNewKeys)->Unit(benchmark::kMicrosecond)->Iterations(50);
 
-/// A chain of bundles, each the child of the one before.
+/// Accepts a chain of bundles, each the child of the previous one.
 static void acceptTargetBundle(benchmark::State &State) {
   FleetState Fleet;
   std::uint64_t Version = 0;
@@ -123,8 +123,8 @@
   return JobId("job-" + std::to_string(Number));
 }
 
-/// Submit, assign and end: what each of 8,000 jobs a day costs a replica, with
-/// Open other jobs in the state.
+/// Submits, assigns and ends a job, which is the cost of each of 8,000 jobs a
+/// day to a replica, with range(0) other jobs open.
 static void runJobThroughLog(benchmark::State &State) {
   FleetState Fleet;
   const std::string Spec(500, 's');
@@ -141,7 +141,7 @@
 }
 BENCHMARK(runJobThroughLog)->Arg(100)->Arg(10'000)->Arg(90'000);
 
-/// One round of the leader with Open jobs held by four data centres.
+/// Runs one round of the leader with range(0) jobs held by four data centres.
 static void decideAssignments(benchmark::State &State) {
   JobRegistry Jobs;
   JobAssigner Assigner((AssignmentTimes()));
@@ -159,7 +159,7 @@
 }
 BENCHMARK(decideAssignments)->Arg(100)->Arg(10'000);
 
-/// A snapshot with as many bundles and ended jobs as are ever kept.
+/// Encodes a snapshot with the maximum number of ended jobs.
 static void encodeFullState(benchmark::State &State) {
   FleetState Fleet;
   const std::string Spec(500, 's');
--- a/include/tulipweir/fleet/ActiveBundle.h
+++ b/include/tulipweir/fleet/ActiveBundle.h
@@ -1,7 +1,7 @@
-//===- ActiveBundle.h - Bundle that a process uses --------------*- C++ -*-===//
+//===- ActiveBundle.h - Bundle that a process uses -------------*- C++ -*-===//
 //
-// Its version only rises: whatever arrives late, twice or out of order, a
-// process never goes back to an older bundle.
+// The version only rises: a process never returns to an older bundle, even if
+// bundles arrive late, twice or out of order.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,16 +20,16 @@
 /// Thread-safe.
 class ActiveBundle {
 public:
-  /// Takes the bundle if it is newer than the one held and says whether it
-  /// did. Fails, and changes nothing, when the text does not fit its digest or
-  /// version (Corrupt), does not pass the check (InvalidArgument), or the
-  /// version held has another digest (Conflict).
+  /// Replaces the active bundle if Offered is newer and returns whether it did.
+  /// Fails without any change if the text does not match its digest or version
+  /// (Corrupt), if the text is invalid (InvalidArgument), or if the active
+  /// bundle has the same version and another digest (Conflict).
   Outcome<bool> adopt(const wire::SignedBundle &Offered);
 
-  /// Zero before the first.
+  /// Returns zero before the first bundle.
   BundleVersion getVersion() const;
   Digest getDigest() const;
-  /// nullptr before the first.
+  /// Returns nullptr before the first bundle.
   std::shared_ptr<const Bundle> getBundle() const;
 
 private:
--- a/include/tulipweir/fleet/AssignmentLease.h
+++ b/include/tulipweir/fleet/AssignmentLease.h
@@ -1,9 +1,10 @@
-//===- AssignmentLease.h - What a data centre may run, and until when -----===//
+//===- AssignmentLease.h - Job leases held by a data centre ----*- C++ -*-===//
 //
-// Kept by EVERY control process of a data centre, leader or not, each with its
-// own reports: then a data centre that is cut off keeps its jobs also when its
-// own leader changes. A process that restarts while cut off holds nothing
-// until the fleet's leader answers it. See AssignmentTimes.h for the argument.
+// Every control process of a data centre, leader or not, keeps one and renews
+// it with its own reports, so that a data centre that is cut off keeps its
+// jobs even if its own leader changes. A process that restarts while it is cut
+// off holds no lease until the fleet's leader answers it. AssignmentTimes.h
+// explains why this is safe.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,26 +27,27 @@
 
   // Commands.
 
-  /// The fleet's leader answered the report that was SENT at SentAt, by this
-  /// process's clock. Renewals of an earlier assignment of a job are ignored.
+  /// Records the fleet leader's reply to the report that was sent at SentAt, by
+  /// this process's clock. Renewals of an earlier assignment of a job are
+  /// ignored.
   void recordRenewals(const AssignmentReply &Reply, TimePoint SentAt);
 
-  /// Forgets what is no longer in Standing: the assignments that this
-  /// process's own fleet replica shows for its data centre.
+  /// Drops the leases that are not in Standing, the assignments that this
+  /// process's replica of the fleet's state lists for its data centre.
   void retain(const std::vector<HeldAssignment> &Standing);
 
   // Queries.
 
-  /// Whether the job may be run here until Until. Ask with the end of each
-  /// task lease before granting or renewing it.
+  /// Returns whether the job may run here until Until. Callers pass the expiry
+  /// of each task lease before they grant or renew it.
   bool covers(const HeldAssignment &Held, TimePoint Until) const;
 
-  /// Whether it is time to checkpoint and stop: less than StopLeadTime_ is
-  /// left, or nothing was ever renewed.
+  /// Returns whether the job must be checkpointed and stopped: less than
+  /// StopLeadTime_ is left, or the lease was never renewed.
   bool isExpiring(const HeldAssignment &Held, TimePoint Now) const;
 
-  /// Those of Standing to put into the next report, at most Limit; those that
-  /// end first come first.
+  /// Returns the assignments in Standing that the next report should renew, at
+  /// most Limit, the earliest expiry first.
   std::vector<HeldAssignment>
   listDue(const std::vector<HeldAssignment> &Standing, TimePoint Now,
           std::size_t Limit) const;
--- a/include/tulipweir/fleet/Bundle.h
+++ b/include/tulipweir/fleet/Bundle.h
@@ -1,8 +1,8 @@
 //===- Bundle.h - The operators' configuration -----------------*- C++ -*-===//
 //
-// A bundle is JSON with comments: services, caller limits, team quotas,
-// policy, operator keys. It is checked as a whole, and all that is wrong with
-// it is reported at once, each error with its place.
+// A bundle is JSON with comments: services, caller limits, team quotas, policy
+// and operator keys. It is checked as a whole; all problems are reported at
+// once, each with its location.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,23 +23,23 @@
 
 namespace tulipweir::fleet {
 
-/// How requests to one service are handled.
+/// Request handling of one service.
 struct ServiceConfig {
   ServiceId Service_;
   Duration DefaultDeadline_ = std::chrono::seconds(2);
   Duration MaxDeadline_ = std::chrono::seconds(60);
   Duration TargetP99_ = std::chrono::milliseconds(100);
-  std::uint32_t QueueLimit_ = 256; ///< Requests waiting per entry.
+  std::uint32_t QueueLimit_ = 256; ///< Queued requests per entry.
   std::uint64_t MaxBodyBytes_ = 1 << 20;
   bool HedgingAllowed_ = false;
-  /// Set aside for it on each backend server that serves it.
+  /// Reserved for the service on each backend server that serves it.
   Resources Share_;
   bool operator==(const ServiceConfig &) const = default;
 };
 
-/// A caller's token bucket.
+/// Token bucket of a caller.
 struct CallerLimit {
-  CallerId Caller_; ///< "*" is every caller not named.
+  CallerId Caller_; ///< "*" stands for every caller not listed.
   double RequestsPerSecond_ = 0;
   double Burst_ = 0;
   bool operator==(const CallerLimit &) const = default;
@@ -51,12 +51,12 @@
   bool operator==(const OperatorKey &) const = default;
 };
 
-/// A checked bundle.
+/// A bundle that has passed every check.
 struct Bundle {
   BundleVersion Version_;
   BundleVersion ParentVersion_;
   Digest ParentDigest_; ///< Empty for the first bundle.
-  std::string Note_;    ///< Why, for the history.
+  std::string Note_;    ///< Reason for the change, for the history.
   std::uint32_t SignOffsNeeded_ = 1;
   std::vector<OperatorKey> Operators_;
   std::vector<ServiceConfig> Services_;
@@ -67,27 +67,28 @@
   bool operator==(const Bundle &) const = default;
 };
 
-/// A longer text is refused before it is read. 190 teams and 100 services take
-/// under a quarter of it.
+/// Longer texts are rejected before they are parsed. A bundle with 190 teams
+/// and 100 services takes less than a quarter of this size.
 inline constexpr std::size_t MaxBundleBytes = std::size_t(256) << 10U;
 
-/// One thing wrong with a bundle's text.
+/// One problem in the text of a bundle.
 struct BundleProblem {
-  std::string Location_; ///< A JSON pointer, or "line:column" for syntax.
-  std::string Text_;     ///< What was found and what is allowed.
+  std::string Location_; ///< JSON pointer, or "line:column" of a syntax error.
+  std::string Text_;     ///< Actual value and allowed values.
   bool operator==(const BundleProblem &) const = default;
 };
 
-/// A checked bundle, or every problem with the text. Exactly one is filled.
+/// Result of a check: either the bundle or every problem in its text.
 struct BundleCheck {
-  std::vector<Bundle> Bundle_; ///< One element when there is no problem.
+  std::vector<Bundle>
+      Bundle_; ///< One element if there is no problem, else empty.
   std::vector<BundleProblem> Problems_;
 };
 
-/// Reads and checks the text of a bundle.
+/// Parses and checks the text of a bundle.
 BundleCheck checkBundle(std::string_view Text);
 
-/// BLAKE2b of the text, byte for byte.
+/// Returns the BLAKE2b hash of the text, byte for byte.
 Digest computeDigest(std::string_view Text);
 
 } // namespace tulipweir::fleet
--- a/include/tulipweir/fleet/BundleHistory.h
+++ b/include/tulipweir/fleet/BundleHistory.h
@@ -1,8 +1,9 @@
-//===- BundleHistory.h - Every bundle that was accepted --------*- C++ -*-===//
+//===- BundleHistory.h - History of accepted bundles -----------*- C++ -*-===//
 //
-// Grows by one record for each accepted bundle and never changes one. Full
-// texts are kept for the last 50, notes and signers for the last 10,000 (a
-// month at 320 a day), version, digest and time for all (48 bytes each).
+// The history grows by one record for each accepted bundle. The version, digest
+// and time of every bundle are kept for ever (48 bytes per bundle), notes and
+// signers for the last 10,000 (a month at 320 a day), full texts for the
+// last 50.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,12 +28,12 @@
   BundleVersion ParentVersion_;
   std::string Note_;                 ///< Empty once archived.
   std::vector<OperatorId> SignedBy_; ///< Empty once archived.
-  std::uint64_t WallMs_ = 0;         ///< When it was accepted.
-  std::string Text_;                 ///< Empty beyond the last 50.
+  std::uint64_t WallMs_ = 0;         ///< Time of acceptance.
+  std::string Text_; ///< Empty beyond the last MaxTexts bundles.
   bool operator==(const AcceptedBundle &) const = default;
 };
 
-/// What stays of a bundle for ever.
+/// The part of a record that is kept for ever.
 struct ArchivedBundle {
   std::uint64_t Version_ = 0;
   std::uint64_t WallMs_ = 0;
@@ -47,20 +48,20 @@
   static constexpr std::size_t MaxDetailedRecords = 10'000;
 
   BundleHistory() = default;
-  /// From a snapshot; both in rising order of versions.
+  /// Restores a history from a snapshot; both lists are sorted by version.
   BundleHistory(std::vector<ArchivedBundle> Archive,
                 std::deque<AcceptedBundle> Recent)
       : Archive_(std::move(Archive)), Recent_(std::move(Recent)) {}
 
-  /// Its version must be above all others.
+  /// Appends a bundle whose version must be higher than all others.
   void append(AcceptedBundle Accepted);
 
-  /// The bundle in force, or nullptr before the first.
+  /// Returns the bundle in force, or nullptr before the first.
   const AcceptedBundle *latest() const;
   std::optional<AcceptedBundle> findVersion(BundleVersion Version) const;
-  /// Among those with details only.
+  /// Searches only the bundles that are not archived.
   const AcceptedBundle *findDigest(const Digest &Value) const;
-  /// The newest first, at most Limit.
+  /// Returns at most Limit bundles, the newest first.
   std::vector<AcceptedBundle> list(std::size_t Limit) const;
   std::size_t size() const { return Archive_.size() + Recent_.size(); }
 
--- a/include/tulipweir/fleet/BundleRegistry.h
+++ b/include/tulipweir/fleet/BundleRegistry.h
@@ -1,9 +1,10 @@
-//===- BundleRegistry.h - Bundle proposals and sign-offs --------*- C++ -*-===//
+//===- BundleRegistry.h - Bundle proposals and sign-offs -------*- C++ -*-===//
 //
-// The bundle part of the fleet's state. A bundle is accepted once k operators
-// named by the bundle in force have signed it, and only while its parent is
-// the one in force; so of two with equal version numbers exactly one wins, and
-// versions never fall. Deterministic.
+// The bundles in the fleet's replicated state. A bundle is accepted once k
+// operators named by the bundle in force have signed it, and only while its
+// parent is in force. Exactly one of several bundles with the same version is
+// therefore accepted, and versions never decrease. All operations are
+// deterministic.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,17 +24,17 @@
 
 namespace tulipweir::fleet {
 
-/// A checked proposal that lacks sign-offs. Its parent is in force.
+/// A checked proposal that still needs sign-offs. Its parent is in force.
 struct ProposedBundle {
   BundleVersion Version_;
   std::string Text_;
-  std::vector<SignOff> SignOffs_; ///< Verified; the proposer's first.
+  std::vector<SignOff> SignOffs_; ///< Verified; the proposer's comes first.
   std::uint64_t Sequence_ = 0;    ///< Orders proposals by age.
   bool operator==(const ProposedBundle &) const = default;
 };
 
-/// A proposal that can no longer be accepted, kept so that its signers are
-/// told which one won.
+/// A proposal that can no longer be accepted. It is kept so that later
+/// sign-offs can be answered with the bundle that was accepted instead.
 struct SupersededBundle {
   Digest Digest_;
   BundleVersion Version_;
@@ -43,7 +44,7 @@
 /// Not thread-safe.
 class BundleRegistry {
 public:
-  /// Waiting proposals of one operator; the oldest gives way to a new one.
+  /// Open proposals per operator; a new one evicts the oldest.
   static constexpr std::size_t MaxProposalsPerOperator = 4;
   static constexpr std::size_t MaxSuperseded = 1000;
 
@@ -59,11 +60,12 @@
     return Proposals_;
   }
   const std::deque<SupersededBundle> &superseded() const { return Superseded_; }
-  /// The bundle in force; a default one before the first.
+  /// Returns the bundle in force, or a default one before the first.
   const Bundle &inForce() const { return InForce_; }
   bool operator==(const BundleRegistry &) const = default;
 
-  /// From a snapshot; Malformed if the parts do not fit each other.
+  /// Restores a registry from a snapshot; fails with Malformed if its parts are
+  /// inconsistent.
   static Outcome<BundleRegistry>
   restore(BundleHistory History, std::map<Digest, ProposedBundle> Proposals,
           std::deque<SupersededBundle> Superseded, std::uint64_t NextSequence);
--- a/include/tulipweir/fleet/Commands.h
+++ b/include/tulipweir/fleet/Commands.h
@@ -1,7 +1,7 @@
 //===- Commands.h - Entries of the fleet log -------------------*- C++ -*-===//
 //
-// The commands that the fleet's replicas apply, and their results. Encoded by
-// encodeCommand/decodeCommand of FleetCodec.h.
+// The commands that the fleet's replicas apply, and their results.
+// encodeCommand and decodeCommand of FleetCodec.h define their encoding.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,17 +25,19 @@
   auto operator<=>(const SignOff &) const = default;
 };
 
-/// Proposes a bundle. Its text names its version, its parent's version and its
-/// parent's digest; it is checked as a whole before it is kept.
+/// Proposes a bundle. The text contains the version, the parent's version and
+/// the parent's digest, and is checked as a whole before the proposal is
+/// stored.
 struct ProposeBundle {
   std::string Text_;
-  SignOff SignOff_; ///< Of the proposer.
+  SignOff SignOff_; ///< The proposer's.
   std::uint64_t WallMs_ = 0;
   bool operator==(const ProposeBundle &) const = default;
 };
 
-/// Adds a sign-off to a proposed bundle. With the k-th one of the keys named
-/// by the bundle in force it is accepted, if its parent is still in force.
+/// Adds a sign-off to a proposed bundle. The bundle is accepted with the k-th
+/// sign-off by operators of the bundle in force, if its parent is still in
+/// force.
 struct SignBundle {
   Digest Digest_;
   SignOff SignOff_;
@@ -43,31 +45,33 @@
   bool operator==(const SignBundle &) const = default;
 };
 
-/// Submits a batch job; resubmitting the same one says AlreadyExists. Spec_ is
-/// opaque here (datacentre::JobSpec, encoded).
+/// Submits a batch job; resubmitting the same job gives AlreadyExists. Spec_ is
+/// opaque to the fleet (an encoded datacentre::JobSpec).
 struct SubmitJob {
   JobId Job_;
   TeamId Team_;
   std::string Spec_;
-  DataCentreId Preferred_; ///< Empty: the fleet chooses.
+  DataCentreId Preferred_; ///< Empty if the fleet may choose.
   std::uint64_t WallMs_ = 0;
   bool operator==(const SubmitJob &) const = default;
 };
 
-/// Assigns a job to a data centre. Refused while another assignment stands.
+/// Assigns a job to a data centre. It is refused while the job has another
+/// assignment.
 struct AssignJob {
   JobId Job_;
   DataCentreId DataCentre_;
   bool operator==(const AssignJob &) const = default;
 };
 
-/// The data centre gives a job back, with where its tasks are to resume, or
-/// its lease ran out by the proposer's clock (Expired_).
+/// Releases a job with the progress from which its tasks resume: either its
+/// data centre hands it back, or its lease has expired by the proposer's clock
+/// (Expired_).
 struct ReleaseJob {
   JobId Job_;
   std::uint64_t Assignment_ = 0;
   bool Expired_ = false;
-  std::string Progress_; ///< Opaque: checkpoints of its tasks.
+  std::string Progress_; ///< Opaque; checkpoints of its tasks.
   bool operator==(const ReleaseJob &) const = default;
 };
 
@@ -78,7 +82,7 @@
 
 enum class JobEnd : std::uint8_t { Finished, Failed, Cancelled };
 
-/// The data centre that holds the job reports its end.
+/// Ends a job; proposed by the data centre that holds it.
 struct EndJob {
   JobId Job_;
   std::uint64_t Assignment_ = 0;
@@ -91,14 +95,14 @@
 using Command = std::variant<ProposeBundle, SignBundle, SubmitJob, AssignJob,
                              ReleaseJob, CancelJob, EndJob>;
 
-/// What applying a command answered. Error_ empty: it took effect.
+/// Result of applying a command. The command took effect if Error_ is empty.
 struct CommandResult {
   std::string Error_;     ///< Stable name of an ErrorCode, or empty.
-  std::string Message_;   ///< For people: what stands instead, what to do next.
-  BundleVersion Version_; ///< Bundles: the version concerned.
-  Digest Digest_;         ///< Bundles: the digest concerned or winning.
-  bool Accepted_ = false; ///< Bundles: it is in force now (or already was).
-  std::uint64_t Assignment_ = 0; ///< AssignJob.
+  std::string Message_;   ///< For operators: present state and next step.
+  BundleVersion Version_; ///< Bundles: the version in question.
+  Digest Digest_;         ///< Bundles: the digest proposed or accepted.
+  bool Accepted_ = false; ///< Bundles: now or previously accepted.
+  std::uint64_t Assignment_ = 0; ///< Set by AssignJob.
   bool operator==(const CommandResult &) const = default;
 };
 
--- a/include/tulipweir/fleet/FleetCodec.h
+++ b/include/tulipweir/fleet/FleetCodec.h
@@ -1,7 +1,7 @@
-//===- FleetCodec.h - The fleet's values as bytes --------------*- C++ -*-===//
+//===- FleetCodec.h - Binary encoding of the fleet's values ----*- C++ -*-===//
 //
-// Strict msgpack: bytes that do not fit the type exactly, or that go on after
-// it, give ErrorCode::Malformed.
+// The encoding is strict msgpack: bytes that do not match the type exactly, or
+// that are followed by others, give ErrorCode::Malformed.
 //
 //===----------------------------------------------------------------------===//
 
@@ -30,8 +30,8 @@
 std::string encodeReply(const AssignmentReply &Value);
 Outcome<AssignmentReply> decodeReply(std::string_view Bytes);
 
-/// A snapshot begins with its format's number; another one gives
-/// VersionMismatch.
+/// Encodes a snapshot, which begins with the number of its format. decodeState
+/// fails with VersionMismatch for any other format.
 std::string encodeState(const FleetState &Value);
 Outcome<FleetState> decodeState(std::string_view Bytes);
 
--- a/include/tulipweir/fleet/FleetState.h
+++ b/include/tulipweir/fleet/FleetState.h
@@ -1,7 +1,7 @@
-//===- FleetState.h - What the fleet's log builds --------------*- C++ -*-===//
+//===- FleetState.h - The fleet's replicated state -------------*- C++ -*-===//
 //
-// Bundles and batch jobs of all data centres. Deterministic; no clock, lock or
-// socket inside. Encoding is in FleetCodec.h.
+// Bundles and batch jobs of all data centres. The state is deterministic and
+// uses no clock, lock or socket. FleetCodec.h defines its encoding.
 //
 //===----------------------------------------------------------------------===//
 
@@ -20,11 +20,11 @@
 class FleetState {
 public:
   FleetState() = default;
-  /// From a snapshot.
+  /// Restores the state from the parts of a snapshot.
   FleetState(BundleRegistry Bundles, JobRegistry Jobs)
       : Bundles_(std::move(Bundles)), Jobs_(std::move(Jobs)) {}
 
-  /// Applies one command. A refused one changes nothing.
+  /// Applies one command. A refused command changes nothing.
   CommandResult apply(const Command &Value);
 
   const BundleRegistry &bundles() const { return Bundles_; }
--- a/include/tulipweir/fleet/FleetStateMachine.h
+++ b/include/tulipweir/fleet/FleetStateMachine.h
@@ -1,6 +1,7 @@
-//===- FleetStateMachine.h - Replicated fleet state machine -----*- C++ -*-===//
+//===- FleetStateMachine.h - Replicated fleet state machine ----*- C++ -*-===//
 //
-// What a Replica of group "fleet" drives. Answers queries from any thread.
+// The state machine that a Replica of the group "fleet" drives. Queries may
+// come from any thread.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,21 +23,21 @@
 
 namespace tulipweir::fleet {
 
-/// One open or ended job with its name.
+/// An open or ended job with its name.
 struct NamedJob {
   JobId Job_;
   FleetJob Record_;
   bool operator==(const NamedJob &) const = default;
 };
 
-/// Thread-safe: one lock around the state.
+/// Thread-safe; one mutex guards the state.
 class FleetStateMachine final : public replication::StateMachine {
 public:
-  /// Told each applied command and its result, on the replica's thread, outside
-  /// the lock and after the batch that it is part of. It must not block.
+  /// Called with each applied command and its result, on the replica's thread,
+  /// without the lock and after the command's batch. It must not block.
   using AppliedListener =
       std::function<void(const Command &, const CommandResult &)>;
-  /// Told that the state was replaced by a snapshot's.
+  /// Called after a snapshot has replaced the state.
   using RestoredListener = std::function<void()>;
 
   explicit FleetStateMachine(AppliedListener OnApplied = nullptr,
@@ -45,8 +46,8 @@
   // Called by the replica.
 
   std::string apply(const replication::CommittedEntry &Entry) override;
-  /// Readers wait until the batch is over: the bundles of a replayed history
-  /// are never shown.
+  /// Blocks readers until the end of the batch, so that they never see the
+  /// earlier bundles of a replayed log.
   void beginBatch() override;
   void endBatch() override;
   std::string takeSnapshot() const override;
@@ -54,26 +55,28 @@
 
   // Queries.
 
-  /// As it travels to entries; nullopt before the first.
+  /// Returns the bundle in force as it is sent to entries; nullopt before the
+  /// first.
   std::optional<wire::SignedBundle> getInForce() const;
-  /// The same, read; nullptr before the first.
+  /// Returns the parsed bundle in force; nullptr before the first.
   std::shared_ptr<const Bundle> getBundle() const;
   std::optional<AcceptedBundle> findBundle(BundleVersion Version) const;
-  /// The newest first.
+  /// Returns at most Limit accepted bundles, the newest first.
   std::vector<AcceptedBundle> listHistory(std::size_t Limit) const;
   std::optional<NamedJob> findJob(const JobId &Job) const;
-  /// Open jobs that the data centre holds, at most Limit, from after After in
-  /// the order of names.
+  /// Returns at most Limit open jobs that the data centre holds, sorted by
+  /// name, starting after After.
   std::vector<NamedJob> listHeld(const DataCentreId &DataCentre,
                                  std::size_t Limit,
                                  const JobId &After = {}) const;
   std::vector<NamedJob> listUnassigned(std::size_t Limit) const;
-  /// All kept jobs in the order of names, from after After.
+  /// Returns at most Limit open and ended jobs, sorted by name, starting after
+  /// After.
   std::vector<NamedJob> listJobs(std::size_t Limit,
                                  const JobId &After = {}) const;
 
-  /// Calls Reader with the state under the lock and returns its answer.
-  /// Reader must be short and keep no reference.
+  /// Calls Function with the state under the lock and returns its result.
+  /// Function must be short and keep no reference to the state.
   template <class Reader> auto read(Reader &&Function) const {
     const std::lock_guard Lock(Mutex_);
     return Function(static_cast<const FleetState &>(State_));
@@ -90,7 +93,7 @@
   AppliedListener OnApplied_;
   RestoredListener OnRestored_;
   mutable std::mutex Mutex_;
-  /// Only the replica's thread uses these two.
+  /// Only the replica's thread uses Batch_ and PendingNotifications_.
   std::unique_lock<std::mutex> Batch_{Mutex_, std::defer_lock};
   std::vector<AppliedCommand> PendingNotifications_;
   FleetState State_;
--- a/include/tulipweir/fleet/JobAssigner.h
+++ b/include/tulipweir/fleet/JobAssigner.h
@@ -1,8 +1,9 @@
-//===- JobAssigner.h - The fleet leader's view of assignments --*- C++ -*-===//
+//===- JobAssigner.h - Assignment of jobs to data centres ------*- C++ -*-===//
 //
-// Chooses data centres for jobs and takes jobs back from data centres whose
-// leases ran out. Volatile: a new leader begins afresh. No clock, lock or
-// socket inside. The safety argument stands in AssignmentTimes.h.
+// The fleet's leader chooses data centres for jobs and releases the jobs of
+// data centres whose leases have expired. The assigner's state is volatile: a
+// new leader starts without it. It uses no clock, lock or socket.
+// AssignmentTimes.h explains why it is safe.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,23 +28,23 @@
 
   // Commands.
 
-  /// This replica leads the fleet log and has applied all that was committed
-  /// before (Replica::confirmLeadership). Forgets all that was known. Call it
-  /// for every term, also when this replica led the one before last.
+  /// Starts a term and forgets everything known from earlier ones. This replica
+  /// must lead the fleet log and have applied every entry committed before
+  /// (Replica::confirmLeadership). Call it for every term, even if this replica
+  /// also led the one before last.
   void startLeading(TimePoint Now);
   void stopLeading();
 
   /// Answers a control process's report. Call it only directly after
-  /// Replica::findLeaseTerm answered with the term of the latest
-  /// startLeading, with the state applied here. While not leading nothing is
-  /// renewed.
+  /// Replica::findLeaseTerm has returned the term of the latest startLeading,
+  /// with the state applied on this replica. Renews nothing while not leading.
   AssignmentReply renew(const AssignmentReport &Report, const JobRegistry &Jobs,
                         TimePoint Now);
 
-  /// At most Budget commands to propose now: assignments of unassigned jobs
-  /// and releases of expired ones. The same one comes again only after
-  /// RetryInterval_ without effect. Work is proportional to Budget and the
-  /// number of data centres.
+  /// Returns at most Budget commands to propose now: assignments of unassigned
+  /// jobs and releases of jobs with expired leases. A command is repeated only
+  /// if it has had no effect for RetryInterval_. The cost is proportional to
+  /// Budget and the number of data centres.
   std::vector<Command> decide(const JobRegistry &Jobs, TimePoint Now,
                               std::size_t Budget);
 
@@ -51,7 +52,8 @@
 
   bool isLeading() const { return LeadingSince_.has_value(); }
   bool isReachable(const DataCentreId &DataCentre, TimePoint Now) const;
-  /// When what this data centre holds may be moved; nullopt while following.
+  /// Returns when the jobs of this data centre may be moved; nullopt while not
+  /// leading.
   std::optional<TimePoint> getExpiry(const DataCentreId &DataCentre) const;
 
 private:
@@ -59,7 +61,7 @@
     TimePoint AnsweredAt_{};
     DataCentreLoad Load_;
     bool HasLoad_ = false;
-    std::uint32_t AssignedSince_ = 0; ///< Since that load was reported.
+    std::uint32_t AssignedSince_ = 0; ///< Since the latest load report.
   };
   struct PendingRelease {
     std::uint64_t Assignment_ = 0;
@@ -82,7 +84,8 @@
   std::optional<TimePoint> LeadingSince_;
   std::map<DataCentreId, DataCentreStatus> DataCentres_;
   std::map<JobId, PendingRelease> PendingReleases_;
-  std::map<JobId, TimePoint> PendingAssignments_; ///< When each was proposed.
+  std::map<JobId, TimePoint>
+      PendingAssignments_; ///< Proposal times of assignments not applied yet.
 };
 
 } // namespace tulipweir::fleet
--- a/include/tulipweir/fleet/JobRegistry.h
+++ b/include/tulipweir/fleet/JobRegistry.h
@@ -1,9 +1,9 @@
-//===- JobRegistry.h - Batch jobs and their assignments ---------*- C++ -*-===//
+//===- JobRegistry.h - Batch jobs and their assignments --------*- C++ -*-===//
 //
-// The job part of the fleet's state. A job is held by one data centre at a
-// time, under an assignment number that rises with each assignment of the
-// job. Deterministic; when an assignment's lease has run out is decided
-// outside, by JobAssigner.
+// The jobs in the fleet's replicated state. A job is held by one data centre
+// at a time, under a number that increases with each assignment of the job.
+// All operations are deterministic: JobAssigner decides, outside the state,
+// when the lease of an assignment has expired.
 //
 //===----------------------------------------------------------------------===//
 
@@ -27,15 +27,15 @@
 struct FleetJob {
   TeamId Team_;
   std::string Spec_;  ///< Empty for an ended job whose spec was long.
-  Digest SpecDigest_; ///< Tells a resent job from another of that name.
+  Digest SpecDigest_; ///< Tells a resubmitted job from another one.
   DataCentreId Preferred_;
   std::uint64_t SubmittedWallMs_ = 0;
-  std::uint64_t Assignment_ = 0; ///< The latest one; 0 before the first.
-  DataCentreId DataCentre_;      ///< Empty while nobody holds it.
+  std::uint64_t Assignment_ = 0; ///< The latest number; 0 before the first.
+  DataCentreId DataCentre_;      ///< Empty while the job is unassigned.
   bool Cancelling_ = false;
   std::string Progress_; ///< From the latest release.
   std::optional<JobEnd> End_;
-  std::string Message_; ///< Of the end.
+  std::string Message_; ///< Explains the end.
   std::uint64_t EndedWallMs_ = 0;
   bool operator==(const FleetJob &) const = default;
 };
@@ -43,13 +43,13 @@
 /// Not thread-safe.
 class JobRegistry {
 public:
-  /// Ended jobs that are kept: over a day at 8,000 a day. A job resent after
-  /// that counts as new.
+  /// Ended jobs that are kept: more than a day's jobs at 8,000 a day. A job
+  /// that is resubmitted after that counts as new.
   static constexpr std::size_t MaxEndedJobs = 10'000;
-  /// Jobs that have not ended; beyond it new ones are refused.
+  /// Open jobs; further submissions are refused.
   static constexpr std::size_t MaxOpenJobs = 100'000;
   static constexpr std::size_t MaxSpecBytes = std::size_t(64) << 10U;
-  /// Longer specs of ended jobs are dropped.
+  /// Specs of ended jobs that are longer than this are dropped.
   static constexpr std::size_t MaxEndedSpecBytes = 2048;
   static constexpr std::size_t MaxProgressBytes = std::size_t(1) << 20U;
   static constexpr std::size_t MaxNameBytes = 128;
@@ -66,22 +66,22 @@
 
   const std::map<JobId, FleetJob> &jobs() const { return Jobs_; }
   const FleetJob *find(const JobId &Job) const;
-  /// Open jobs that nobody holds.
+  /// Returns the open jobs that no data centre holds.
   const std::set<JobId> &unassigned() const { return Unassigned_; }
-  /// Open jobs by the data centre that holds them.
+  /// Returns the open jobs of each data centre.
   const std::map<DataCentreId, std::set<JobId>> &held() const { return Held_; }
-  /// Ended jobs, the earliest end first.
+  /// Returns the ended jobs, the earliest end first.
   const std::deque<JobId> &ended() const { return Ended_; }
   std::size_t countOpen() const { return Jobs_.size() - Ended_.size(); }
   bool operator==(const JobRegistry &) const = default;
 
-  /// From a snapshot; the sets are built from the jobs. Malformed if Ended
-  /// does not name just the ended jobs.
+  /// Restores a registry from a snapshot and derives the indexes from the jobs.
+  /// Fails with Malformed unless Ended lists exactly the ended jobs.
   static Outcome<JobRegistry> restore(std::map<JobId, FleetJob> Jobs,
                                       std::deque<JobId> Ended);
 
 private:
-  /// A job that has not ended; nullptr with the Refusal when there is none.
+  /// Returns the open job, or nullptr and sets Refusal.
   FleetJob *findOpen(const JobId &Job, CommandResult &Refusal);
   void finishJob(const JobId &Job, FleetJob &Record, JobEnd End,
                  std::string Message, std::uint64_t WallMs);
--- a/include/tulipweir/fleet/Signing.h
+++ b/include/tulipweir/fleet/Signing.h
@@ -16,30 +16,33 @@
 
 namespace tulipweir::fleet {
 
-/// An operator's keys. The secret one is the 32-byte seed and never leaves the
-/// operator's machine.
+/// Key pair of an operator. The secret key is the 32-byte seed and never leaves
+/// the operator's machine.
 struct KeyPair {
   std::string PublicKey_;
   std::string SecretKey_;
   bool operator==(const KeyPair &) const = default;
 };
 
-/// Makes a new pair from the system's random source.
+/// Generates a new pair from the system's random source.
 KeyPair makeKeyPair();
 
-/// Derives the pair from its secret key; InvalidArgument if that is not one.
+/// Derives the pair from its secret key; fails with InvalidArgument if the key
+/// is invalid.
 Outcome<KeyPair> deriveKeyPair(std::string_view SecretKey);
 
-/// Signs the digest's hexadecimal text; InvalidArgument for a bad key.
+/// Signs the digest's hexadecimal text; fails with InvalidArgument if the key
+/// is invalid.
 Outcome<std::string> signDigest(const Digest &Value,
                                 std::string_view SecretKey);
 
-/// Whether Signature was made over Value by the owner of PublicKey. False for
-/// anything that is not a key or a signature.
+/// Returns whether Signature is the signature of the digest by the owner of
+/// PublicKey; false if either is malformed.
 bool verifyDigest(const Digest &Value, std::string_view PublicKey,
                   std::string_view Signature);
 
-/// Whether the text is a usable public key: on the curve, of full order.
+/// Returns whether the text is a usable public key: a point on the curve, of
+/// full order.
 bool isPublicKey(std::string_view Text);
 
 } // namespace tulipweir::fleet
--- a/src/fleet/ActiveBundle.cpp
+++ b/src/fleet/ActiveBundle.cpp
@@ -10,7 +10,7 @@
 static Outcome<Bundle> readOffered(const wire::SignedBundle &Offered) {
   if (computeDigest(Offered.Text_) != Offered.Digest_)
     return fail(ErrorCode::Corrupt,
-                "the bundle's text does not fit its digest " +
+                "the bundle's text does not match its digest " +
                     Offered.Digest_.value());
   BundleCheck Check = checkBundle(Offered.Text_);
   if (Check.Bundle_.empty())
@@ -18,7 +18,8 @@
                                                 " " +
                                                 Check.Problems_.front().Text_);
   if (Check.Bundle_.front().Version_ != Offered.Version_)
-    return fail(ErrorCode::Corrupt, "the bundle's text has another version");
+    return fail(ErrorCode::Corrupt,
+                "the bundle's text has a different version");
   return std::move(Check.Bundle_.front());
 }
 
@@ -30,7 +31,8 @@
     if (Offered.Version_ == Version_ && Offered.Digest_ == Digest_)
       return false;
     if (Offered.Version_ == Version_)
-      return fail(ErrorCode::Conflict, "the version held has another digest");
+      return fail(ErrorCode::Conflict,
+                  "the active bundle has this version and another digest");
   }
   auto Read = readOffered(Offered);
   if (!Read)
@@ -38,7 +40,7 @@
   auto Shared = std::make_shared<const Bundle>(std::move(Read.value()));
 
   const std::lock_guard Lock(Mutex_);
-  // Another thread may have adopted a newer one meanwhile.
+  // Another thread may have adopted a newer bundle in the meantime.
   if (Offered.Version_ <= Version_)
     return false;
   Version_ = Offered.Version_;
--- a/src/fleet/AssignmentLease.cpp
+++ b/src/fleet/AssignmentLease.cpp
@@ -1,4 +1,4 @@
-//===- AssignmentLease.cpp - What a data centre may run -------------------===//
+//===- AssignmentLease.cpp - Job leases held by a data centre ------------===//
 
 #include "tulipweir/fleet/AssignmentLease.h"
 
--- a/src/fleet/AssignmentTimes.cpp
+++ b/src/fleet/AssignmentTimes.cpp
@@ -1,4 +1,4 @@
-//===- AssignmentTimes.cpp - Long leases of jobs to data centres ----------===//
+//===- AssignmentTimes.cpp - Leases of jobs to data centres --------------===//
 
 #include "tulipweir/fleet/AssignmentTimes.h"
 
@@ -12,7 +12,7 @@
   static constexpr int MarginParts = 40;
   static constexpr int StopParts = 24;
   static constexpr int RenewParts = 8;
-  assert(Ttl > Duration::zero() && "a lease needs a length");
+  assert(Ttl > Duration::zero() && "the lease duration must be positive");
   AssignmentTimes Times;
   Times.Ttl_ = Ttl;
   Times.Margin_ = Ttl / MarginParts;
--- a/src/fleet/BundleCheck.cpp
+++ b/src/fleet/BundleCheck.cpp
@@ -1,4 +1,4 @@
-//===- BundleCheck.cpp - Reads and checks a bundle's text -----------------===//
+//===- BundleCheck.cpp - Parsing and checks of a bundle's text -----------===//
 
 #include "FieldReader.h"
 #include "JsonText.h"
@@ -31,7 +31,7 @@
 static constexpr std::int64_t MaxMemory = 100'000'000;
 static constexpr std::int64_t MaxAccelerators = 10'000;
 
-/// Calls ReadOne for each entry with the entry's place.
+/// Calls ReadOne for each entry, with a reader at the entry's JSON pointer.
 template <class Entry>
 static void readList(FieldReader &Reader, const std::string &Name,
                      Presence Expected, std::size_t MaxEntries,
@@ -49,8 +49,8 @@
   }
 }
 
-/// Notes each entry whose key an earlier entry of the list has. Empty keys
-/// were reported already.
+/// Reports each entry whose key equals that of an earlier entry. Empty keys
+/// have been reported before.
 template <class Entry, class KeyOf>
 static void
 reportDuplicates(const std::string &Place, const std::vector<Entry> &Entries,
@@ -61,7 +61,7 @@
     if (Key.empty() || Seen.insert(Key).second)
       continue;
     std::string Text = What;
-    Text.append(" '").append(Key).append("' stands twice in this list");
+    Text.append(" '").append(Key).append("' is listed more than once");
     Found.push_back({appendPointer(Place, std::to_string(Index)), Text});
   }
 }
@@ -83,9 +83,10 @@
   Reader.readText("publicKey", Key.PublicKey_, Presence::Required,
                   DigestHexDigits);
   if (!Key.PublicKey_.empty() && !isPublicKey(Key.PublicKey_))
-    Reader.addProblem("publicKey", "is no Ed25519 public key; 64 lower-case "
-                                   "hexadecimal digits as printed by "
-                                   "'tulipweirctl keygen' are allowed");
+    Reader.addProblem("publicKey",
+                      "is not an Ed25519 public key; 64 lower-case "
+                      "hexadecimal digits as printed by "
+                      "'tulipweirctl keygen' are expected");
   return Key;
 }
 
@@ -106,7 +107,7 @@
 static void checkDeadlines(FieldReader &Reader, const ServiceConfig &Service) {
   if (Service.DefaultDeadline_ > Service.MaxDeadline_)
     Reader.addProblem("defaultDeadlineMs",
-                      "is longer than maxDeadlineMs; at most that is allowed");
+                      "must not be longer than maxDeadlineMs");
 }
 
 static CallerLimit readCallerLimit(FieldReader &Reader) {
@@ -116,8 +117,8 @@
   Reader.readText("caller", Name, Presence::Required, 128);
   Limit.Caller_ = CallerId(Name);
   if (Name.empty())
-    Reader.addProblem("caller", "is empty; a caller's name is allowed, or "
-                                "\"*\" for every caller not named");
+    Reader.addProblem("caller", "is empty; a caller's name is expected, or "
+                                "\"*\" for every caller not listed");
   Reader.readNumber("requestsPerSecond", Limit.RequestsPerSecond_, {0, MaxRate},
                     Presence::Required);
   Reader.readNumber("burst", Limit.Burst_, {0, MaxRate}, Presence::Required);
@@ -141,7 +142,7 @@
       Policy.TailWeight_ + Policy.ThroughputWeight_ + Policy.EvictionWeight_;
   if (Sum <= 0)
     Reader.addProblem("tailWeight", "and the other two weights are all 0; at "
-                                    "least one above 0 is needed");
+                                    "least one must be above 0");
 }
 
 static decide::Policy readPolicy(FieldReader &Reader, ProblemList &Found) {
@@ -182,15 +183,14 @@
   Reader.readText("parentDigest", ParentDigest, Presence::Required,
                   DigestHexDigits);
   if (Version > 0 && Version <= Parent)
-    Reader.addProblem("version",
-                      "is not above parentVersion; versions only rise");
+    Reader.addProblem("version", "must be greater than parentVersion");
   if (Parent == 0 && !ParentDigest.empty())
     Reader.addProblem("parentDigest", "is set, but parentVersion 0 means that "
-                                      "there is no parent; \"\" is allowed");
+                                      "there is no parent; \"\" is expected");
   if (Parent > 0 && !isDigest(ParentDigest))
     Reader.addProblem("parentDigest",
-                      "is no digest; the 64 hexadecimal digits shown by "
-                      "'tulipweirctl bundle current' are allowed");
+                      "is not a digest; the 64 hexadecimal digits shown by "
+                      "'tulipweirctl bundle current' are expected");
   Target.Version_ = BundleVersion(static_cast<std::uint64_t>(Version));
   Target.ParentVersion_ = BundleVersion(static_cast<std::uint64_t>(Parent));
   Target.ParentDigest_ = Digest(ParentDigest);
@@ -207,7 +207,7 @@
         return Key.Operator_.value();
       },
       Found);
-  // One person under two names would count twice.
+  // One person listed under two names could sign off twice.
   reportDuplicates(
       Place, Target.Operators_, "public key",
       [](const OperatorKey &Key) -> const std::string & {
@@ -221,7 +221,7 @@
                       "is " + std::to_string(Target.SignOffsNeeded_) +
                           ", but there are " +
                           std::to_string(Target.Operators_.size()) +
-                          " operators; no bundle could follow this one");
+                          " operators; no later bundle could be accepted");
 }
 
 static void readServices(FieldReader &Reader, Bundle &Target,
--- a/src/fleet/BundleHistory.cpp
+++ b/src/fleet/BundleHistory.cpp
@@ -1,4 +1,4 @@
-//===- BundleHistory.cpp - Every bundle that was accepted -----------------===//
+//===- BundleHistory.cpp - History of accepted bundles -------------------===//
 
 #include "tulipweir/fleet/BundleHistory.h"
 
@@ -40,7 +40,7 @@
 
 void BundleHistory::append(AcceptedBundle Accepted) {
   assert((!latest() || latest()->Version_ < Accepted.Version_) &&
-         "bundle versions only rise");
+         "bundle versions must increase");
   Recent_.push_back(std::move(Accepted));
   if (Recent_.size() > MaxTexts)
     Recent_[Recent_.size() - 1 - MaxTexts].Text_.clear();
--- a/src/fleet/BundleRegistry.cpp
+++ b/src/fleet/BundleRegistry.cpp
@@ -36,7 +36,7 @@
                                          BundleVersion InForce) {
   std::string Message = "already accepted";
   if (Accepted.Version_ < InForce)
-    Message += "; " + formatVersion(InForce) + " followed it and is in force";
+    Message += "; " + formatVersion(InForce) + " is in force now";
   CommandResult Result = refuse(ErrorCode::AlreadyExists, std::move(Message));
   Result.Accepted_ = true;
   return withBundle(std::move(Result), Accepted.Version_, Accepted.Digest_);
@@ -56,20 +56,23 @@
   return Found == Signers.Operators_.end() ? nullptr : &*Found;
 }
 
-/// An empty message means that the sign-off holds.
+/// Returns an empty message if the sign-off is valid.
 static std::string findSignOffError(const Bundle &Signers, const Digest &Value,
                                     const SignOff &Added) {
   const OperatorKey *Key = findKey(Signers, Added.Operator_);
   if (!Key)
     return "'" + Added.Operator_.value() +
-           "' is not an operator of the bundle that decides";
+           "' is not an operator who may sign this bundle";
   if (!verifyDigest(Value, Key->PublicKey_, Added.Signature_))
-    return "the signature does not fit the key of '" + Added.Operator_.value() +
-           "' and this digest; sign the file as it is proposed, byte for byte";
+    return "the signature does not match the key of '" +
+           Added.Operator_.value() +
+           "' and this digest; sign the file exactly as it is proposed, byte "
+           "for byte";
   return "";
 }
 
-/// All kept sign-offs count: a new list of operators voids every proposal.
+/// Every stored sign-off counts, because a new list of operators supersedes all
+/// proposals.
 static bool hasSigned(const ProposedBundle &Proposal,
                       const OperatorId &Operator) {
   return std::ranges::find(Proposal.SignOffs_, Operator, &SignOff::Operator_) !=
@@ -78,7 +81,7 @@
 
 static Bundle parseAccepted(std::string_view Text) {
   BundleCheck Check = checkBundle(Text);
-  assert(Check.Bundle_.size() == 1 && "a kept text was checked before");
+  assert(Check.Bundle_.size() == 1 && "stored texts have passed the check");
   return std::move(Check.Bundle_.front());
 }
 
@@ -90,8 +93,8 @@
   const AcceptedBundle *Latest = History_.latest();
   if (!Latest)
     return refuse(ErrorCode::Conflict,
-                  "no bundle is in force yet; the first one has parentVersion "
-                  "0 and parentDigest \"\"");
+                  "no bundle is in force yet; the first bundle must have "
+                  "parentVersion 0 and parentDigest \"\"");
   const auto Same = History_.findVersion(Version);
   const AcceptedBundle &Winner = Same ? *Same : *Latest;
   std::string Message = formatVersion(Winner.Version_) + " was accepted with " +
@@ -100,7 +103,7 @@
     Message += ", signed by " + formatSigners(Winner.SignedBy_);
   Message += "; in force is " + formatVersion(Latest->Version_) + ", digest " +
              Latest->Digest_.value() +
-             ": take that as the parent, raise the version, propose again";
+             ": use it as the parent, increase the version and propose again";
   return withBundle(refuse(ErrorCode::Conflict, std::move(Message)),
                     Winner.Version_, Winner.Digest_);
 }
@@ -175,12 +178,12 @@
   if (Repeated)
     return withBundle(refuse(ErrorCode::AlreadyExists,
                              "'" + Added.Operator_.value() +
-                                 "' has signed this one already; it has " +
+                                 "' has already signed this bundle; it has " +
                                  Count),
                       Version, Value);
   return withBundle(
-      confirm("kept with " + Count +
-              "; the others sign with 'tulipweirctl bundle sign " +
+      confirm("stored with " + Count +
+              "; other operators sign it with 'tulipweirctl bundle sign " +
               Value.value() + "'"),
       Version, Value);
 }
@@ -199,7 +202,7 @@
   Record.Text_ = std::move(Node.mapped().Text_);
   History_.append(std::move(Record));
   InForce_ = std::move(Accepted);
-  // Every other proposal has the former bundle as its parent.
+  // Every other proposal has the previous bundle as its parent.
   while (!Proposals_.empty())
     supersede(Proposals_.begin()->first);
   CommandResult Result = confirm("accepted; rolling out to every process");
@@ -236,7 +239,8 @@
          Text.find_first_not_of("0123456789abcdef") == std::string::npos;
 }
 
-/// Versions rise, from the archive on, and digests are digests.
+/// Returns whether versions increase from the archive on and digests are well
+/// formed.
 static bool isConsistent(const BundleHistory &History) {
   std::uint64_t Last = 0;
   for (const ArchivedBundle &One : History.archive()) {
@@ -270,19 +274,19 @@
   Book.NextSequence_ = NextSequence;
   if (!isConsistent(Book.History_))
     return fail(ErrorCode::Malformed,
-                "the snapshot's history of bundles is not in order");
+                "the snapshot's bundle history is inconsistent");
   if (const AcceptedBundle *Latest = Book.History_.latest()) {
     BundleCheck Check = checkBundle(Latest->Text_);
     if (Check.Bundle_.empty() ||
         computeDigest(Latest->Text_) != Latest->Digest_ ||
         Check.Bundle_.front().Version_ != Latest->Version_)
       return fail(ErrorCode::Malformed,
-                  "the snapshot's bundle in force does not pass the check");
+                  "the snapshot's bundle in force is invalid");
     Book.InForce_ = std::move(Check.Bundle_.front());
   }
   for (const auto &[Key, Proposal] : Book.Proposals_)
     if (!isConsistent(Key, Proposal))
-      return fail(ErrorCode::Malformed,
-                  "the snapshot's proposal " + Key.value() + " is not whole");
+      return fail(ErrorCode::Malformed, "the snapshot's proposal " +
+                                            Key.value() + " is inconsistent");
   return Book;
 }
--- a/src/fleet/FieldReader.cpp
+++ b/src/fleet/FieldReader.cpp
@@ -16,7 +16,7 @@
 static constexpr std::size_t MaxNameBytes = 64;
 static constexpr std::size_t MaxValueBytes = 40;
 
-/// The value as found, shortened so that one problem stays one line.
+/// Returns the value as JSON, shortened so that a problem fits on one line.
 static std::string formatValue(const json &Value) {
   std::string Shown =
       Value.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -52,7 +52,7 @@
     : Value_(Value), Pointer_(std::move(Place)), Problems_(Problems) {
   if (!Value_.is_object())
     Problems_.push_back(
-        {Pointer_, "is " + formatValue(Value_) + "; an object is allowed"});
+        {Pointer_, "is " + formatValue(Value_) + "; an object is expected"});
 }
 
 std::string FieldReader::makePointer(const std::string &Name) const {
@@ -82,9 +82,9 @@
     return;
   const auto *Text = Found->get_ptr<const std::string *>();
   if (!Text || Text->size() > MaxBytes)
-    return addProblem(Name, "is " + formatValue(*Found) +
-                                "; a text of at most " +
-                                std::to_string(MaxBytes) + " bytes is allowed");
+    return addProblem(Name,
+                      "is " + formatValue(*Found) + "; a string of at most " +
+                          std::to_string(MaxBytes) + " bytes is expected");
   Target = *Text;
 }
 
@@ -96,7 +96,7 @@
   if (!Text || !isName(*Text)) {
     addProblem(Name, "is " + formatValue(*Found) +
                          "; a name of 1 to 64 letters, digits, '.', '_' or "
-                         "'-' is allowed, beginning with a letter or digit");
+                         "'-' is expected, beginning with a letter or digit");
     return false;
   }
   Target = *Text;
@@ -113,9 +113,8 @@
                      std::in_range<std::int64_t>(Found->get<std::uint64_t>()));
   const std::int64_t Number = Fits ? Found->get<std::int64_t>() : 0;
   if (!Fits || Number < Allowed.Min_ || Number > Allowed.Max_)
-    return addProblem(Name, "is " + formatValue(*Found) +
-                                "; a whole number from " +
-                                formatRange(Allowed) + " is allowed");
+    return addProblem(Name, "is " + formatValue(*Found) + "; an integer from " +
+                                formatRange(Allowed) + " is expected");
   Target = Number;
 }
 
@@ -127,7 +126,7 @@
   const double Number = Found->is_number() ? Found->get<double>() : NAN;
   if (!(Number >= Allowed.Min_ && Number <= Allowed.Max_))
     return addProblem(Name, "is " + formatValue(*Found) + "; a number from " +
-                                formatRange(Allowed) + " is allowed");
+                                formatRange(Allowed) + " is expected");
   Target = Number;
 }
 
@@ -146,7 +145,7 @@
     return;
   if (!Found->is_boolean())
     return addProblem(Name, "is " + formatValue(*Found) +
-                                "; true or false is allowed");
+                                "; true or false is expected");
   Target = Found->get<bool>();
 }
 
@@ -157,8 +156,8 @@
     return nullptr;
   if (Found->is_array() && Found->size() <= MaxEntries)
     return Found;
-  addProblem(Name, "is " + formatValue(*Found) + "; a list of at most " +
-                       std::to_string(MaxEntries) + " entries is allowed");
+  addProblem(Name, "is " + formatValue(*Found) + "; an array of at most " +
+                       std::to_string(MaxEntries) + " entries is expected");
   return nullptr;
 }
 
@@ -166,7 +165,7 @@
   const json *Found = find(Name, Presence::Optional);
   if (!Found || Found->is_object())
     return Found;
-  addProblem(Name, "is " + formatValue(*Found) + "; an object is allowed");
+  addProblem(Name, "is " + formatValue(*Found) + "; an object is expected");
   return nullptr;
 }
 
@@ -179,6 +178,6 @@
     std::string Allowed;
     for (const std::string &Name : KnownNames_)
       Allowed += (Allowed.empty() ? "" : ", ") + Name;
-    addProblem(Field.key(), "is unknown here; allowed are " + Allowed);
+    addProblem(Field.key(), "is unknown; known fields are " + Allowed);
   }
 }
--- a/src/fleet/FieldReader.h
+++ b/src/fleet/FieldReader.h
@@ -1,7 +1,7 @@
 //===- FieldReader.h - Typed fields of one JSON object ---------*- C++ -*-===//
 //
-// Reads the fields of an object within their ranges, notes every problem with
-// its JSON pointer, and finally refuses fields that nobody asked for.
+// Reads the fields of an object within their ranges, reports every problem
+// with its JSON pointer, and finally reports the fields that were never read.
 //
 //===----------------------------------------------------------------------===//
 
@@ -23,23 +23,23 @@
 
 enum class Presence : std::uint8_t { Required, Optional };
 
-/// Both ends are allowed.
+/// Both bounds are inclusive.
 template <class Number> struct Range {
   Number Min_;
   Number Max_;
 };
 
-/// Not thread-safe; the JSON value and the problems must outlive it.
+/// Not thread-safe; the JSON value and the problems must outlive the reader.
 class FieldReader {
 public:
   FieldReader(const nlohmann::json &Value, std::string Place,
               std::vector<BundleProblem> &Problems);
 
-  /// A text of at most MaxBytes.
+  /// Reads a string of at most MaxBytes.
   void readText(const std::string &Name, std::string &Target, Presence Expected,
                 std::size_t MaxBytes);
-  /// A name: 1 to 64 letters, digits, '.', '_' or '-', the first a letter or
-  /// digit. Also says whether Target was set.
+  /// Reads a name: 1 to 64 letters, digits, '.', '_' or '-', starting with a
+  /// letter or digit. Returns whether Target was set.
   bool readName(const std::string &Name, std::string &Target);
   void readNumber(const std::string &Name, double &Target,
                   Range<double> Allowed,
@@ -57,12 +57,13 @@
     Target = static_cast<Integer>(Wide);
   }
 
-  /// The value, or nullptr if it is absent or no array of that many entries.
+  /// Returns the array, or nullptr if the field is absent, is no array or has
+  /// more than MaxEntries entries.
   const nlohmann::json *findArray(const std::string &Name, Presence Expected,
                                   std::size_t MaxEntries);
   const nlohmann::json *findObject(const std::string &Name);
 
-  /// Notes each field that no read asked for.
+  /// Reports each field that was never read.
   void reportUnknownFields();
 
   void addProblem(const std::string &Name, std::string Text);
--- a/src/fleet/FleetCodec.cpp
+++ b/src/fleet/FleetCodec.cpp
@@ -1,4 +1,4 @@
-//===- FleetCodec.cpp - The fleet's values as bytes -----------------------===//
+//===- FleetCodec.cpp - Binary encoding of the fleet's values ------------===//
 
 #include "tulipweir/fleet/FleetCodec.h"
 #include "Pack.h"
@@ -12,7 +12,7 @@
 
 static constexpr std::uint32_t SnapshotFormat = 1;
 
-// Fields in the order of their declaration; the order is the format.
+// Fields are listed in the order of their declaration, which is the encoding.
 
 namespace tulipweir::fleet {
 
@@ -77,7 +77,7 @@
 
 namespace {
 
-/// All parts of a FleetState, as a snapshot holds them.
+/// The parts of a FleetState in the order of a snapshot.
 struct Snapshot {
   std::uint32_t Format_ = SnapshotFormat;
   std::vector<ArchivedBundle> Archive_;
@@ -119,7 +119,7 @@
   }
 }
 
-/// A command is its kind's number, then its fields.
+/// A command is encoded as the number of its kind and its fields.
 template <> struct fleet::pack::Format<Command> {
   static void write(Packer &Out, const Command &Value) {
     Out.pack_array(2);
--- a/src/fleet/FleetState.cpp
+++ b/src/fleet/FleetState.cpp
@@ -1,4 +1,4 @@
-//===- FleetState.cpp - What the fleet's log builds -----------------------===//
+//===- FleetState.cpp - The fleet's replicated state ---------------------===//
 
 #include "tulipweir/fleet/FleetState.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Hands each kind of command to the part that it is about.
+/// Dispatches each kind of command to the registry concerned.
 struct Applier {
   BundleRegistry &Bundles_;
   JobRegistry &Jobs_;
--- a/src/fleet/JobAssigner.cpp
+++ b/src/fleet/JobAssigner.cpp
@@ -1,4 +1,4 @@
-//===- JobAssigner.cpp - The fleet leader's view of assignments -----------===//
+//===- JobAssigner.cpp - Assignment of jobs to data centres --------------===//
 
 #include "tulipweir/fleet/JobAssigner.h"
 
@@ -96,8 +96,8 @@
     if (Now < *getExpiry(DataCentre))
       continue;
     for (const JobId &Job : Held) {
-      // Those proposed and not yet applied stay few, so that one long outage
-      // does not fill this table.
+      // Releases that are not applied yet are limited to Budget, so that one
+      // long outage does not fill the table.
       if (Out.size() >= Budget || PendingReleases_.size() >= Budget)
         return;
       if (PendingReleases_.contains(Job))
@@ -127,7 +127,7 @@
       continue;
     const auto Chosen = chooseDataCentre(Jobs, *Jobs.find(Job), Now);
     if (!Chosen)
-      return; // No data centre can be reached at all.
+      return; // No data centre is reachable.
     PendingAssignments_[Job] = Now;
     ++DataCentres_[*Chosen].AssignedSince_;
     Out.push_back(AssignJob{Job, *Chosen});
@@ -160,7 +160,8 @@
   return Best;
 }
 
-/// Lower is better: the part that is set aside, and what waits per server.
+/// Returns the reserved share plus the waiting tasks per server; lower is
+/// better.
 double JobAssigner::computeScore(const DataCentreStatus &Known) const {
   const double Waiting = Known.Load_.WaitingTasks_ + Known.AssignedSince_;
   return Known.Load_.Reserved_ +
--- a/src/fleet/JobRegistry.cpp
+++ b/src/fleet/JobRegistry.cpp
@@ -12,9 +12,9 @@
 
 static CommandResult refuseUnknownJob(const JobId &Job) {
   return refuse(ErrorCode::NotFound,
-                "no job '" + Job.value() +
-                    "'; ended ones are kept for the last " +
-                    std::to_string(JobRegistry::MaxEndedJobs) + " jobs");
+                "no job '" + Job.value() + "'; only the last " +
+                    std::to_string(JobRegistry::MaxEndedJobs) +
+                    " ended jobs are kept");
 }
 
 static CommandResult withAssignment(CommandResult Result,
@@ -30,16 +30,16 @@
 
 static CommandResult refuseEnded(const FleetJob &Record) {
   return refuse(ErrorCode::AlreadyExists,
-                "the job has ended already: " + formatEnd(*Record.End_));
+                "the job has already ended: " + formatEnd(*Record.End_));
 }
 
 static CommandResult refuseStale(const FleetJob &Record,
                                  std::uint64_t Claimed) {
   std::string Message = "assignment " + std::to_string(Claimed) +
-                        " does not stand; the latest is " +
+                        " is not current; the latest is " +
                         std::to_string(Record.Assignment_);
   Message += Record.DataCentre_.value().empty()
-                 ? ", given back"
+                 ? ", released"
                  : ", held by '" + Record.DataCentre_.value() + "'";
   return refuse(ErrorCode::StaleToken, std::move(Message));
 }
@@ -60,7 +60,7 @@
     return "the job's name has " + std::to_string(NameBytes) +
            " bytes; 1 to 128 are allowed";
   if (Value.Spec_.size() > JobRegistry::MaxSpecBytes)
-    return "the job has " + std::to_string(Value.Spec_.size()) +
+    return "the job's spec has " + std::to_string(Value.Spec_.size()) +
            " bytes; at most 65536 are allowed";
   return "";
 }
@@ -116,7 +116,7 @@
     return Refusal;
   FleetJob &Record = *Open;
   if (Value.DataCentre_.value().empty())
-    return refuse(ErrorCode::InvalidArgument, "no data centre is named");
+    return refuse(ErrorCode::InvalidArgument, "the data centre is missing");
   if (!Record.DataCentre_.value().empty()) {
     const bool Same = Record.DataCentre_ == Value.DataCentre_;
     const auto Code = Same ? ErrorCode::AlreadyExists : ErrorCode::Conflict;
@@ -140,17 +140,17 @@
   if (!isHeldUnder(Record, Value.Assignment_)) {
     const bool Repeated = Record.DataCentre_.value().empty() &&
                           Record.Assignment_ == Value.Assignment_;
-    return Repeated ? refuse(ErrorCode::AlreadyExists, "given back before")
+    return Repeated ? refuse(ErrorCode::AlreadyExists, "already released")
                     : refuseStale(Record, Value.Assignment_);
   }
   if (Value.Progress_.size() > MaxProgressBytes)
-    return refuse(ErrorCode::TooLarge, "more than 1 MiB of progress");
+    return refuse(ErrorCode::TooLarge, "the progress is larger than 1 MiB");
   if (!Value.Progress_.empty())
     Record.Progress_ = Value.Progress_;
   unassign(Value.Job_, Record);
   if (Record.Cancelling_)
     finishJob(Value.Job_, Record, JobEnd::Cancelled, "cancelled", 0);
-  return confirm("given back");
+  return confirm("released");
 }
 
 CommandResult JobRegistry::cancel(const CancelJob &Value) {
@@ -165,9 +165,11 @@
     return confirm("cancelled");
   }
   if (Record.Cancelling_)
-    return refuse(ErrorCode::AlreadyExists, "it is being cancelled already");
+    return refuse(ErrorCode::AlreadyExists,
+                  "the job is already being cancelled");
   Record.Cancelling_ = true;
-  return confirm("'" + Record.DataCentre_.value() + "' is told to cancel it");
+  return confirm("'" + Record.DataCentre_.value() +
+                 "' is requested to cancel the job");
 }
 
 CommandResult JobRegistry::end(const EndJob &Value) {
@@ -183,7 +185,7 @@
   return confirm("ended");
 }
 
-/// Nobody holds the job afterwards; it is open and unassigned.
+/// Clears the job's assignment; the job stays open and unassigned.
 void JobRegistry::unassign(const JobId &Job, FleetJob &Record) {
   const auto Holder = Held_.find(Record.DataCentre_);
   Holder->second.erase(Job);
@@ -210,7 +212,7 @@
   Ended_.pop_front();
 }
 
-/// Each ended job once, and no other.
+/// Returns whether Ended contains each ended job once and no other job.
 static bool listsExactlyEndedJobs(const std::map<JobId, FleetJob> &Jobs,
                                   const std::deque<JobId> &Ended) {
   std::set<JobId> Named;
@@ -228,7 +230,7 @@
                                           std::deque<JobId> Ended) {
   if (!listsExactlyEndedJobs(Jobs, Ended))
     return fail(ErrorCode::Malformed,
-                "the snapshot's list of ended jobs does not fit its jobs");
+                "the snapshot's list of ended jobs does not match its jobs");
   JobRegistry Book;
   Book.Jobs_ = std::move(Jobs);
   Book.Ended_ = std::move(Ended);
--- a/src/fleet/JsonText.cpp
+++ b/src/fleet/JsonText.cpp
@@ -1,4 +1,4 @@
-//===- JsonText.cpp - Strict reading of JSON with comments ----------------===//
+//===- JsonText.cpp - Strict JSON parser with comments -------------------===//
 
 #include "JsonText.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Follows the parser's events and notes keys that stand twice.
+/// Follows the parser's events and reports duplicate keys of an object.
 class DuplicateFinder {
 public:
   explicit DuplicateFinder(std::vector<BundleProblem> &Problems)
@@ -63,7 +63,7 @@
   Top.Key_ = Key;
   if (!Top.Keys_.insert(Key).second)
     Problems_.push_back({appendPointer(Top.Pointer_, Key),
-                         "stands twice; each field is allowed once"});
+                         "is duplicated; each field is allowed once"});
 }
 
 bool DuplicateFinder::onEvent(json::parse_event_t Event, const json &Parsed) {
@@ -102,7 +102,8 @@
   return Longer;
 }
 
-/// The library counts bytes from 1; operators look for a line.
+/// Converts the library's byte number, which counts from 1, to a line and
+/// column.
 static std::string formatLineAndColumn(std::string_view Text,
                                        std::size_t Byte) {
   const auto Before = Text.substr(0, Byte == 0 ? 0 : Byte - 1);
@@ -114,7 +115,7 @@
   return std::to_string(Line) + ":" + std::to_string(Column);
 }
 
-/// Drops the library's own position and number from its message.
+/// Removes the library's own error number and position from its message.
 static std::string shortenMessage(std::string Message) {
   const std::size_t Colon = Message.find(": ");
   return Colon == std::string::npos ? Message : Message.substr(Colon + 2);
@@ -150,7 +151,7 @@
     Problems.push_back({formatLineAndColumn(Text, Caught.byte),
                         "is not JSON: " + shortenMessage(Caught.what())});
   } catch (const json::exception &Caught) {
-    Problems.push_back({"1:1", "is not JSON that we can hold: " +
+    Problems.push_back({"1:1", "is JSON that cannot be represented: " +
                                    shortenMessage(Caught.what())});
   }
   return std::nullopt;
--- a/src/fleet/JsonText.h
+++ b/src/fleet/JsonText.h
@@ -1,7 +1,7 @@
-//===- JsonText.h - Strict reading of JSON with comments -------*- C++ -*-===//
+//===- JsonText.h - Strict JSON parser with comments -----------*- C++ -*-===//
 //
-// What the JSON library lets pass and a bundle must not: a key that stands
-// twice in one object. Syntax errors get their line and column.
+// Unlike the JSON library, the parser rejects duplicate keys within one
+// object. Syntax errors are reported with their line and column.
 //
 //===----------------------------------------------------------------------===//
 
@@ -19,11 +19,11 @@
 
 namespace tulipweir::fleet {
 
-/// Appends one step to a JSON pointer, escaped as RFC 6901 says.
+/// Appends one reference token to a JSON pointer, escaped as in RFC 6901.
 std::string appendPointer(const std::string &Pointer, std::string_view Step);
 
-/// Returns the value, or adds to Problems why there is none. Duplicate keys
-/// are added to Problems too.
+/// Returns the parsed value, or nullopt after adding the reason to Problems.
+/// Duplicate keys are added to Problems too.
 std::optional<nlohmann::json>
 readJsonText(std::string_view Text, std::vector<BundleProblem> &Problems);
 
--- a/src/fleet/Pack.h
+++ b/src/fleet/Pack.h
@@ -1,7 +1,7 @@
-//===- Pack.h - Strict msgpack for structs ---------------------*- C++ -*-===//
+//===- Pack.h - Strict msgpack encoding of structs -------------*- C++ -*-===//
 //
-// A struct is an array of its fields in order. forEachField names the fields
-// once, for writing and for reading.
+// A struct is encoded as an array of its fields in order. forEachField lists
+// the fields once, for writing and for reading.
 //
 //===----------------------------------------------------------------------===//
 
@@ -26,7 +26,7 @@
 
 namespace tulipweir::fleet::pack {
 
-/// Thrown and caught inside the codec only.
+/// Thrown and caught within the codec only.
 struct MalformedBytes {};
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
@@ -37,7 +37,7 @@
     throw MalformedBytes{};
 }
 
-/// Describes how a T is written and read; the primary one is for structs,
+/// Defines how a T is written and read. The primary template handles structs,
 /// which have a forEachField.
 template <class T> struct Format {
   static void write(Packer &Out, const T &Value) {
@@ -137,7 +137,7 @@
 struct Format<std::vector<T>> : ListFormat<std::vector<T>> {};
 template <class T> struct Format<std::deque<T>> : ListFormat<std::deque<T>> {};
 
-/// A map is an array of keys and values in turn, keys rising.
+/// A map is an array of alternating keys and values, sorted by key.
 template <class Key, class T> struct Format<std::map<Key, T>> {
   static void write(Packer &Out, const std::map<Key, T> &Value) {
     Out.pack_array(static_cast<std::uint32_t>(Value.size() * 2));
@@ -179,11 +179,12 @@
   return std::string(Buffer.data(), Buffer.size());
 }
 
-/// Calls Read with the parsed bytes; anything that does not fit is Malformed.
+/// Calls Read with the parsed bytes; fails with Malformed if they do not match
+/// the type.
 template <class Function>
 Outcome<void> parse(std::string_view Bytes, Function Read) {
   static constexpr std::size_t MaxDepth = 16;
-  // A header cannot claim more entries than there are bytes.
+  // An array header cannot announce more entries than there are bytes.
   const std::size_t Most = Bytes.size();
   const msgpack::unpack_limit Limits(Most, 0, Most, Most, 0, MaxDepth);
   try {
@@ -196,8 +197,7 @@
   } catch (const MalformedBytes &) {
   } catch (const msgpack::unpack_error &) {
   }
-  return fail(ErrorCode::Malformed,
-              "these bytes are no value of the fleet's log");
+  return fail(ErrorCode::Malformed, "malformed encoding of a fleet value");
 }
 
 } // namespace tulipweir::fleet::pack
--- a/src/fleet/Results.h
+++ b/src/fleet/Results.h
@@ -1,6 +1,6 @@
-//===- Results.h - Makes command results -----------------------*- C++ -*-===//
+//===- Results.h - Helpers for command results -----------------*- C++ -*-===//
 //
-// Shorthands that the parts of the fleet's state share.
+// Shared by the registries of the fleet's state.
 //
 //===----------------------------------------------------------------------===//
 
@@ -14,7 +14,7 @@
 
 namespace tulipweir::fleet {
 
-/// A command that changed nothing, and why.
+/// Returns the result of a command that changed nothing, with the reason.
 inline CommandResult refuse(ErrorCode Code, std::string Message) {
   CommandResult Result;
   Result.Error_ = std::string(getErrorName(Code));
@@ -22,7 +22,7 @@
   return Result;
 }
 
-/// A command that took effect.
+/// Returns the result of a command that took effect.
 inline CommandResult confirm(std::string Message) {
   CommandResult Result;
   Result.Message_ = std::move(Message);
--- a/src/fleet/Signing.cpp
+++ b/src/fleet/Signing.cpp
@@ -27,7 +27,7 @@
 
 static void initSodium() {
   [[maybe_unused]] static const int Started = sodium_init();
-  assert(Started >= 0 && "libsodium does not start on this machine");
+  assert(Started >= 0 && "libsodium failed to initialize");
 }
 
 template <std::size_t Size> static std::string toHex(const Bytes<Size> &Data) {
@@ -41,7 +41,7 @@
   return (Letter >= '0' && Letter <= '9') || (Letter >= 'a' && Letter <= 'f');
 }
 
-/// One spelling per value: upper case and other lengths are refused.
+/// Each value has one spelling: upper case and other lengths are rejected.
 template <std::size_t Size>
 static std::optional<Bytes<Size>> fromHex(std::string_view Text) {
   if (Text.size() != Size * 2 || !std::ranges::all_of(Text, isLowerHex))
@@ -71,8 +71,8 @@
 
 namespace {
 
-/// Keys that passed the check, which takes a scalar multiplication each, while
-/// every bundle names the same few. Thread-safe.
+/// Caches the keys that passed the check, which costs one scalar multiplication
+/// per key, because every bundle contains the same few keys. Thread-safe.
 class ValidatedKeys {
 public:
   bool contains(const PublicBytes &Key) const {
@@ -97,7 +97,7 @@
 static Error makeInvalidKeyError() {
   return Error::make(ErrorCode::InvalidArgument,
                      "the secret key is not 64 lower-case hexadecimal digits; "
-                     "make one with 'tulipweirctl keygen'");
+                     "create one with 'tulipweirctl keygen'");
 }
 
 KeyPair fleet::makeKeyPair() {
--- a/tests/fleet/AssignmentScheduleTest.cpp
+++ b/tests/fleet/AssignmentScheduleTest.cpp
@@ -1,9 +1,10 @@
 //===- AssignmentScheduleTest.cpp -----------------------------------------===//
 //
-// Seeded schedules over three data centres with two control processes each:
-// clocks that drift, cuts, messages that arrive hours late, leaders that
-// change, and frozen ones that answer what they had checked before. Whatever
-// happens, no job is ever held by two data centres.
+// Runs seeded schedules over three data centres with two control processes each
+// and checks that no job is ever held by two data centres. The schedules
+// contain clock drift, partitions, messages delayed by more than a lease,
+// leader changes and leaders that freeze between their leadership check and
+// their answer.
 //
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +26,8 @@
 using std::chrono::seconds;
 
 static constexpr std::size_t DataCentres = 3;
-static constexpr std::size_t Controls = 6; ///< Number N is in data centre N%3.
+static constexpr std::size_t Controls =
+    6; ///< Number N is in data centre N % 3.
 static constexpr std::size_t Jobs = 4;
 static constexpr Duration Ttl = seconds(1000);
 static constexpr std::size_t Budget = 8;
@@ -41,11 +43,11 @@
 
 namespace {
 
-/// One control process with its own clock and copy of the fleet's state.
+/// A control process with its own clock and replica of the fleet's state.
 struct Control {
   double Rate_ = 1;
   Duration Offset_{};
-  std::size_t KnownLeader_ = 0; ///< Who leads, as far as it heard.
+  std::size_t KnownLeader_ = 0; ///< The latest leader it knows of.
   std::size_t Applied_ = 0;
   FleetState State_;
   std::unique_ptr<JobAssigner> Assigner_;
@@ -70,7 +72,7 @@
     return A % DataCentres != B % DataCentres &&
            (Partitioned_[A % DataCentres] || Partitioned_[B % DataCentres]);
   }
-  /// Mostly short; some span an election, few span a lease.
+  /// Most delays are short; some span an election, few span a lease.
   Duration makeDelay() {
     const Duration Long = happens(20) ? Ttl * 2 : Ttl / 4;
     const Duration Most = happens(10) ? Long : Ttl / 1000;
@@ -102,8 +104,9 @@
   std::uint64_t Term_ = 0;
   bool Partitioned_[DataCentres] = {};
   std::vector<Command> InFlight_; ///< Proposed by the leader of this term.
-  std::vector<std::pair<std::size_t, HeldAssignment>> Assignments_; ///< Ever.
-  std::set<HeldAssignment> Released_; ///< Their holder gave them back itself.
+  std::vector<std::pair<std::size_t, HeldAssignment>>
+      Assignments_;                   ///< All ever made.
+  std::set<HeldAssignment> Released_; ///< Released by their holder itself.
   std::size_t HeldChecks_ = 0;
   std::string Violation_;
 };
@@ -142,8 +145,8 @@
     To.State_.apply(Log_[To.Applied_++]);
 }
 
-/// What the old leader had proposed is committed in part; the new one begins
-/// once it has applied that. The old one does not notice.
+/// Commits a random prefix of the old leader's proposals; the new leader starts
+/// once it has applied them. The old leader does not notice the change.
 void Schedule::changeLeader() {
   const std::size_t Survive =
       InFlight_.empty() ? 0 : Random_() % (InFlight_.size() + 1);
@@ -184,8 +187,8 @@
 
 void Schedule::receiveReport(std::size_t From, std::size_t To,
                              const AssignmentReport &Report, TimePoint SentAt) {
-  // Replica::holdsLeaderLease; a process that is frozen right after it goes on
-  // long afterwards with the state of then.
+  // Stands for Replica::holdsLeaderLease. A process that is frozen right after
+  // that check continues much later with the state it had then.
   if (To != Leader_ || arePartitioned(From, To))
     return;
   const Duration Frozen = happens(5) ? Ttl * 2 : Duration::zero();
@@ -204,7 +207,8 @@
   for (const Command &Value : Leader.Assigner_->decide(
            Leader.State_.jobs(), readClock(Leader), Budget)) {
     InFlight_.push_back(Value);
-    // The worst moment to come back: while the release is on its way.
+    // The worst case is a data centre that reconnects while the release of its
+    // jobs is being committed.
     if (std::holds_alternative<ReleaseJob>(Value) && happens(30))
       std::ranges::fill(Partitioned_, false);
     schedule(makeDelay(), [this, Value, Term = Term_] {
@@ -216,7 +220,7 @@
   }
 }
 
-/// A data centre stops a job and gives it back of its own accord.
+/// A data centre stops a job and releases it without being asked to.
 void Schedule::releaseFirstHeldJob() {
   for (const auto &[DataCentre, Held] : CommittedState_.jobs().held()) {
     const JobId Job = *Held.begin();
@@ -289,7 +293,7 @@
     Moves += Tried.getMoves();
     HeldChecks += Tried.getHeldChecks();
   }
-  EXPECT_GT(Moves, Seeds * Jobs) << "jobs hardly ever moved";
-  EXPECT_GT(HeldChecks, 100'000U) << "jobs were hardly ever held";
+  EXPECT_GT(Moves, Seeds * Jobs) << "too few assignments were made";
+  EXPECT_GT(HeldChecks, 100'000U) << "too few held jobs were checked";
   RecordProperty("moves", static_cast<int>(Moves));
 }
--- a/tests/fleet/BundleCheckTest.cpp
+++ b/tests/fleet/BundleCheckTest.cpp
@@ -15,7 +15,7 @@
 using testing::Contains;
 using testing::Field;
 
-/// A bundle in which every field that exists is set.
+/// Returns a bundle in which every known field is set.
 static json makeFullBundle() {
   json Value = makeBundleJson(2, 1, std::string(64, 'a'), 3, 2);
   Value["services"] = {
@@ -100,7 +100,7 @@
 };
 } // namespace
 
-/// Each line breaks one rule; the problem must name that very place.
+/// Each line violates one rule; the problem must name exactly that location.
 TEST(BundleCheckTest, EachInvalidFieldIsReportedAtItsLocation) {
   const BadField Lines[] = {
       {"/version", 0},
@@ -112,7 +112,7 @@
       {"/parentDigest", std::string(64, 'G')},
       {"/note", 5},
       {"/note", std::string(1001, 'x')},
-      {"/signOffsNeeded", 4}, // Of three operators.
+      {"/signOffsNeeded", 4}, // There are three operators.
       {"/signOffsNeeded", 0},
       {"/operators", json::object()},
       {"/operators/0", 7},
@@ -123,7 +123,7 @@
       {"/services/0/service", std::string(65, 'a')},
       {"/services/0/queueLimit", 100001},
       {"/services/0/queueLimit", 18446744073709551615ULL},
-      {"/services/0/defaultDeadlineMs", 5001}, // Over its maximum.
+      {"/services/0/defaultDeadlineMs", 5001}, // Above its maximum.
       {"/services/0/targetP99Ms", 0},
       {"/services/0/hedgingAllowed", 1},
       {"/services/0/share", json::array()},
@@ -205,9 +205,9 @@
   EXPECT_FALSE(findProblems("{\"version\": 1e400}").empty());
 }
 
-// Fuzzing, with fixed seeds.
+// Fuzz tests with fixed seeds.
 
-/// What an accepted text may contain, written down a second time.
+/// Specifies the types of an accepted text independently of the checked code.
 static bool isWellTyped(const std::string &Pattern, const json &Leaf) {
   static const std::regex Texts(
       "/note|/parentDigest|/operators/N/(operator|publicKey)"
@@ -232,7 +232,7 @@
   return Pattern == "/services/N/hedgingAllowed" && Leaf.is_boolean();
 }
 
-/// The first ill-typed leaf of an accepted text, or nothing.
+/// Returns the first leaf with a wrong type in an accepted text, or "".
 static std::string findIllTyped(const json &Value, const std::string &Pattern) {
   if (!Value.is_structured())
     return isWellTyped(Pattern, Value) ? "" : Pattern;
@@ -275,7 +275,7 @@
     expectConsistentResult(Text);
     Accepted += checkBundle(Text).Bundle_.size();
   }
-  EXPECT_GT(Accepted, 0U) << "the mutations never leave a valid bundle";
+  EXPECT_GT(Accepted, 0U) << "no mutation left a valid bundle";
 }
 
 TEST(BundleFuzzTest, ReplacedValueIsNeverAcceptedWithWrongType) {
--- a/tests/fleet/BundleRegistryTest.cpp
+++ b/tests/fleet/BundleRegistryTest.cpp
@@ -13,7 +13,8 @@
 using namespace tulipweir::fleet::test;
 
 namespace {
-/// A book in which version 1 is in force, decided by 2 of 3 operators.
+/// Starts with version 1 in force, which requires sign-offs by 2 of 3
+/// operators.
 class BundleRegistryTest : public testing::Test {
 protected:
   BundleRegistryTest() {
@@ -68,7 +69,7 @@
 }
 
 TEST_F(BundleRegistryTest, OperatorsInForceDecideNotProposedOnes) {
-  // Operator 4 is only on the new list, and one sign-off would do there.
+  // Operator 4 is only on the proposed list, which would require one sign-off.
   const auto Next = makeBundleText(2, 1, computeDigest(First_).value(), 4, 1);
   EXPECT_EQ(Book_.propose(makeProposal(Next, 4)).Error_, "permission_denied");
   EXPECT_FALSE(Book_.propose(makeProposal(Next, 1)).Accepted_);
@@ -127,8 +128,8 @@
   EXPECT_NE(Result.Message_.find("/version is missing"), std::string::npos);
 }
 
-/// 50 operators change version 1 at once, each resends what it is not sure
-/// of, and everything arrives in a random order.
+/// 50 operators change version 1 at the same time, each sends its proposal up
+/// to three times, and all proposals arrive in a random order.
 TEST(BundleRaceTest, ExactlyOneOfFiftyEqualVersionsIsAccepted) {
   static constexpr unsigned Operators = 50;
   for (unsigned Seed = 0; Seed < 8; ++Seed) {
@@ -202,7 +203,8 @@
   EXPECT_FALSE(Restore({OtherVersion}).has_value());
   EXPECT_FALSE(Restore({OtherText}).has_value());
   EXPECT_FALSE(Restore({NoDigest, InForce}).has_value());
-  EXPECT_FALSE(Restore({InForce, InForce}).has_value()) << "does not rise";
+  EXPECT_FALSE(Restore({InForce, InForce}).has_value())
+      << "versions do not increase";
   auto Proposals = Book_.proposals();
   Proposals.begin()->second.Text_ += " ";
   EXPECT_FALSE(BundleRegistry::restore(BundleHistory({}, {InForce}), Proposals,
--- a/tests/fleet/ExamplesTest.cpp
+++ b/tests/fleet/ExamplesTest.cpp
@@ -11,7 +11,7 @@
 using namespace tulipweir;
 using namespace tulipweir::fleet;
 
-/// Tests run in the root or in a build folder below it.
+/// Tests run in the root or in a build folder directly below it.
 static std::string readExample(const std::string &Name) {
   const bool InRoot = std::filesystem::exists("examples/" + Name);
   std::ifstream In((InRoot ? "examples/" : "../examples/") + Name);
--- a/tests/fleet/FleetDifferentialTest.cpp
+++ b/tests/fleet/FleetDifferentialTest.cpp
@@ -1,7 +1,7 @@
 //===- FleetDifferentialTest.cpp ------------------------------------------===//
 //
-// FleetState against a naive one over random commands, with its snapshot taken
-// and restored at random points.
+// Compares FleetState with a naive model over random commands, restoring it
+// from its own snapshot at random points.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,7 +22,7 @@
 
 namespace {
 
-/// Keeps everything, indexes nothing, searches from the front.
+/// A model that keeps everything and searches it linearly.
 class NaiveFleet {
 public:
   struct Proposal {
@@ -43,7 +43,7 @@
     JobEnd End_ = JobEnd::Finished;
   };
 
-  /// Whether the bundle is in force or was.
+  /// Returns whether the bundle is or was in force.
   bool addSignature(const Proposal &Shape, const std::string &Signer);
   void apply(const Command &Value);
   bool matches(const FleetState &Real) const;
@@ -176,7 +176,8 @@
   }
 }
 
-/// A version and parent near those in force, right more often than not.
+/// Returns a proposal for a version near the one in force, more often with the
+/// right parent than not.
 static NaiveFleet::Proposal makeRandomProposal(const FleetState &Real,
                                                std::mt19937_64 &Random) {
   const AcceptedBundle *Latest = Real.bundles().history().latest();
@@ -225,6 +226,6 @@
       ASSERT_GE(Real.bundles().inForce().Version_, Highest);
       Highest = Real.bundles().inForce().Version_;
     }
-    EXPECT_GT(Highest.value(), 5U) << "hardly a bundle was accepted";
+    EXPECT_GT(Highest.value(), 5U) << "too few bundles were accepted";
   }
 }
--- a/tests/fleet/FleetFixture.h
+++ b/tests/fleet/FleetFixture.h
@@ -14,7 +14,7 @@
 
 namespace tulipweir::fleet::test {
 
-/// The same pair for the same number.
+/// Returns the same pair for the same number.
 inline KeyPair makeTestKeys(unsigned Number) {
   std::string Seed(64, '0');
   for (std::size_t I = Seed.size(); Number > 0; Number /= 10)
@@ -26,7 +26,7 @@
   return OperatorId("op" + std::to_string(Number));
 }
 
-/// A whole bundle whose operators are 1 to Operators.
+/// Returns a complete bundle with the operators 1 to Operators.
 inline nlohmann::json makeBundleJson(std::uint64_t Version,
                                      std::uint64_t Parent,
                                      const std::string &ParentDigest,
--- a/tests/fleet/FleetStateMachineTest.cpp
+++ b/tests/fleet/FleetStateMachineTest.cpp
@@ -53,7 +53,7 @@
       std::string Changed = Whole;
       Changed[Random() % Changed.size()] = static_cast<char>(Random());
       const auto Decoded = decodeCommand(Changed);
-      // What decodes holds no more than the bytes did.
+      // A decoded value is no longer than its bytes.
       const std::size_t Size =
           Decoded ? encodeCommand(Decoded.value()).size() : 0;
       EXPECT_LE(Size, Changed.size());
@@ -79,7 +79,7 @@
 
 TEST(FleetCodecTest, OtherSnapshotFormatGivesVersionMismatch) {
   std::string Bytes = encodeState(FleetState());
-  Bytes[1] = 2; // After the array's header.
+  Bytes[1] = 2; // Follows the array's header.
   EXPECT_EQ(decodeState(Bytes).error().Code_, ErrorCode::VersionMismatch);
 }
 
@@ -99,7 +99,8 @@
   std::size_t Taken = 0;
   for (int Round = 0; Round < 4000; ++Round) {
     std::string Changed = Bytes;
-    // Jobs and their ends stand at the end; the texts have their digests.
+    // Every other round changes only the last 400 bytes, which hold the jobs;
+    // the texts before them are protected by their digests.
     const std::size_t Tail = Round % 2 ? Bytes.size() : 400;
     Changed[Bytes.size() - 1 - Random() % Tail] = static_cast<char>(Random());
     auto Decoded = decodeState(Changed);
@@ -158,7 +159,7 @@
 TEST(FleetStateMachineTest, ReplayedBatchExposesNoOlderBundles) {
   std::size_t Heard = 0;
   FleetStateMachine Machine([&](const Command &, const CommandResult &) {
-    // After the batch, so that a listener finds its last state.
+    // Listeners run after the batch and see its final state.
     EXPECT_EQ(Machine.getBundle()->Version_, BundleVersion(2));
     ++Heard;
   });
@@ -168,7 +169,7 @@
   EXPECT_TRUE(applyTo(Machine, makeProposal(First, 1)).Accepted_);
   auto Shown =
       std::async(std::launch::async, [&] { return Machine.getInForce(); });
-  // A reader that is not held back is done long before.
+  // A reader that is not blocked would finish long before.
   EXPECT_EQ(Shown.wait_for(std::chrono::milliseconds(100)),
             std::future_status::timeout);
   EXPECT_TRUE(applyTo(Machine, makeProposal(Second, 1)).Accepted_);
@@ -225,8 +226,8 @@
   }
 }
 
-/// The lower version takes longer to read, so that the higher one is adopted
-/// meanwhile.
+/// The lower version takes longer to parse, so that the higher one is adopted
+/// in the meantime.
 TEST(ActiveBundleTest, LowerVersionAdoptedConcurrentlyDoesNotReplaceHigherOne) {
   static constexpr std::uint64_t Rounds = 40;
   ActiveBundle Held;
--- a/tests/fleet/JobAssignerTest.cpp
+++ b/tests/fleet/JobAssignerTest.cpp
@@ -15,7 +15,7 @@
 static constexpr Duration Ttl = seconds(1000);
 
 namespace {
-/// One leader and what it is told, by hand.
+/// Drives the assigner of one leader by hand.
 class JobAssignerTest : public testing::Test {
 protected:
   JobAssignerTest() { Assigner_.startLeading(at(0)); }
@@ -60,7 +60,7 @@
   EXPECT_EQ(decide(3), Names{"west"});
   submit("b", "west");
   reportLoad("east", 20, {0, 0, 8});
-  EXPECT_EQ(decide(20), Names{"east"}) << "west was last heard 17 s ago";
+  EXPECT_EQ(decide(20), Names{"east"}) << "west last reported 17 s ago";
 }
 
 TEST_F(JobAssignerTest, JobsAreSpreadBetweenLoadReports) {
